--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -48,10 +48,7 @@
         let forwarder = &mut self.forwarder;
         let requests = &mut self.requests;
         if !std::mem::replace(&mut self.started, true) {
-            cx.set_timer(Timer::Housekeeping, TICK_MS);
-            if cx.settings.endpoints_polled {
-                cx.actions.push(Action::WatchEndpoints);
-            }
+            start(cx);
         }
         match event {
             Event::EndpointUpdate { complete, endpoints } => {
@@ -72,13 +69,7 @@
                 requests.update(id, |open| forwarder.client_disconnected(cx, open));
             }
             Event::TimerFired { token } => match Timer::from_token(token) {
-                Timer::Housekeeping => {
-                    cx.set_timer(Timer::Housekeeping, TICK_MS);
-                    if self.poll_retry.take_due(now) {
-                        cx.actions.push(Action::WatchEndpoints);
-                    }
-                    forwarder.tick(cx);
-                }
+                Timer::Housekeeping => keep_house(cx, forwarder, &mut self.poll_retry),
                 Timer::CounterWait(id) => {
                     requests.update(id, |open| forwarder.counter_wait_expired(cx, open));
                 }
@@ -95,3 +86,20 @@
         }
     }
 }
+
+/// The first event of a process: starts the housekeeping, and the watch where the endpoint list is polled.
+fn start(cx: &mut Context) {
+    cx.set_timer(Timer::Housekeeping, TICK_MS);
+    if cx.settings.endpoints_polled {
+        cx.actions.push(Action::WatchEndpoints);
+    }
+}
+
+/// The periodic housekeeping, and a retry of a failed poll of the endpoint list where one is due.
+fn keep_house(cx: &mut Context, forwarder: &mut Forwarder, poll_retry: &mut PollRetry) {
+    cx.set_timer(Timer::Housekeeping, TICK_MS);
+    if poll_retry.take_due(cx.now) {
+        cx.actions.push(Action::WatchEndpoints);
+    }
+    forwarder.tick(cx);
+}
