--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -4,8 +4,8 @@
 
 use criterion::{black_box, criterion_group, criterion_main, BatchSize, BenchmarkId, Criterion};
 use quota_gateway::{
-    Action, AttemptEnd, Class, Endpoint, EndpointId, EndpointState, Event, Gateway, Idempotency, Limits,
-    LoadReport, Outcome, Plan, Prices, Request, RequestId, Settings,
+    Action, AttemptEnd, Class, Endpoint, EndpointId, EndpointState, Event, Gateway, Idempotency,
+    Limits, LoadReport, Outcome, Plan, Prices, Request, RequestId, Settings,
 };
 
 fn entry(id: u32) -> Endpoint {
@@ -32,14 +32,21 @@
     Settings {
         gateway_count: 720,
         classes: vec![class],
-        plans: vec![Plan { weight_multiplier: 1.0, burst: 1.0, ..Plan::default() }],
+        plans: vec![Plan {
+            weight_multiplier: 1.0,
+            burst: 1.0,
+            ..Plan::default()
+        }],
         limits: Limits {
             max_attempts: 3,
             idle_timeout_ms: 30_000.0,
             requests_per_connection: 1,
             ..Limits::default()
         },
-        prices: Prices { handshake: 0.01, ..Prices::default() },
+        prices: Prices {
+            handshake: 0.01,
+            ..Prices::default()
+        },
         ..Settings::default()
     }
 }
@@ -47,7 +54,14 @@
 fn gateway_with(endpoints: u32) -> Gateway {
     let mut gateway = Gateway::new(settings(), 7, 0.0);
     let endpoints = (0..endpoints).map(entry).collect();
-    gateway.handle(0.0, Event::EndpointUpdate { complete: true, endpoints }, &mut Vec::new());
+    gateway.handle(
+        0.0,
+        Event::EndpointUpdate {
+            complete: true,
+            endpoints,
+        },
+        &mut Vec::new(),
+    );
     gateway
 }
 
@@ -95,9 +109,15 @@
                 id += 1;
                 let now = id as f64 * 8.0;
                 gateway.handle(now, Event::Request(request(id)), &mut actions);
-                let Some(endpoint) = sent_to(&actions) else { panic!("not sent") };
+                let Some(endpoint) = sent_to(&actions) else {
+                    panic!("not sent")
+                };
                 actions.clear();
-                gateway.handle(now + 4.0, Event::AttemptEnded(success(id, endpoint)), &mut actions);
+                gateway.handle(
+                    now + 4.0,
+                    Event::AttemptEnded(success(id, endpoint)),
+                    &mut actions,
+                );
             });
         });
     }
@@ -110,7 +130,10 @@
         let list: Vec<_> = (0..endpoints).map(entry).collect();
         group.bench_function(BenchmarkId::from_parameter(endpoints), |bencher| {
             bencher.iter_batched(
-                || Event::EndpointUpdate { complete: true, endpoints: list.clone() },
+                || Event::EndpointUpdate {
+                    complete: true,
+                    endpoints: list.clone(),
+                },
                 |event| gateway.handle(1.0, event, black_box(&mut Vec::new())),
                 BatchSize::LargeInput,
             );
@@ -126,14 +149,29 @@
         group.bench_function(BenchmarkId::from_parameter(endpoints), |bencher| {
             bencher.iter(|| {
                 changes += 1;
-                let state = if changes % 2 == 1 { EndpointState::Draining } else { EndpointState::Ready };
-                let entries = vec![Endpoint { state, ..entry(changes / 2 % endpoints) }];
-                let event = Event::EndpointUpdate { complete: false, endpoints: entries };
+                let state = if changes % 2 == 1 {
+                    EndpointState::Draining
+                } else {
+                    EndpointState::Ready
+                };
+                let entries = vec![Endpoint {
+                    state,
+                    ..entry(changes / 2 % endpoints)
+                }];
+                let event = Event::EndpointUpdate {
+                    complete: false,
+                    endpoints: entries,
+                };
                 gateway.handle(1.0, event, black_box(&mut Vec::new()));
             });
         });
     }
 }
 
-criterion_group!(benches, request_with_response, complete_list, change_of_one_entry);
+criterion_group!(
+    benches,
+    request_with_response,
+    complete_list,
+    change_of_one_entry
+);
 criterion_main!(benches);
--- a/emulator/src/clients.rs
+++ b/emulator/src/clients.rs
@@ -55,14 +55,19 @@
     pub(crate) fn new(experiment: &Experiment, seed: u64) -> Result<Self, ExperimentError> {
         let load = &experiment.load;
         let arrival_gap_ms = Exp::new(load.requests_per_s / 1000.0).map_err(|error| {
-            ExperimentError::Distribution { field: "load.requests_per_s", message: error.to_string() }
+            ExperimentError::Distribution {
+                field: "load.requests_per_s",
+                message: error.to_string(),
+            }
         })?;
         Ok(Clients {
             rng: stream(seed, "clients", 0),
             arrival_gap_ms,
             customers: load.customers,
             customer_popularity: customer_popularity(experiment)?,
-            cumulative_classes: cumulative_shares(experiment.classes.iter().map(|class| class.share)),
+            cumulative_classes: cumulative_shares(
+                experiment.classes.iter().map(|class| class.share),
+            ),
             cumulative_plans: cumulative_shares(experiment.plans.iter().map(|plan| plan.share)),
             cumulative_gateways: cumulative_shares(gateway_weights(experiment).into_iter()),
             gateway_set_size: load.gateway_set_size,
@@ -86,7 +91,10 @@
         let estimated_units = f64::from(self.rng.random_range(1..=2_i32));
         let class = index_of(&self.cumulative_classes, self.rng.random());
         let cost_ratio = self.rng.random_range(COST_RATIO);
-        let plan = index_of(&self.cumulative_plans, customer_draw(customer, CustomerProperty::Plan));
+        let plan = index_of(
+            &self.cumulative_plans,
+            customer_draw(customer, CustomerProperty::Plan),
+        );
         ClientRequest {
             customer,
             plan: plan as u32,
@@ -99,11 +107,17 @@
 
     /// The gateway that the load balancer before the fleet picks: one of the customer's set, or any other if none of
     /// the set accepts requests.
-    pub(crate) fn pick_gateway(&mut self, customer: u64, accepts: impl Fn(usize) -> bool) -> Option<usize> {
+    pub(crate) fn pick_gateway(
+        &mut self,
+        customer: u64,
+        accepts: impl Fn(usize) -> bool,
+    ) -> Option<usize> {
         let gateways = self.cumulative_gateways.len();
         let set_size = self.gateway_set_size as usize;
-        let first =
-            index_of(&self.cumulative_gateways, customer_draw(customer, CustomerProperty::FirstGateway));
+        let first = index_of(
+            &self.cumulative_gateways,
+            customer_draw(customer, CustomerProperty::FirstGateway),
+        );
         let start_in_set = self.rng.random_range(0..self.gateway_set_size) as usize;
         let start_outside = self.rng.random_range(0..gateways);
         let set = (0..set_size).map(|step| (first + (start_in_set + step) % set_size) % gateways);
@@ -118,11 +132,16 @@
         request: &ClientRequest,
         retry_after_ms: f64,
     ) -> Option<(ClientRequest, Micros)> {
-        if request.retry + 1 >= MAX_REQUESTS_PER_CLIENT || self.rng.random::<f64>() >= self.retry_share {
+        if request.retry + 1 >= MAX_REQUESTS_PER_CLIENT
+            || self.rng.random::<f64>() >= self.retry_share
+        {
             return None;
         }
         let own_delay_ms = self.retry_delay_ms * self.rng.random_range(RETRY_DELAY_RATIO);
-        let retry = ClientRequest { retry: request.retry + 1, ..request.clone() };
+        let retry = ClientRequest {
+            retry: request.retry + 1,
+            ..request.clone()
+        };
         Some((retry, micros(retry_after_ms.max(own_delay_ms))))
     }
 
@@ -141,10 +160,12 @@
         return Ok(None);
     }
     let popularity = Zipf::new(load.customers as f64, load.zipf_exponent);
-    popularity.map(Some).map_err(|error| ExperimentError::Distribution {
-        field: "load.zipf_exponent",
-        message: error.to_string(),
-    })
+    popularity
+        .map(Some)
+        .map_err(|error| ExperimentError::Distribution {
+            field: "load.zipf_exponent",
+            message: error.to_string(),
+        })
 }
 
 /// Relative numbers of requests; hot gateways lie evenly among the others.
@@ -153,7 +174,15 @@
     let count = u64::from(gateways.count);
     let hot = (f64::from(gateways.count) * gateways.hot_share).round() as u64;
     let is_hot = |index: u64| hot > 0 && index * hot % count < hot;
-    (0..count).map(|index| if is_hot(index) { gateways.hot_multiplier } else { 1.0 }).collect()
+    (0..count)
+        .map(|index| {
+            if is_hot(index) {
+                gateways.hot_multiplier
+            } else {
+                1.0
+            }
+        })
+        .collect()
 }
 
 /// Running sums, as shares of the whole.
@@ -173,13 +202,17 @@
 
 /// The entry whose part of the whole contains `draw`, which lies between 0 and 1.
 fn index_of(cumulative: &[f64], draw: f64) -> usize {
-    cumulative.partition_point(|sum| *sum <= draw).min(cumulative.len() - 1)
+    cumulative
+        .partition_point(|sum| *sum <= draw)
+        .min(cumulative.len() - 1)
 }
 
 /// A number from 0 to 1 that stays the customer's own.
 fn customer_draw(customer: u64, property: CustomerProperty) -> f64 {
     let key = customer ^ (property as u64) << 40;
-    let mixed = key.wrapping_add(0x9E37_79B9_7F4A_7C15).wrapping_mul(0xBF58_476D_1CE4_E5B9);
+    let mixed = key
+        .wrapping_add(0x9E37_79B9_7F4A_7C15)
+        .wrapping_mul(0xBF58_476D_1CE4_E5B9);
     let mixed = (mixed ^ mixed >> 29).wrapping_mul(0x94D0_49BB_1331_11EB);
     (mixed >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/emulator/src/counter.rs
+++ b/emulator/src/counter.rs
@@ -50,7 +50,13 @@
     }
 
     /// Serves a call that has arrived; `None` if it is rejected, as its shard's queue is full.
-    pub(crate) fn add(&mut self, now: Micros, key: u64, amount: f64, ttl: Micros) -> Option<ServedCall> {
+    pub(crate) fn add(
+        &mut self,
+        now: Micros,
+        key: u64,
+        amount: f64,
+        ttl: Micros,
+    ) -> Option<ServedCall> {
         let max_wait = self.max_wait;
         let service_time = self.service_time;
         let shard = self.shard(key);
@@ -61,12 +67,21 @@
         }
         shard.free_at = starts_at + service_time;
         let expires_at = now + ttl;
-        let total = shard.totals.entry(key).or_insert(Total { value: 0.0, expires_at });
+        let total = shard.totals.entry(key).or_insert(Total {
+            value: 0.0,
+            expires_at,
+        });
         if total.expires_at <= now {
-            *total = Total { value: 0.0, expires_at };
+            *total = Total {
+                value: 0.0,
+                expires_at,
+            };
         }
         total.value += amount;
-        Some(ServedCall { at: shard.free_at, total: total.value })
+        Some(ServedCall {
+            at: shard.free_at,
+            total: total.value,
+        })
     }
 
     fn shard(&mut self, key: u64) -> &mut Shard {
--- a/emulator/src/discovery.rs
+++ b/emulator/src/discovery.rs
@@ -44,7 +44,12 @@
     /// Records a change of one entry.
     pub(crate) fn record_change(&mut self, changed: Endpoint) {
         self.changes.push(changed.clone());
-        match self.endpoints.iter_mut().rev().find(|endpoint| endpoint.id == changed.id) {
+        match self
+            .endpoints
+            .iter_mut()
+            .rev()
+            .find(|endpoint| endpoint.id == changed.id)
+        {
             Some(endpoint) => *endpoint = changed,
             None => self.endpoints.push(changed),
         }
@@ -63,7 +68,12 @@
             last_change.insert(endpoint.id, index);
         }
         let is_last = |(index, endpoint): &(usize, &Endpoint)| last_change[&endpoint.id] == *index;
-        recent.iter().enumerate().filter(is_last).map(|(_, endpoint)| endpoint.clone()).collect()
+        recent
+            .iter()
+            .enumerate()
+            .filter(is_last)
+            .map(|(_, endpoint)| endpoint.clone())
+            .collect()
     }
 
     /// The complete list, without removed endpoints.
--- a/emulator/src/experiment/mod.rs
+++ b/emulator/src/experiment/mod.rs
@@ -7,8 +7,8 @@
 
 pub use error::ExperimentError;
 pub use model::{
-    ClassModel, CounterModel, DiscoveryModel, Experiment, Fault, GatewayModel, IdempotencyModel, LoadModel,
-    PlanModel, RulesModel, ServerModel, Topology,
+    ClassModel, CounterModel, DiscoveryModel, Experiment, Fault, GatewayModel, IdempotencyModel,
+    LoadModel, PlanModel, RulesModel, ServerModel, Topology,
 };
 
 use std::path::Path;
@@ -19,9 +19,14 @@
 ///
 /// Fails if the file can't be read, is not TOML, has an unknown or missing field, or a figure out of range.
 pub fn load(path: &Path) -> Result<Experiment, ExperimentError> {
-    let text = std::fs::read_to_string(path)
-        .map_err(|source| ExperimentError::Unreadable { path: path.to_owned(), source })?;
-    parse(&text).map_err(|source| ExperimentError::InFile { path: path.to_owned(), source: Box::new(source) })
+    let text = std::fs::read_to_string(path).map_err(|source| ExperimentError::Unreadable {
+        path: path.to_owned(),
+        source,
+    })?;
+    parse(&text).map_err(|source| ExperimentError::InFile {
+        path: path.to_owned(),
+        source: Box::new(source),
+    })
 }
 
 /// Reads and checks an experiment's text.
@@ -30,11 +35,14 @@
 ///
 /// Fails if the text is not TOML, has an unknown or missing field, or a figure out of range.
 pub fn parse(text: &str) -> Result<Experiment, ExperimentError> {
-    let toml = toml::Deserializer::parse(text)
-        .map_err(|error| ExperimentError::Syntax { message: one_line(error.message()) })?;
-    let experiment: Experiment = serde_path_to_error::deserialize(toml).map_err(|error| {
-        ExperimentError::Field { field: error.path().to_string(), message: one_line(error.inner().message()) }
+    let toml = toml::Deserializer::parse(text).map_err(|error| ExperimentError::Syntax {
+        message: one_line(error.message()),
     })?;
+    let experiment: Experiment =
+        serde_path_to_error::deserialize(toml).map_err(|error| ExperimentError::Field {
+            field: error.path().to_string(),
+            message: one_line(error.inner().message()),
+        })?;
     validation::check(&experiment)?;
     Ok(experiment)
 }
--- a/emulator/src/experiment/settings.rs
+++ b/emulator/src/experiment/settings.rs
@@ -1,7 +1,9 @@
 //! The settings that the emulated gateways are started with.
 
 use super::model::{ClassModel, Experiment, IdempotencyModel, PlanModel};
-use quota_gateway::{Class, CounterSettings, Idempotency, KeyScope, Limits, Plan, Prices, Rules, Settings};
+use quota_gateway::{
+    Class, CounterSettings, Idempotency, KeyScope, Limits, Plan, Prices, Rules, Settings,
+};
 
 /// Shortest time between two calls of the library.
 const TICK_MS: f64 = 1.0;
@@ -26,7 +28,10 @@
             max_units: MAX_UNITS,
             settles_units: true,
             limits: self.limits(),
-            prices: Prices { handshake: self.rules.handshake_price, ..Prices::default() },
+            prices: Prices {
+                handshake: self.rules.handshake_price,
+                ..Prices::default()
+            },
             rules: self.gateway_rules(),
             ..Settings::default()
         }
@@ -46,15 +51,24 @@
         let window_ms = self.rules.idempotency_window_ms;
         match model {
             IdempotencyModel::Idempotent => Idempotency::Idempotent,
-            IdempotencyModel::KeyPerZone => Idempotency::WithKey { scope: KeyScope::Zone, window_ms },
-            IdempotencyModel::KeyEverywhere => Idempotency::WithKey { scope: KeyScope::All, window_ms },
+            IdempotencyModel::KeyPerZone => Idempotency::WithKey {
+                scope: KeyScope::Zone,
+                window_ms,
+            },
+            IdempotencyModel::KeyEverywhere => Idempotency::WithKey {
+                scope: KeyScope::All,
+                window_ms,
+            },
             IdempotencyModel::NotIdempotent => Idempotency::NotIdempotent,
         }
     }
 
     fn counter_settings(&self) -> Option<CounterSettings> {
         let counter = self.counter.as_ref()?;
-        Some(CounterSettings { timeout_ms: counter.timeout_ms, call_price: COUNTER_CALL_PRICE })
+        Some(CounterSettings {
+            timeout_ms: counter.timeout_ms,
+            call_price: COUNTER_CALL_PRICE,
+        })
     }
 
     fn limits(&self) -> Limits {
--- a/emulator/src/experiment/validation.rs
+++ b/emulator/src/experiment/validation.rs
@@ -2,8 +2,8 @@
 
 use super::error::ExperimentError;
 use super::model::{
-    CounterModel, DiscoveryModel, Experiment, Fault, GatewayModel, LoadModel, RulesModel, ServerModel,
-    Topology,
+    CounterModel, DiscoveryModel, Experiment, Fault, GatewayModel, LoadModel, RulesModel,
+    ServerModel, Topology,
 };
 
 const DAY_S: f64 = 86_400.0;
@@ -25,7 +25,12 @@
 /// Checks all figures; the first that lies outside its range is the error.
 pub(super) fn check(experiment: &Experiment) -> Checked {
     within("seconds", experiment.seconds, ABOVE_ZERO, DAY_S)?;
-    within("measure_from_s", experiment.measure_from_s, 0.0, experiment.seconds)?;
+    within(
+        "measure_from_s",
+        experiment.measure_from_s,
+        0.0,
+        experiment.seconds,
+    )?;
     check_topology(&experiment.topology)?;
     check_gateways(&experiment.gateways)?;
     check_servers(&experiment.servers)?;
@@ -46,22 +51,62 @@
     if (min..=max).contains(&value) {
         return Ok(());
     }
-    Err(ExperimentError::OutOfRange { field: field.to_owned(), value, min, max })
+    Err(ExperimentError::OutOfRange {
+        field: field.to_owned(),
+        value,
+        min,
+        max,
+    })
 }
 
 fn check_topology(topology: &Topology) -> Checked {
-    within("topology.regions", topology.regions.into(), 1.0, MAX_REGIONS)?;
-    within("topology.zones_per_region", topology.zones_per_region.into(), 1.0, MAX_REGIONS)?;
-    within("topology.same_zone_ms", topology.same_zone_ms, 0.0, MAX_DELAY_MS)?;
-    within("topology.same_region_ms", topology.same_region_ms, 0.0, MAX_DELAY_MS)?;
-    within("topology.cross_region_ms", topology.cross_region_ms, 0.0, MAX_DELAY_MS)
+    within(
+        "topology.regions",
+        topology.regions.into(),
+        1.0,
+        MAX_REGIONS,
+    )?;
+    within(
+        "topology.zones_per_region",
+        topology.zones_per_region.into(),
+        1.0,
+        MAX_REGIONS,
+    )?;
+    within(
+        "topology.same_zone_ms",
+        topology.same_zone_ms,
+        0.0,
+        MAX_DELAY_MS,
+    )?;
+    within(
+        "topology.same_region_ms",
+        topology.same_region_ms,
+        0.0,
+        MAX_DELAY_MS,
+    )?;
+    within(
+        "topology.cross_region_ms",
+        topology.cross_region_ms,
+        0.0,
+        MAX_DELAY_MS,
+    )
 }
 
 fn check_gateways(gateways: &GatewayModel) -> Checked {
     within("gateways.count", gateways.count.into(), 1.0, MAX_GATEWAYS)?;
     within("gateways.hot_share", gateways.hot_share, 0.0, 1.0)?;
-    within("gateways.hot_multiplier", gateways.hot_multiplier, 1.0, 100.0)?;
-    within("gateways.max_connections", gateways.max_connections.into(), 1.0, MAX_CONNECTIONS)
+    within(
+        "gateways.hot_multiplier",
+        gateways.hot_multiplier,
+        1.0,
+        100.0,
+    )?;
+    within(
+        "gateways.max_connections",
+        gateways.max_connections.into(),
+        1.0,
+        MAX_CONNECTIONS,
+    )
 }
 
 fn check_servers(servers: &ServerModel) -> Checked {
@@ -70,8 +115,18 @@
     within("servers.service_ms", servers.service_ms, ABOVE_ZERO, DAY_MS)?;
     within("servers.service_sigma", servers.service_sigma, 0.0, 3.0)?;
     within("servers.max_queue", servers.max_queue.into(), 0.0, 1e6)?;
-    within("servers.max_connections", servers.max_connections.into(), 1.0, MAX_CONNECTIONS)?;
-    within("servers.handshake_ms", servers.handshake_ms, 0.0, MAX_DELAY_MS)
+    within(
+        "servers.max_connections",
+        servers.max_connections.into(),
+        1.0,
+        MAX_CONNECTIONS,
+    )?;
+    within(
+        "servers.handshake_ms",
+        servers.handshake_ms,
+        0.0,
+        MAX_DELAY_MS,
+    )
 }
 
 fn check_counter(counter: &CounterModel, topology: &Topology) -> Checked {
@@ -79,12 +134,20 @@
     within("counter.calls_per_s", counter.calls_per_s, ABOVE_ZERO, 1e9)?;
     within("counter.max_queue", counter.max_queue.into(), 0.0, 1e7)?;
     within("counter.timeout_ms", counter.timeout_ms, ABOVE_ZERO, DAY_MS)?;
-    within("counter.zone", counter.zone.into(), 0.0, f64::from(topology.zones() - 1))
+    within(
+        "counter.zone",
+        counter.zone.into(),
+        0.0,
+        f64::from(topology.zones() - 1),
+    )
 }
 
 fn check_discovery(discovery: &DiscoveryModel) -> Checked {
     check_interval("discovery.propagation_ms", discovery.propagation_ms)?;
-    check_interval("discovery.failure_detection_ms", discovery.failure_detection_ms)
+    check_interval(
+        "discovery.failure_detection_ms",
+        discovery.failure_detection_ms,
+    )
 }
 
 fn check_interval(field: &str, [shortest, longest]: [f64; 2]) -> Checked {
@@ -96,7 +159,12 @@
     within("load.requests_per_s", load.requests_per_s, ABOVE_ZERO, 1e7)?;
     within("load.customers", load.customers as f64, 1.0, MAX_CUSTOMERS)?;
     within("load.zipf_exponent", load.zipf_exponent, 0.0, 5.0)?;
-    within("load.gateway_set_size", load.gateway_set_size.into(), 1.0, gateways.count.into())?;
+    within(
+        "load.gateway_set_size",
+        load.gateway_set_size.into(),
+        1.0,
+        gateways.count.into(),
+    )?;
     within("load.retry_share", load.retry_share, 0.0, 1.0)?;
     within("load.retry_delay_ms", load.retry_delay_ms, 0.0, DAY_MS)?;
     within("load.disconnect_share", load.disconnect_share, 0.0, 1.0)
@@ -106,25 +174,49 @@
     check_length("classes", experiment.classes.len())?;
     check_length("plans", experiment.plans.len())?;
     for (index, class) in experiment.classes.iter().enumerate() {
-        within(&format!("classes[{index}].share"), class.share, 0.0, MAX_SHARE)?;
+        within(
+            &format!("classes[{index}].share"),
+            class.share,
+            0.0,
+            MAX_SHARE,
+        )?;
         let objective = format!("classes[{index}].latency_objective_ms");
         within(&objective, class.latency_objective_ms, ABOVE_ZERO, DAY_MS)?;
-        within(&format!("classes[{index}].deadline_ms"), class.deadline_ms, ABOVE_ZERO, DAY_MS)?;
+        within(
+            &format!("classes[{index}].deadline_ms"),
+            class.deadline_ms,
+            ABOVE_ZERO,
+            DAY_MS,
+        )?;
     }
     for (index, plan) in experiment.plans.iter().enumerate() {
         within(&format!("plans[{index}].share"), plan.share, 0.0, MAX_SHARE)?;
         within(&format!("plans[{index}].rate"), plan.rate, 0.0, 1e9)?;
-        within(&format!("plans[{index}].burst"), plan.burst, ABOVE_ZERO, 1e9)?;
+        within(
+            &format!("plans[{index}].burst"),
+            plan.burst,
+            ABOVE_ZERO,
+            1e9,
+        )?;
     }
-    check_shares("classes", experiment.classes.iter().map(|class| class.share).sum())?;
-    check_shares("plans", experiment.plans.iter().map(|plan| plan.share).sum())
+    check_shares(
+        "classes",
+        experiment.classes.iter().map(|class| class.share).sum(),
+    )?;
+    check_shares(
+        "plans",
+        experiment.plans.iter().map(|plan| plan.share).sum(),
+    )
 }
 
 fn check_length(list: &'static str, length: usize) -> Checked {
     if (1..=MAX_LIST_LENGTH).contains(&length) {
         return Ok(());
     }
-    Err(ExperimentError::ListLength { list, max: MAX_LIST_LENGTH })
+    Err(ExperimentError::ListLength {
+        list,
+        max: MAX_LIST_LENGTH,
+    })
 }
 
 fn check_shares(list: &'static str, sum: f64) -> Checked {
@@ -136,30 +228,79 @@
 
 fn check_rules(rules: &RulesModel) -> Checked {
     within("rules.max_attempts", rules.max_attempts.into(), 1.0, 100.0)?;
-    within("rules.slow_start_min_capacity", rules.slow_start_min_capacity, 0.01, 1.0)?;
-    within("rules.overload_multiple", rules.overload_multiple, 0.01, 1000.0)?;
+    within(
+        "rules.slow_start_min_capacity",
+        rules.slow_start_min_capacity,
+        0.01,
+        1.0,
+    )?;
+    within(
+        "rules.overload_multiple",
+        rules.overload_multiple,
+        0.01,
+        1000.0,
+    )?;
     within("rules.handshake_price", rules.handshake_price, 0.0, 1000.0)?;
     within("rules.slow_start_ms", rules.slow_start_ms, 0.0, DAY_MS)?;
     within("rules.drain_grace_ms", rules.drain_grace_ms, 0.0, DAY_MS)?;
-    within("rules.overload_window_ms", rules.overload_window_ms, 0.0, DAY_MS)?;
-    within("rules.connect_timeout_ms", rules.connect_timeout_ms, 0.0, DAY_MS)?;
+    within(
+        "rules.overload_window_ms",
+        rules.overload_window_ms,
+        0.0,
+        DAY_MS,
+    )?;
+    within(
+        "rules.connect_timeout_ms",
+        rules.connect_timeout_ms,
+        0.0,
+        DAY_MS,
+    )?;
     within("rules.idle_timeout_ms", rules.idle_timeout_ms, 0.0, DAY_MS)?;
-    within("rules.idempotency_window_ms", rules.idempotency_window_ms, 0.0, DAY_MS)
+    within(
+        "rules.idempotency_window_ms",
+        rules.idempotency_window_ms,
+        0.0,
+        DAY_MS,
+    )
 }
 
 fn check_fault(index: usize, fault: &Fault, topology: &Topology) -> Checked {
-    within(&format!("faults[{index}].start_s"), fault.start_s(), 0.0, DAY_S)?;
-    within(&format!("faults[{index}].duration_s"), fault.duration_s(), ABOVE_ZERO, DAY_S)?;
+    within(
+        &format!("faults[{index}].start_s"),
+        fault.start_s(),
+        0.0,
+        DAY_S,
+    )?;
+    within(
+        &format!("faults[{index}].duration_s"),
+        fault.duration_s(),
+        ABOVE_ZERO,
+        DAY_S,
+    )?;
     match *fault {
         Fault::ZoneOutage { zone, .. } => {
             let last_zone = f64::from(topology.zones() - 1);
-            within(&format!("faults[{index}].zone"), zone.into(), 0.0, last_zone)
+            within(
+                &format!("faults[{index}].zone"),
+                zone.into(),
+                0.0,
+                last_zone,
+            )
         }
         Fault::RegionPartition { region, .. } => {
             let last_region = f64::from(topology.regions - 1);
-            within(&format!("faults[{index}].region"), region.into(), 0.0, last_region)
+            within(
+                &format!("faults[{index}].region"),
+                region.into(),
+                0.0,
+                last_region,
+            )
         }
-        Fault::ServerRollout { share, .. } => within(&format!("faults[{index}].share"), share, 0.0, 1.0),
-        Fault::DiscoveryOutage { .. } | Fault::CounterOutage { .. } | Fault::GatewayRollout { .. } => Ok(()),
+        Fault::ServerRollout { share, .. } => {
+            within(&format!("faults[{index}].share"), share, 0.0, 1.0)
+        }
+        Fault::DiscoveryOutage { .. }
+        | Fault::CounterOutage { .. }
+        | Fault::GatewayRollout { .. } => Ok(()),
     }
 }
--- a/emulator/src/main.rs
+++ b/emulator/src/main.rs
@@ -66,7 +66,10 @@
     #[error(transparent)]
     RealRun(#[from] RealRunError),
     #[error("{}: {source}", path.display())]
-    WriteReport { path: PathBuf, source: std::io::Error },
+    WriteReport {
+        path: PathBuf,
+        source: std::io::Error,
+    },
 }
 
 fn main() -> ExitCode {
@@ -82,7 +85,9 @@
 }
 
 fn start_log(format: LogFormat) {
-    let log = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false);
+    let log = tracing_subscriber::fmt()
+        .with_writer(std::io::stderr)
+        .with_ansi(false);
     match format {
         LogFormat::Text => log.without_time().init(),
         LogFormat::Json => log.json().init(),
@@ -91,7 +96,11 @@
 
 fn carry_out(command: Command) -> Result<(), CommandError> {
     match command {
-        Command::Run { experiment, seed, report } => run_experiment(&experiment, seed, report),
+        Command::Run {
+            experiment,
+            seed,
+            report,
+        } => run_experiment(&experiment, seed, report),
         Command::Scaling { quick, report } => measure_scaling(quick, report),
         Command::Real(real_run) => {
             let figures = real_run.run()?;
@@ -101,14 +110,20 @@
     }
 }
 
-fn run_experiment(path: &Path, seed: u64, report_path: Option<PathBuf>) -> Result<(), CommandError> {
+fn run_experiment(
+    path: &Path,
+    seed: u64,
+    report_path: Option<PathBuf>,
+) -> Result<(), CommandError> {
     let experiment = experiment::load(path)?;
     let started_at = Instant::now();
     let report = run(&experiment, seed)?;
     let emulated_per_real_s = report.seconds / started_at.elapsed().as_secs_f64();
     let memory_mb = peak_memory_kb("self") / 1000.0;
     print!("{report}");
-    println!("{emulated_per_real_s:.3} emulated seconds for each real second, {memory_mb:.0} MB at most");
+    println!(
+        "{emulated_per_real_s:.3} emulated seconds for each real second, {memory_mb:.0} MB at most"
+    );
     write_report(report_path, &report)
 }
 
--- a/emulator/src/process_memory.rs
+++ b/emulator/src/process_memory.rs
@@ -14,6 +14,10 @@
 
 fn status_kb(process: &str, field: &str) -> f64 {
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap_or_default();
-    let value = status.lines().find_map(|line| line.strip_prefix(field)?.strip_prefix(':'));
-    value.and_then(|value| value.split_whitespace().next()?.parse().ok()).unwrap_or(0.0)
+    let value = status
+        .lines()
+        .find_map(|line| line.strip_prefix(field)?.strip_prefix(':'));
+    value
+        .and_then(|value| value.split_whitespace().next()?.parse().ok())
+        .unwrap_or(0.0)
 }
--- a/emulator/src/real/clients.rs
+++ b/emulator/src/real/clients.rs
@@ -39,13 +39,20 @@
     requests_per_s: u32,
     duration: Duration,
 ) -> ResponseFigures {
-    let interval = Duration::from_secs_f64(f64::from(CLIENTS_PER_GATEWAY) / f64::from(requests_per_s));
+    let interval =
+        Duration::from_secs_f64(f64::from(CLIENTS_PER_GATEWAY) / f64::from(requests_per_s));
     let mut clients = JoinSet::new();
     let mut number = 0;
     for gateway in gateways {
         for client_of_gateway in 0..CLIENTS_PER_GATEWAY {
             let start_delay = interval * client_of_gateway / CLIENTS_PER_GATEWAY;
-            let client = Client { number, gateway: *gateway, interval, start_delay, duration };
+            let client = Client {
+                number,
+                gateway: *gateway,
+                interval,
+                start_delay,
+                duration,
+            };
             clients.spawn_local(client.run());
             number += 1;
         }
@@ -79,7 +86,9 @@
             match self.request(&mut connection, turn).await {
                 Ok(STATUS_OK) => {
                     figures.served += 1;
-                    figures.latencies_ms.push(started_at.elapsed().as_secs_f64() * 1000.0);
+                    figures
+                        .latencies_ms
+                        .push(started_at.elapsed().as_secs_f64() * 1000.0);
                 }
                 _ => figures.other += 1,
             }
@@ -110,7 +119,10 @@
 
 impl ClientConnection {
     pub(super) fn new(gateway: SocketAddr) -> Self {
-        ClientConnection { gateway, connection: None }
+        ClientConnection {
+            gateway,
+            connection: None,
+        }
     }
 
     /// Makes a request and returns the response's status. After an error the next request opens a new connection.
@@ -120,9 +132,19 @@
             None => Connection::new(TcpStream::connect(self.gateway).await?)?,
         };
         connection.send(request.as_bytes()).await?;
-        let response = connection.receive().await?.ok_or_else(|| io::Error::other("closed"))?;
-        let status = response.second_word().parse().map_err(|_| io::Error::other("no status"))?;
-        if !response.head.to_ascii_lowercase().contains("connection: close") {
+        let response = connection
+            .receive()
+            .await?
+            .ok_or_else(|| io::Error::other("closed"))?;
+        let status = response
+            .second_word()
+            .parse()
+            .map_err(|_| io::Error::other("no status"))?;
+        if !response
+            .head
+            .to_ascii_lowercase()
+            .contains("connection: close")
+        {
             self.connection = Some(connection);
         }
         Ok(status)
--- a/emulator/src/real/figures.rs
+++ b/emulator/src/real/figures.rs
@@ -16,7 +16,10 @@
 impl Snapshot {
     pub(super) fn take(gateways: &[GatewayProcess], stand_ins: &StandIns) -> Self {
         let usage = gateways.iter().map(GatewayProcess::usage).collect();
-        Snapshot { usage, traffic: stand_ins.traffic() }
+        Snapshot {
+            usage,
+            traffic: stand_ins.traffic(),
+        }
     }
 
     fn processor_s(&self) -> f64 {
@@ -63,8 +66,10 @@
         let requests = (responses.served + responses.other).max(1) as f64;
         let idle_processor_s = at_rest.processor_s() - at_start.processor_s();
         let load_processor_s = after_load.processor_s() - at_rest.processor_s();
-        let counter_calls = (after_load.traffic.counter_calls - at_rest.traffic.counter_calls) as f64;
-        let counter_bytes = (after_load.traffic.counter_bytes - at_rest.traffic.counter_bytes) as f64;
+        let counter_calls =
+            (after_load.traffic.counter_calls - at_rest.traffic.counter_calls) as f64;
+        let counter_bytes =
+            (after_load.traffic.counter_bytes - at_rest.traffic.counter_bytes) as f64;
         let idle_list_bytes = (at_rest.traffic.list_bytes - at_start.traffic.list_bytes) as f64;
         RealRunFigures {
             gateways: run.gateways,
@@ -107,7 +112,11 @@
             "processor without load: {:.4}% of a core for a gateway; under load {:.2}%, {:.0} us a request",
             self.idle_core_percent, self.load_core_percent, self.processor_us_per_request
         )?;
-        writeln!(f, "memory at most: {:.1} MB; descriptors {:.0}", self.peak_memory_mb, self.descriptors)?;
+        writeln!(
+            f,
+            "memory at most: {:.1} MB; descriptors {:.0}",
+            self.peak_memory_mb, self.descriptors
+        )?;
         writeln!(
             f,
             "requests: {} served, {} other; p50 {:.1} ms, p99 {:.1} ms, of which the endpoint takes {} ms",
--- a/emulator/src/real/gateway_config.rs
+++ b/emulator/src/real/gateway_config.rs
@@ -23,7 +23,10 @@
 }
 
 fn known_list(stand_ins: &StandIns) -> Value {
-    let first = stand_ins.list_entries.first().and_then(|entry| serde_json::from_str::<Value>(entry).ok());
+    let first = stand_ins
+        .list_entries
+        .first()
+        .and_then(|entry| serde_json::from_str::<Value>(entry).ok());
     let servers: Vec<Value> = first.into_iter().collect();
     json!({"version": KNOWN_VERSION, "full": true, "servers": servers})
 }
--- a/emulator/src/real/gateway_process.rs
+++ b/emulator/src/real/gateway_process.rs
@@ -43,20 +43,34 @@
 
 impl GatewayProcess {
     /// Starts a gateway and waits until it listens.
-    pub(super) async fn start(program: &Path, index: u32, config: &Value) -> Result<Self, RealRunError> {
+    pub(super) async fn start(
+        program: &Path,
+        index: u32,
+        config: &Value,
+    ) -> Result<Self, RealRunError> {
         let config = ConfigFile::write(index, config)?;
         let mut command = Command::new(program);
         command.env("RELAY_CONFIG", &config.path);
-        command.stdin(Stdio::null()).stderr(Stdio::piped()).kill_on_drop(true);
+        command
+            .stdin(Stdio::null())
+            .stderr(Stdio::piped())
+            .kill_on_drop(true);
         let mut child = command.spawn()?;
-        let log = child.stderr.take().ok_or_else(|| std::io::Error::other("no log"))?;
+        let log = child
+            .stderr
+            .take()
+            .ok_or_else(|| std::io::Error::other("no log"))?;
         let mut lines = BufReader::new(log).lines();
         let address = timeout(READY_TIMEOUT, listening_address(&mut lines))
             .await
             .map_err(|_| RealRunError::GatewayNeverListens)??;
         // What the gateway logs later is read and dropped, so that it never waits for us.
         spawn_local(async move { while let Ok(Some(_)) = lines.next_line().await {} });
-        Ok(GatewayProcess { child, address, _config: config })
+        Ok(GatewayProcess {
+            child,
+            address,
+            _config: config,
+        })
     }
 
     pub(super) fn address(&self) -> SocketAddr {
@@ -66,7 +80,9 @@
     pub(super) async fn wait_until_ready(&self) -> Result<(), RealRunError> {
         let started_at = Instant::now();
         while started_at.elapsed() < READY_TIMEOUT {
-            let response = ClientConnection::new(self.address).request(READY_REQUEST).await;
+            let response = ClientConnection::new(self.address)
+                .request(READY_REQUEST)
+                .await;
             if matches!(response, Ok(STATUS_OK)) {
                 return Ok(());
             }
@@ -76,7 +92,9 @@
     }
 
     pub(super) fn usage(&self) -> Usage {
-        let Some(pid) = self.child.id() else { return Usage::default() };
+        let Some(pid) = self.child.id() else {
+            return Usage::default();
+        };
         let descriptors = std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, Iterator::count);
         Usage {
             processor_s: processor_s(pid),
@@ -90,16 +108,31 @@
 fn processor_s(pid: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     // The name may hold anything; the figures follow its closing bracket.
-    let fields: Vec<_> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
-    let ticks = |place: usize| fields.get(place).and_then(|field| field.parse::<f64>().ok()).unwrap_or(0.0);
+    let fields: Vec<_> = stat
+        .rsplit(')')
+        .next()
+        .unwrap_or("")
+        .split_whitespace()
+        .collect();
+    let ticks = |place: usize| {
+        fields
+            .get(place)
+            .and_then(|field| field.parse::<f64>().ok())
+            .unwrap_or(0.0)
+    };
     (ticks(USER_TICKS) + ticks(SYSTEM_TICKS)) / TICKS_PER_S
 }
 
 /// Reads a gateway's log up to the address that it listens on.
-async fn listening_address(lines: &mut Lines<impl AsyncBufRead + Unpin>) -> Result<SocketAddr, RealRunError> {
+async fn listening_address(
+    lines: &mut Lines<impl AsyncBufRead + Unpin>,
+) -> Result<SocketAddr, RealRunError> {
     while let Some(line) = lines.next_line().await? {
         if let Some((_, address)) = line.split_once(LISTENING) {
-            return address.trim().parse().map_err(|error| std::io::Error::other(error).into());
+            return address
+                .trim()
+                .parse()
+                .map_err(|error| std::io::Error::other(error).into());
         }
     }
     Err(RealRunError::GatewayEnded)
--- a/emulator/src/real/http.rs
+++ b/emulator/src/real/http.rs
@@ -34,7 +34,10 @@
 impl Connection {
     pub(super) fn new(stream: TcpStream) -> io::Result<Self> {
         stream.set_nodelay(true)?;
-        Ok(Connection { stream, received: Vec::new() })
+        Ok(Connection {
+            stream,
+            received: Vec::new(),
+        })
     }
 
     /// The next message; `None` once the peer has closed the connection.
@@ -54,7 +57,10 @@
 
     /// A complete message from what has been received.
     fn take_message(&mut self) -> Option<Message> {
-        let head_end = self.received.windows(HEAD_END.len()).position(|window| window == HEAD_END)?;
+        let head_end = self
+            .received
+            .windows(HEAD_END.len())
+            .position(|window| window == HEAD_END)?;
         let head = String::from_utf8_lossy(&self.received[..head_end]).into_owned();
         let bytes = head_end + HEAD_END.len() + content_length(&head).min(MAX_BODY);
         if self.received.len() < bytes {
@@ -71,7 +77,10 @@
 
     /// Sends a successful response; `headers` are whole lines. Returns the number of bytes sent.
     pub(super) async fn respond(&mut self, headers: &str, body: &str) -> io::Result<usize> {
-        let response = format!("HTTP/1.1 200 OK\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len());
+        let response = format!(
+            "HTTP/1.1 200 OK\r\n{headers}Content-Length: {}\r\n\r\n{body}",
+            body.len()
+        );
         self.send(response.as_bytes()).await?;
         Ok(response.len())
     }
@@ -81,7 +90,8 @@
 fn content_length(head: &str) -> usize {
     let announced = head.lines().find_map(|line| {
         let (name, value) = line.split_once(':')?;
-        name.eq_ignore_ascii_case("content-length").then(|| value.trim().parse().ok())?
+        name.eq_ignore_ascii_case("content-length")
+            .then(|| value.trim().parse().ok())?
     });
     announced.unwrap_or(0)
 }
--- a/emulator/src/real/mod.rs
+++ b/emulator/src/real/mod.rs
@@ -95,7 +95,9 @@
     /// a socket, a file or a process.
     pub fn run(&self) -> Result<RealRunFigures, RealRunError> {
         self.check()?;
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()?;
         LocalSet::new().block_on(&runtime, self.measure())
     }
 
@@ -106,7 +108,9 @@
         within("--seconds", self.seconds, MAX_SECONDS)?;
         within("--service-ms", self.service_ms, MAX_SERVICE_MS)?;
         if !self.program.is_file() {
-            return Err(RealRunError::NoProgram { program: self.program.clone() });
+            return Err(RealRunError::NoProgram {
+                program: self.program.clone(),
+            });
         }
         Ok(())
     }
@@ -125,10 +129,18 @@
         let at_rest = Snapshot::take(&gateways, &stand_ins);
         let responses = self.apply_load(&gateways).await;
         let after_load = Snapshot::take(&gateways, &stand_ins);
-        Ok(RealRunFigures::new(self, ready_s, [at_start, at_rest, after_load], responses))
+        Ok(RealRunFigures::new(
+            self,
+            ready_s,
+            [at_start, at_rest, after_load],
+            responses,
+        ))
     }
 
-    async fn start_gateways(&self, stand_ins: &StandIns) -> Result<Vec<GatewayProcess>, RealRunError> {
+    async fn start_gateways(
+        &self,
+        stand_ins: &StandIns,
+    ) -> Result<Vec<GatewayProcess>, RealRunError> {
         let mut gateways = Vec::new();
         for index in 0..self.gateways {
             let config = gateway_config::gateway_config(index, self.gateways, stand_ins);
@@ -155,5 +167,9 @@
     if (1..=max).contains(&value) {
         return Ok(());
     }
-    Err(RealRunError::OutOfRange { argument, value, max })
+    Err(RealRunError::OutOfRange {
+        argument,
+        value,
+        max,
+    })
 }
--- a/emulator/src/real/stand_ins.rs
+++ b/emulator/src/real/stand_ins.rs
@@ -55,15 +55,26 @@
         let endpoint_address = endpoint_listener.local_addr()?;
         let counter = counter_listener.local_addr()?;
         let discovery = discovery_listener.local_addr()?;
-        let list_entries: Vec<_> = (0..endpoints).map(|index| list_entry(index, endpoint_address)).collect();
+        let list_entries: Vec<_> = (0..endpoints)
+            .map(|index| list_entry(index, endpoint_address))
+            .collect();
         let list = format!(
             "{{\"version\":{LIST_VERSION},\"full\":true,\"servers\":[{}]}}\n",
             list_entries.join(",")
         );
         spawn_local(serve_endpoints(endpoint_listener, service_time));
         spawn_local(serve_counter(counter_listener, traffic.clone()));
-        spawn_local(serve_discovery(discovery_listener, traffic.clone(), Rc::new(list)));
-        Ok(StandIns { counter, discovery, list_entries, traffic })
+        spawn_local(serve_discovery(
+            discovery_listener,
+            traffic.clone(),
+            Rc::new(list),
+        ));
+        Ok(StandIns {
+            counter,
+            discovery,
+            list_entries,
+            traffic,
+        })
     }
 
     pub(super) fn traffic(&self) -> TrafficCounts {
@@ -101,7 +112,9 @@
             let mut connection = Connection::new(stream)?;
             while connection.receive().await?.is_some() {
                 sleep(service_time).await;
-                connection.respond("X-Units-Charged: 1\r\n", "quote").await?;
+                connection
+                    .respond("X-Units-Charged: 1\r\n", "quote")
+                    .await?;
             }
             io::Result::Ok(())
         });
@@ -132,7 +145,9 @@
 /// Carries out a call with this target; the total after it.
 fn add_to_total(totals: &Totals, target: &str) -> f64 {
     let (key, query) = target.split_once('?').unwrap_or((target, ""));
-    let amount = query.split('&').find_map(|part| part.strip_prefix("by=")?.parse::<f64>().ok());
+    let amount = query
+        .split('&')
+        .find_map(|part| part.strip_prefix("by=")?.parse::<f64>().ok());
     let mut totals = totals.borrow_mut();
     let total = totals.entry(key.to_owned()).or_default();
     *total += amount.unwrap_or(0.0);
--- a/emulator/src/scaling/line.rs
+++ b/emulator/src/scaling/line.rs
@@ -34,26 +34,54 @@
 impl ScalingLine {
     /// The line with the least squares.
     #[must_use]
-    pub fn fit(quantity: &'static str, unit: &'static str, per: &'static str, points: Vec<Point>) -> Self {
+    pub fn fit(
+        quantity: &'static str,
+        unit: &'static str,
+        per: &'static str,
+        points: Vec<Point>,
+    ) -> Self {
         let count = points.len() as f64;
         let mean_size = points.iter().map(|point| point.size).sum::<f64>() / count;
         let mean_value = points.iter().map(|point| point.value).sum::<f64>() / count;
-        let variance: f64 = points.iter().map(|point| (point.size - mean_size).powi(2)).sum();
-        let covariance: f64 =
-            points.iter().map(|point| (point.size - mean_size) * (point.value - mean_value)).sum();
-        let slope = if variance > 0.0 { covariance / variance } else { 0.0 };
+        let variance: f64 = points
+            .iter()
+            .map(|point| (point.size - mean_size).powi(2))
+            .sum();
+        let covariance: f64 = points
+            .iter()
+            .map(|point| (point.size - mean_size) * (point.value - mean_value))
+            .sum();
+        let slope = if variance > 0.0 {
+            covariance / variance
+        } else {
+            0.0
+        };
         let intercept = mean_value - slope * mean_size;
-        let largest = points.iter().map(|point| point.value.abs()).fold(f64::MIN_POSITIVE, f64::max);
+        let largest = points
+            .iter()
+            .map(|point| point.value.abs())
+            .fold(f64::MIN_POSITIVE, f64::max);
         let error = |point: &Point| (point.value - intercept - slope * point.size).abs();
         let max_error = points.iter().map(error).fold(0.0, f64::max) / largest;
-        ScalingLine { quantity, unit, per, points, slope, intercept, max_error }
+        ScalingLine {
+            quantity,
+            unit,
+            per,
+            points,
+            slope,
+            intercept,
+            max_error,
+        }
     }
 }
 
 impl Display for ScalingLine {
     fn fmt(&self, f: &mut Formatter<'_>) -> std::fmt::Result {
-        let points: Vec<_> =
-            self.points.iter().map(|point| format!("{:.4} at {:.0}", point.value, point.size)).collect();
+        let points: Vec<_> = self
+            .points
+            .iter()
+            .map(|point| format!("{:.4} at {:.0}", point.value, point.size))
+            .collect();
         writeln!(f, "{}, {}: {}", self.quantity, self.unit, points.join(", "))?;
         writeln!(
             f,
--- a/emulator/src/scaling/measurements.rs
+++ b/emulator/src/scaling/measurements.rs
@@ -3,8 +3,8 @@
 use crate::process_memory::resident_memory_kb;
 use crate::report::Distribution;
 use quota_gateway::{
-    Action, AttemptEnd, Class, CounterSettings, Endpoint, EndpointState, Event, Gateway, Idempotency, Limits,
-    LoadReport, Outcome, Plan, Prices, Request, Rules, Settings,
+    Action, AttemptEnd, Class, CounterSettings, Endpoint, EndpointState, Event, Gateway,
+    Idempotency, Limits, LoadReport, Outcome, Plan, Prices, Request, Rules, Settings,
 };
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Instant;
@@ -41,7 +41,10 @@
 pub(super) fn complete_list_us(endpoints: u32, rounds: u64) -> f64 {
     let mut gateway = gateway(endpoints);
     median((0..rounds.max(MIN_LISTS)).map(|round| {
-        let update = Event::EndpointUpdate { complete: true, endpoints: list(endpoints) };
+        let update = Event::EndpointUpdate {
+            complete: true,
+            endpoints: list(endpoints),
+        };
         let started_at = Instant::now();
         gateway.handle(round as f64, update, &mut Vec::new());
         micros_since(started_at)
@@ -52,9 +55,19 @@
 pub(super) fn change_us(endpoints: u32, rounds: u64) -> f64 {
     let mut gateway = gateway(endpoints);
     median((0..rounds).map(|round| {
-        let state = if round % 2 == 0 { EndpointState::Draining } else { EndpointState::Ready };
-        let changed = Endpoint { state, ..endpoint(round as u32 / 2 % endpoints) };
-        let update = Event::EndpointUpdate { complete: false, endpoints: vec![changed] };
+        let state = if round % 2 == 0 {
+            EndpointState::Draining
+        } else {
+            EndpointState::Ready
+        };
+        let changed = Endpoint {
+            state,
+            ..endpoint(round as u32 / 2 % endpoints)
+        };
+        let update = Event::EndpointUpdate {
+            complete: false,
+            endpoints: vec![changed],
+        };
         let started_at = Instant::now();
         gateway.handle(round as f64, update, &mut Vec::new());
         micros_since(started_at)
@@ -88,7 +101,9 @@
 /// Number of endpoints that some requests are sent to.
 pub(super) fn endpoints_used(endpoints: u32) -> f64 {
     let mut load = Load::new(endpoints);
-    let used: BTreeSet<u32> = (1..=REQUESTS_FOR_USE).filter_map(|id| load.request(id)).collect();
+    let used: BTreeSet<u32> = (1..=REQUESTS_FOR_USE)
+        .filter_map(|id| load.request(id))
+        .collect();
     used.len() as f64
 }
 
@@ -106,22 +121,34 @@
 
 impl Load {
     fn new(endpoints: u32) -> Self {
-        Load { gateway: gateway(endpoints), in_flight: VecDeque::new(), actions: Vec::new() }
+        Load {
+            gateway: gateway(endpoints),
+            in_flight: VecDeque::new(),
+            actions: Vec::new(),
+        }
     }
 
     /// A request, and the success of one before. Returns the endpoint that the request is sent to.
     fn request(&mut self, id: u64) -> Option<u32> {
         let now = id as f64 * REQUEST_INTERVAL_MS;
         self.actions.clear();
-        self.gateway.handle(now, Event::Request(request(id)), &mut self.actions);
+        self.gateway
+            .handle(now, Event::Request(request(id)), &mut self.actions);
         let endpoint = self.actions.iter().find_map(|action| match action {
             Action::SendAttempt { endpoint, .. } => Some(*endpoint),
             _ => None,
         })?;
-        self.in_flight.push_back(InFlight { request: id, endpoint });
+        self.in_flight.push_back(InFlight {
+            request: id,
+            endpoint,
+        });
         if self.in_flight.len() > IN_FLIGHT {
             let oldest = self.in_flight.pop_front()?;
-            self.gateway.handle(now, Event::AttemptEnded(success(&oldest)), &mut self.actions);
+            self.gateway.handle(
+                now,
+                Event::AttemptEnded(success(&oldest)),
+                &mut self.actions,
+            );
         }
         Some(endpoint)
     }
@@ -155,7 +182,10 @@
 
 fn gateway(endpoints: u32) -> Gateway {
     let mut gateway = Gateway::new(settings(), GATEWAY_SEED, 0.0);
-    let update = Event::EndpointUpdate { complete: true, endpoints: list(endpoints) };
+    let update = Event::EndpointUpdate {
+        complete: true,
+        endpoints: list(endpoints),
+    };
     gateway.handle(0.0, update, &mut Vec::new());
     gateway
 }
@@ -189,8 +219,16 @@
         gateway_count: GATEWAYS,
         tick_ms: 1.0,
         classes: vec![class],
-        plans: vec![Plan { rate: 0.0, burst: 10.0, weight_multiplier: 1.0, ..Plan::default() }],
-        counter: Some(CounterSettings { timeout_ms: 50.0, call_price: 0.01 }),
+        plans: vec![Plan {
+            rate: 0.0,
+            burst: 10.0,
+            weight_multiplier: 1.0,
+            ..Plan::default()
+        }],
+        counter: Some(CounterSettings {
+            timeout_ms: 50.0,
+            call_price: 0.01,
+        }),
         max_units: 4.0,
         limits: Limits {
             max_attempts: 3,
@@ -199,7 +237,10 @@
             requests_per_connection: 1,
             ..Limits::default()
         },
-        prices: Prices { handshake: 0.01, ..Prices::default() },
+        prices: Prices {
+            handshake: 0.01,
+            ..Prices::default()
+        },
         rules: Rules {
             slow_start_min_capacity: 0.16,
             slow_start_ms: 15_000.0,
--- a/emulator/src/scaling/mod.rs
+++ b/emulator/src/scaling/mod.rs
@@ -7,7 +7,9 @@
 
 pub use line::{Point, ScalingLine};
 
-use measurements::{change_us, complete_list_us, endpoints_used, list_size_kb, memory_kb, request_us};
+use measurements::{
+    change_us, complete_list_us, endpoints_used, list_size_kb, memory_kb, request_us,
+};
 
 /// Numbers of endpoints to measure at; the last is the size that the operators name as the next one.
 const ENDPOINT_COUNTS: [u32; 4] = [50, 200, 1000, 8200];
@@ -45,7 +47,12 @@
             "endpoints",
             over_sizes(|endpoints| change_us(endpoints, rounds)),
         ),
-        ScalingLine::fit("a complete list on the wire", "KB", "endpoints", over_sizes(list_size_kb)),
+        ScalingLine::fit(
+            "a complete list on the wire",
+            "KB",
+            "endpoints",
+            over_sizes(list_size_kb),
+        ),
         ScalingLine::fit(
             "endpoints used in 2,000 requests",
             "endpoints",
@@ -56,6 +63,9 @@
 }
 
 fn over_sizes(mut measure: impl FnMut(u32) -> f64) -> Vec<Point> {
-    let point = |endpoints| Point { size: f64::from(endpoints), value: measure(endpoints) };
+    let point = |endpoints| Point {
+        size: f64::from(endpoints),
+        value: measure(endpoints),
+    };
     ENDPOINT_COUNTS.map(point).to_vec()
 }
--- a/emulator/src/server.rs
+++ b/emulator/src/server.rs
@@ -61,10 +61,11 @@
         let sigma = servers.service_sigma;
         // The mean of a lognormal distribution is e to the power of mu and half the square of sigma.
         let mu = servers.service_ms.ln() - sigma * sigma / 2.0;
-        let service_time_ms = LogNormal::new(mu, sigma).map_err(|error| ExperimentError::Distribution {
-            field: "servers.service_ms",
-            message: error.to_string(),
-        })?;
+        let service_time_ms =
+            LogNormal::new(mu, sigma).map_err(|error| ExperimentError::Distribution {
+                field: "servers.service_ms",
+                message: error.to_string(),
+            })?;
         Ok(ServerParameters {
             slots: servers.slots,
             max_queue: servers.max_queue as usize,
@@ -81,7 +82,9 @@
 
     /// Share of its full capacity that a server has at `now`.
     fn capacity(&self, started_at: Option<Micros>, now: Micros) -> f64 {
-        let Some(started_at) = started_at else { return 1.0 };
+        let Some(started_at) = started_at else {
+            return 1.0;
+        };
         let age = now - started_at;
         if age >= self.slow_start {
             return 1.0;
@@ -134,7 +137,12 @@
     }
 
     /// An attempt's request has arrived.
-    pub(crate) fn arrive(&mut self, parameters: &ServerParameters, now: Micros, attempt: u64) -> Arrival {
+    pub(crate) fn arrive(
+        &mut self,
+        parameters: &ServerParameters,
+        now: Micros,
+        attempt: u64,
+    ) -> Arrival {
         match self.state {
             ServerState::Running => {}
             ServerState::Draining => return Arrival::Rejected,
@@ -161,7 +169,11 @@
         if capacity >= 1.0 || parameters.overload_window == 0 {
             return None;
         }
-        while self.recent_arrivals.front().is_some_and(|at| at + parameters.overload_window < now) {
+        while self
+            .recent_arrivals
+            .front()
+            .is_some_and(|at| at + parameters.overload_window < now)
+        {
             self.recent_arrivals.pop_front();
         }
         self.recent_arrivals.push_back(now);
@@ -181,7 +193,11 @@
     }
 
     /// A request is complete. Returns the next attempt from the queue, if any, and its service time.
-    pub(crate) fn complete(&mut self, parameters: &ServerParameters, now: Micros) -> Option<(u64, Micros)> {
+    pub(crate) fn complete(
+        &mut self,
+        parameters: &ServerParameters,
+        now: Micros,
+    ) -> Option<(u64, Micros)> {
         let Some(next) = self.queue.pop_front() else {
             self.busy_slots -= 1;
             return None;
--- a/emulator/src/simulation/actions.rs
+++ b/emulator/src/simulation/actions.rs
@@ -14,7 +14,9 @@
         let mut events = VecDeque::from([event]);
         let mut actions = Vec::new();
         while let Some(event) = events.pop_front() {
-            self.gateways[gateway as usize].library.handle(now_ms, event, &mut actions);
+            self.gateways[gateway as usize]
+                .library
+                .handle(now_ms, event, &mut actions);
             for action in actions.drain(..) {
                 events.extend(self.carry_out(gateway, &action));
             }
@@ -25,17 +27,29 @@
     fn carry_out(&mut self, gateway: u32, action: &Action) -> Option<GatewayEvent> {
         match *action {
             // Attempts are sent at once here.
-            Action::SendAttempt { id, endpoint, timeout_ms, .. } => {
+            Action::SendAttempt {
+                id,
+                endpoint,
+                timeout_ms,
+                ..
+            } => {
                 return self.send_attempt(gateway, id, endpoint, timeout_ms);
             }
             Action::CancelAttempt { id, attempt } => self.cancel_attempt(id, attempt),
-            Action::Reject { id, retry_after_ms } => self.refuse(id, Refusal::Rejected { retry_after_ms }),
+            Action::Reject { id, retry_after_ms } => {
+                self.refuse(id, Refusal::Rejected { retry_after_ms });
+            }
             Action::Fail { id } => self.refuse(id, Refusal::Failed),
             Action::SetTimer { token, after_ms } => {
                 let process = self.gateways[gateway as usize].process;
-                self.queue.schedule_in(micros(after_ms), Event::GatewayTimer { process, token });
+                self.queue
+                    .schedule_in(micros(after_ms), Event::GatewayTimer { process, token });
             }
-            Action::AddToCounter { key, amount, ttl_ms } => self.call_counter(gateway, key, amount, ttl_ms),
+            Action::AddToCounter {
+                key,
+                amount,
+                ttl_ms,
+            } => self.call_counter(gateway, key, amount, ttl_ms),
             // Changes of the list are pushed in any case; health checks and gossip are not permitted here.
             Action::WatchEndpoints
             | Action::CheckHealth { .. }
@@ -46,9 +60,19 @@
     }
 
     fn cancel_attempt(&mut self, request: u64, number: u8) {
-        let Some(open) = self.open_requests.get(&request) else { return };
-        let Some(attempt) = open.attempts.get(usize::from(number)).copied() else { return };
-        self.queue.schedule_in(0, Event::AttemptEnds { attempt, outcome: Outcome::Cancelled });
+        let Some(open) = self.open_requests.get(&request) else {
+            return;
+        };
+        let Some(attempt) = open.attempts.get(usize::from(number)).copied() else {
+            return;
+        };
+        self.queue.schedule_in(
+            0,
+            Event::AttemptEnds {
+                attempt,
+                outcome: Outcome::Cancelled,
+            },
+        );
     }
 
     /// A timer has run out; those of former processes are void.
--- a/emulator/src/simulation/attempts.rs
+++ b/emulator/src/simulation/attempts.rs
@@ -79,7 +79,13 @@
             },
         );
         let times_out_at = (self.queue.now() + micros(timeout_ms)).min(deadline);
-        self.queue.schedule(times_out_at, Event::AttemptEnds { attempt, outcome: Outcome::Timeout });
+        self.queue.schedule(
+            times_out_at,
+            Event::AttemptEnds {
+                attempt,
+                outcome: Outcome::Timeout,
+            },
+        );
         self.transmit(attempt, gateway, server, connection);
         None
     }
@@ -88,23 +94,32 @@
     fn transmit(&mut self, attempt: u64, gateway: u32, server: u32, connection: ConnectionUse) {
         let target = &self.servers[server as usize];
         let reachable = target.state != ServerState::Unreachable;
-        let delay = self.network.delay(self.gateways[gateway as usize].zone, target.zone);
+        let delay = self
+            .network
+            .delay(self.gateways[gateway as usize].zone, target.zone);
         let Some(delay) = delay.filter(|_| reachable) else {
             // A new connection never opens; on an old one there is silence until the attempt times out.
             if connection.is_new {
                 let connect_timeout = micros(self.experiment.rules.connect_timeout_ms);
                 let outcome = Outcome::ConnectFailed;
-                self.queue.schedule_in(connect_timeout, Event::AttemptEnds { attempt, outcome });
+                self.queue
+                    .schedule_in(connect_timeout, Event::AttemptEnds { attempt, outcome });
             }
             return;
         };
         if connection.refused {
             let outcome = Outcome::Rejected;
-            self.queue.schedule_in(2 * delay, Event::AttemptEnds { attempt, outcome });
+            self.queue
+                .schedule_in(2 * delay, Event::AttemptEnds { attempt, outcome });
             return;
         }
-        let handshake = if connection.is_new { 2 * delay + self.server_parameters.handshake } else { 0 };
-        self.queue.schedule_in(handshake + delay, Event::AttemptArrives { attempt });
+        let handshake = if connection.is_new {
+            2 * delay + self.server_parameters.handshake
+        } else {
+            0
+        };
+        self.queue
+            .schedule_in(handshake + delay, Event::AttemptArrives { attempt });
     }
 
     /// Takes an idle connection or opens a new one.
@@ -116,11 +131,17 @@
         let target = &mut self.servers[server as usize];
         target.connections -= checkout.closed;
         if !checkout.is_new {
-            return ConnectionUse { is_new: false, refused: false };
+            return ConnectionUse {
+                is_new: false,
+                refused: false,
+            };
         }
         let refused = target.connections >= self.server_parameters.max_connections;
         target.connections += 1;
-        ConnectionUse { is_new: true, refused }
+        ConnectionUse {
+            is_new: true,
+            refused,
+        }
     }
 
     fn idle_timeout(&self) -> Micros {
@@ -143,13 +164,19 @@
         if self.servers[server as usize].zone != gateway.zone {
             figures.cross_zone += 1;
         }
-        *gateway.figures.attempts_by_server.entry(server).or_default() += 1;
+        *gateway
+            .figures
+            .attempts_by_server
+            .entry(server)
+            .or_default() += 1;
     }
 
     /// Rule: nothing is sent for a client that has been gone for a while.
     fn check_disconnected(&mut self, gateway: u32, request: u64) {
         let now = self.queue.now();
-        let Some(disconnected_at) = self.open_requests[&request].disconnected_at else { return };
+        let Some(disconnected_at) = self.open_requests[&request].disconnected_at else {
+            return;
+        };
         if now <= disconnected_at + DISCONNECT_GRACE {
             return;
         }
@@ -177,11 +204,15 @@
         if idempotency == IdempotencyModel::NotIdempotent {
             return open.first_execution.is_some() || open.in_flight > 0;
         }
-        let Some(first) = open.first_execution else { return false };
+        let Some(first) = open.first_execution else {
+            return false;
+        };
         let key_expires_at = first.sent_at + micros(self.experiment.rules.idempotency_window_ms);
         let key_expired = self.queue.now() > key_expires_at;
         match idempotency {
-            IdempotencyModel::KeyPerZone => first.zone != self.servers[server as usize].zone || key_expired,
+            IdempotencyModel::KeyPerZone => {
+                first.zone != self.servers[server as usize].zone || key_expired
+            }
             IdempotencyModel::KeyEverywhere => key_expired,
             IdempotencyModel::Idempotent | IdempotencyModel::NotIdempotent => false,
         }
@@ -190,7 +221,9 @@
     /// Rule: nothing new is sent to a server some time after the gateway was notified of its draining.
     fn check_draining(&mut self, gateway: u32, server: u32) {
         let now = self.queue.now();
-        let Some(notified_at) = self.gateways[gateway as usize].draining_since.get(&server) else { return };
+        let Some(notified_at) = self.gateways[gateway as usize].draining_since.get(&server) else {
+            return;
+        };
         if now <= notified_at + micros(self.experiment.rules.drain_grace_ms) {
             return;
         }
@@ -206,7 +239,9 @@
     pub(super) fn attempt_arrives(&mut self, id: u64) {
         let is_measuring = self.is_measuring();
         let now = self.queue.now();
-        let Some(attempt) = self.attempts.get_mut(&id) else { return };
+        let Some(attempt) = self.attempts.get_mut(&id) else {
+            return;
+        };
         let index = attempt.server;
         let server = &mut self.servers[index as usize];
         if is_measuring && server.state == ServerState::Running {
@@ -216,7 +251,11 @@
             Arrival::Started(service_time) => {
                 attempt.at_server = true;
                 let generation = server.generation;
-                let completed = Event::ServiceCompleted { server: index, generation, attempt: id };
+                let completed = Event::ServiceCompleted {
+                    server: index,
+                    generation,
+                    attempt: id,
+                };
                 self.queue.schedule_in(service_time, completed);
             }
             Arrival::Queued => attempt.at_server = true,
@@ -248,7 +287,11 @@
             return;
         }
         if let Some((next, service_time)) = server.complete(&self.server_parameters, now) {
-            let completed = Event::ServiceCompleted { server: index, generation, attempt: next };
+            let completed = Event::ServiceCompleted {
+                server: index,
+                generation,
+                attempt: next,
+            };
             self.queue.schedule_in(service_time, completed);
         }
         if self.servers[index as usize].state != ServerState::Unreachable {
@@ -258,7 +301,9 @@
 
     /// A response goes back to the gateway, if the network lets it through.
     fn respond(&mut self, id: u64, outcome: Outcome) {
-        let Some(attempt) = self.attempts.get_mut(&id) else { return };
+        let Some(attempt) = self.attempts.get_mut(&id) else {
+            return;
+        };
         attempt.at_server = false;
         if !attempt.awaited {
             self.attempts.remove(&id);
@@ -267,13 +312,21 @@
         let server_zone = self.servers[attempt.server as usize].zone;
         let gateway_zone = self.gateways[attempt.process.index as usize].zone;
         if let Some(delay) = self.network.delay(server_zone, gateway_zone) {
-            self.queue.schedule_in(delay, Event::AttemptEnds { attempt: id, outcome });
+            self.queue.schedule_in(
+                delay,
+                Event::AttemptEnds {
+                    attempt: id,
+                    outcome,
+                },
+            );
         }
     }
 
     /// An attempt has ended for its gateway: by a response, a time-out or a cancellation.
     pub(super) fn attempt_ends(&mut self, id: u64, outcome: Outcome) {
-        let Some(attempt) = self.attempts.get_mut(&id) else { return };
+        let Some(attempt) = self.attempts.get_mut(&id) else {
+            return;
+        };
         if !attempt.awaited {
             return;
         }
@@ -304,10 +357,17 @@
     }
 
     /// Updates the request of an attempt that has ended, and notifies its gateway.
-    fn request_attempt_ended(&mut self, mut end: AttemptEnd, process: GatewayProcess, sent_at: Micros) {
+    fn request_attempt_ended(
+        &mut self,
+        mut end: AttemptEnd,
+        process: GatewayProcess,
+        sent_at: Micros,
+    ) {
         let request = end.id;
         let zone = self.servers[end.endpoint as usize].zone;
-        let Some(open) = self.open_requests.get_mut(&request) else { return };
+        let Some(open) = self.open_requests.get_mut(&request) else {
+            return;
+        };
         open.in_flight -= 1;
         if !end.outcome.never_executed() && open.first_execution.is_none() {
             open.first_execution = Some(FirstExecution { sent_at, zone });
@@ -315,7 +375,10 @@
         if end.outcome == Outcome::Success {
             self.answer_successfully(request);
         }
-        end.request_answered = self.open_requests.get(&request).is_none_or(|open| open.answered);
+        end.request_answered = self
+            .open_requests
+            .get(&request)
+            .is_none_or(|open| open.answered);
         self.notify_gateway(process.index, GatewayEvent::AttemptEnded(end));
         self.drop_if_ended(request);
     }
@@ -330,7 +393,9 @@
             Outcome::Rejected => figures.rejected += 1,
             Outcome::ConnectFailed => figures.connect_failed += 1,
             Outcome::Timeout | Outcome::ConnectionReset => figures.timed_out += 1,
-            Outcome::ErrorResponse | Outcome::Cancelled | Outcome::NotSent => figures.cancelled += 1,
+            Outcome::ErrorResponse | Outcome::Cancelled | Outcome::NotSent => {
+                figures.cancelled += 1;
+            }
         }
     }
 
@@ -353,7 +418,10 @@
             self.servers[server as usize].connections -= closed;
         }
         if now < self.ends_at {
-            self.queue.schedule_in(super::IDLE_CHECK_INTERVAL, Event::IdleConnectionCheck { gateway });
+            self.queue.schedule_in(
+                super::IDLE_CHECK_INTERVAL,
+                Event::IdleConnectionCheck { gateway },
+            );
         }
     }
 }
--- a/emulator/src/simulation/counter_calls.rs
+++ b/emulator/src/simulation/counter_calls.rs
@@ -22,40 +22,73 @@
         let caller = &self.gateways[gateway as usize];
         let gateway_zone = caller.zone;
         let sent_at = self.queue.now();
-        self.counter_calls.insert(call, CounterCall { process: caller.process, key, sent_at });
+        self.counter_calls.insert(
+            call,
+            CounterCall {
+                process: caller.process,
+                key,
+                sent_at,
+            },
+        );
         if self.is_measuring() {
             self.recorder.report.counter.calls += 1;
         }
         if let Some(delay) = self.network.delay(gateway_zone, counter_zone) {
             let ttl = micros(ttl_ms);
-            self.queue.schedule_in(delay, Event::CounterCallArrives { call, amount, ttl });
+            self.queue
+                .schedule_in(delay, Event::CounterCallArrives { call, amount, ttl });
         }
-        let given_up = Event::CounterCallEnds { call, outcome: Outcome::Timeout, total: 0.0 };
+        let given_up = Event::CounterCallEnds {
+            call,
+            outcome: Outcome::Timeout,
+            total: 0.0,
+        };
         self.queue.schedule_in(timeout, given_up);
     }
 
     /// A call has arrived at the counter.
     pub(super) fn counter_call_arrives(&mut self, call: u64, amount: f64, ttl: Micros) {
         let now = self.queue.now();
-        let Some(CounterCall { process, key, .. }) = self.counter_calls.get(&call) else { return };
+        let Some(CounterCall { process, key, .. }) = self.counter_calls.get(&call) else {
+            return;
+        };
         let gateway_zone = self.gateways[process.index as usize].zone;
-        let Some(counter) = &mut self.counter else { return };
+        let Some(counter) = &mut self.counter else {
+            return;
+        };
         if counter.down {
             return;
         }
-        let Some(delay) = self.network.delay(counter.zone, gateway_zone) else { return };
+        let Some(delay) = self.network.delay(counter.zone, gateway_zone) else {
+            return;
+        };
         let Some(served) = counter.add(now, *key, amount, ttl) else {
-            let reply = Event::CounterCallEnds { call, outcome: Outcome::Rejected, total: 0.0 };
+            let reply = Event::CounterCallEnds {
+                call,
+                outcome: Outcome::Rejected,
+                total: 0.0,
+            };
             self.queue.schedule_in(delay, reply);
             return;
         };
-        let reply = Event::CounterCallEnds { call, outcome: Outcome::Success, total: served.total };
+        let reply = Event::CounterCallEnds {
+            call,
+            outcome: Outcome::Success,
+            total: served.total,
+        };
         self.queue.schedule(served.at + delay, reply);
     }
 
     /// A call has ended for its gateway.
     pub(super) fn counter_call_ends(&mut self, call: u64, outcome: Outcome, total: f64) {
-        let Some(CounterCall { process, key, sent_at }) = self.counter_calls.remove(&call) else { return };
+        let Some(CounterCall {
+            process,
+            key,
+            sent_at,
+        }) = self.counter_calls.remove(&call)
+        else {
+            return;
+        };
         if self.is_measuring() {
             let figures = &mut self.recorder.report.counter;
             match outcome {
@@ -68,7 +101,12 @@
             return;
         }
         let elapsed_ms = (self.queue.now() - sent_at) as f64 / 1000.0;
-        let reply = GatewayEvent::CounterReply { key, outcome, total, elapsed_ms };
+        let reply = GatewayEvent::CounterReply {
+            key,
+            outcome,
+            total,
+            elapsed_ms,
+        };
         self.notify_gateway(process.index, reply);
     }
 }
--- a/emulator/src/simulation/endpoint_list.rs
+++ b/emulator/src/simulation/endpoint_list.rs
@@ -6,7 +6,12 @@
 use quota_gateway::{Endpoint, EndpointState, Event as GatewayEvent};
 
 /// An entry of the endpoint list; `started_at_ms` is on the gateways' clock.
-pub(super) fn endpoint(server: u32, zone: u32, state: EndpointState, started_at_ms: f64) -> Endpoint {
+pub(super) fn endpoint(
+    server: u32,
+    zone: u32,
+    state: EndpointState,
+    started_at_ms: f64,
+) -> Endpoint {
     Endpoint {
         id: server,
         hash_key: server.into(),
@@ -25,13 +30,20 @@
         let endpoints = self.discovery.complete_list();
         self.gateways[gateway as usize].list_version = self.discovery.version();
         self.recorder.report.discovery.entries_delivered += endpoints.len() as u64;
-        self.notify_gateway(gateway, GatewayEvent::EndpointUpdate { complete: true, endpoints });
+        self.notify_gateway(
+            gateway,
+            GatewayEvent::EndpointUpdate {
+                complete: true,
+                endpoints,
+            },
+        );
     }
 
     /// Discovery will notice the server's state after a while.
     pub(super) fn detect_server_state_later(&mut self, server: u32) {
         let delay = self.discovery.draw_detection_delay();
-        self.queue.schedule_in(delay, Event::ServerStateDetected { server });
+        self.queue
+            .schedule_in(delay, Event::ServerStateDetected { server });
     }
 
     /// Discovery records the state that the server has now, and distributes it.
@@ -42,8 +54,11 @@
             ServerState::Draining => EndpointState::Draining,
             ServerState::Unreachable | ServerState::Stopped => EndpointState::Removed,
         };
-        let started_at_ms = detected.started_at.map_or(0.0, |at| CLOCK_START_MS + at as f64 / 1000.0);
-        self.discovery.record_change(endpoint(server, detected.zone, state, started_at_ms));
+        let started_at_ms = detected
+            .started_at
+            .map_or(0.0, |at| CLOCK_START_MS + at as f64 / 1000.0);
+        self.discovery
+            .record_change(endpoint(server, detected.zone, state, started_at_ms));
         self.recorder.report.discovery.changes += 1;
         self.distribute_endpoint_list();
     }
@@ -55,7 +70,12 @@
         }
         for gateway in &self.gateways {
             let delay = self.discovery.draw_propagation_delay();
-            self.queue.schedule_in(delay, Event::EndpointListArrives { process: gateway.process });
+            self.queue.schedule_in(
+                delay,
+                Event::EndpointListArrives {
+                    process: gateway.process,
+                },
+            );
         }
     }
 
@@ -77,6 +97,12 @@
             }
         }
         self.recorder.report.discovery.entries_delivered += endpoints.len() as u64;
-        self.notify_gateway(process.index, GatewayEvent::EndpointUpdate { complete: false, endpoints });
+        self.notify_gateway(
+            process.index,
+            GatewayEvent::EndpointUpdate {
+                complete: false,
+                endpoints,
+            },
+        );
     }
 }
--- a/emulator/src/simulation/event.rs
+++ b/emulator/src/simulation/event.rs
@@ -24,13 +24,21 @@
     /// An attempt arrives at its server.
     AttemptArrives { attempt: u64 },
     /// A server has completed an attempt, unless it has lost its requests meanwhile.
-    ServiceCompleted { server: u32, generation: u32, attempt: u64 },
+    ServiceCompleted {
+        server: u32,
+        generation: u32,
+        attempt: u64,
+    },
     /// An attempt's response is at the gateway, or the gateway knows that there is none.
     AttemptEnds { attempt: u64, outcome: Outcome },
     /// A call arrives at the counter.
     CounterCallArrives { call: u64, amount: f64, ttl: Micros },
     /// A counter's reply is at the gateway, or the gateway gives the call up.
-    CounterCallEnds { call: u64, outcome: Outcome, total: f64 },
+    CounterCallEnds {
+        call: u64,
+        outcome: Outcome,
+        total: f64,
+    },
     /// The agent beside a gateway has what discovery has.
     EndpointListArrives { process: GatewayProcess },
     /// Discovery notices the state that a server has now.
--- a/emulator/src/simulation/event_queue.rs
+++ b/emulator/src/simulation/event_queue.rs
@@ -45,7 +45,11 @@
             self.slots.len() - 1
         });
         self.slots[slot] = Some(event);
-        self.heap.push(Reverse(Scheduled { at: at.max(self.now), serial, slot }));
+        self.heap.push(Reverse(Scheduled {
+            at: at.max(self.now),
+            serial,
+            slot,
+        }));
     }
 
     /// Schedules an event after a delay.
--- a/emulator/src/simulation/faults.rs
+++ b/emulator/src/simulation/faults.rs
@@ -23,7 +23,9 @@
             Fault::DiscoveryOutage { .. } => self.discovery.down = true,
             Fault::CounterOutage { .. } => self.set_counter_down(true),
             Fault::GatewayRollout { duration_s, .. } => self.schedule_gateway_rollout(duration_s),
-            Fault::ServerRollout { duration_s, share, .. } => self.schedule_server_rollout(duration_s, share),
+            Fault::ServerRollout {
+                duration_s, share, ..
+            } => self.schedule_server_rollout(duration_s, share),
         }
     }
 
@@ -77,7 +79,12 @@
         let count = self.gateways.len() as u64;
         for index in 0..count {
             let delay = micros(duration_s * 1000.0) * index / count;
-            self.queue.schedule_in(delay, Event::GatewayShutsDown { gateway: index as u32 });
+            self.queue.schedule_in(
+                delay,
+                Event::GatewayShutsDown {
+                    gateway: index as u32,
+                },
+            );
         }
     }
 
@@ -85,7 +92,8 @@
     pub(super) fn shut_down_gateway(&mut self, index: u32) {
         self.gateways[index as usize].accepts_requests = false;
         let starts_in = GATEWAY_SHUTDOWN + GATEWAY_START_DELAY;
-        self.queue.schedule_in(starts_in, Event::GatewayStarts { gateway: index });
+        self.queue
+            .schedule_in(starts_in, Event::GatewayStarts { gateway: index });
     }
 
     /// The former process ends with what it has not answered, and a new one takes its place.
@@ -95,7 +103,10 @@
         for (server, open) in self.gateways[index as usize].connections.open_by_server() {
             self.servers[server as usize].connections -= open;
         }
-        let next = GatewayProcess { index, incarnation: process.incarnation + 1 };
+        let next = GatewayProcess {
+            index,
+            incarnation: process.incarnation + 1,
+        };
         let mut gateway = self.start_gateway(next);
         gateway.figures = std::mem::take(&mut self.gateways[index as usize].figures);
         self.gateways[index as usize] = gateway;
@@ -105,21 +116,27 @@
     fn schedule_server_rollout(&mut self, duration_s: f64, share: f64) {
         let step_share = share / f64::from(SERVER_ROLLOUT_STEPS);
         for step in 0..SERVER_ROLLOUT_STEPS {
-            let delay = micros(duration_s * 1000.0) * Micros::from(step) / Micros::from(SERVER_ROLLOUT_STEPS);
-            self.queue.schedule_in(delay, Event::ServersReplaced { share: step_share });
+            let delay = micros(duration_s * 1000.0) * Micros::from(step)
+                / Micros::from(SERVER_ROLLOUT_STEPS);
+            self.queue
+                .schedule_in(delay, Event::ServersReplaced { share: step_share });
         }
     }
 
     /// A share of the servers begin to drain, and as many new ones start.
     pub(super) fn replace_servers(&mut self, share: f64) {
         let count = (f64::from(self.experiment.servers.count) * share).round() as usize;
-        let is_old = |server: &Server| server.state == ServerState::Running && server.started_at.is_none();
-        let replaced: Vec<usize> =
-            (0..self.servers.len()).filter(|index| is_old(&self.servers[*index])).take(count).collect();
+        let is_old =
+            |server: &Server| server.state == ServerState::Running && server.started_at.is_none();
+        let replaced: Vec<usize> = (0..self.servers.len())
+            .filter(|index| is_old(&self.servers[*index]))
+            .take(count)
+            .collect();
         for index in replaced {
             let server = index as u32;
             self.servers[index].state = ServerState::Draining;
-            self.queue.schedule_in(SERVER_DRAIN_TIME, Event::ServerStops { server });
+            self.queue
+                .schedule_in(SERVER_DRAIN_TIME, Event::ServerStops { server });
             self.server_state_detected(server);
             self.start_server(self.servers[index].zone);
         }
@@ -128,7 +145,8 @@
     fn start_server(&mut self, zone: u32) {
         let index = self.servers.len();
         let started_at = Some(self.queue.now());
-        self.servers.push(Server::new(self.seed, index as u64, zone, started_at));
+        self.servers
+            .push(Server::new(self.seed, index as u64, zone, started_at));
         self.server_state_detected(index as u32);
     }
 
--- a/emulator/src/simulation/gateway.rs
+++ b/emulator/src/simulation/gateway.rs
@@ -43,7 +43,12 @@
     }
 
     /// Takes a connection to a server: an idle one that is still open, or a new one.
-    pub(super) fn take_connection(&mut self, server: u32, now: Micros, idle_timeout: Micros) -> Checkout {
+    pub(super) fn take_connection(
+        &mut self,
+        server: u32,
+        now: Micros,
+        idle_timeout: Micros,
+    ) -> Checkout {
         let checkout = self.connections.take(server, now, idle_timeout);
         self.figures.max_connections = self.figures.max_connections.max(self.connections.open);
         checkout
@@ -80,13 +85,19 @@
             if now - since < idle_timeout {
                 connections.open -= closed;
                 self.open -= closed;
-                return Checkout { is_new: false, closed };
+                return Checkout {
+                    is_new: false,
+                    closed,
+                };
             }
             closed += 1;
         }
         connections.open = connections.open - closed + 1;
         self.open = self.open - closed + 1;
-        Checkout { is_new: true, closed }
+        Checkout {
+            is_new: true,
+            closed,
+        }
     }
 
     /// The connection of an attempt is idle again.
@@ -98,7 +109,9 @@
 
     /// The connection of an attempt is closed with it; false if there is none.
     pub(super) fn close_one(&mut self, server: u32) -> bool {
-        let Some(connections) = self.by_server.get_mut(&server) else { return false };
+        let Some(connections) = self.by_server.get_mut(&server) else {
+            return false;
+        };
         connections.open -= 1;
         self.open -= 1;
         true
@@ -109,7 +122,9 @@
         let mut closed_by_server = Vec::new();
         for (server, connections) in &mut self.by_server {
             let before = connections.idle_since.len();
-            connections.idle_since.retain(|since| now - since < idle_timeout);
+            connections
+                .idle_since
+                .retain(|since| now - since < idle_timeout);
             let closed = (before - connections.idle_since.len()) as u32;
             connections.open -= closed;
             self.open -= closed;
@@ -121,6 +136,8 @@
 
     /// Open connections by server.
     pub(super) fn open_by_server(&self) -> impl Iterator<Item = (u32, u32)> + '_ {
-        self.by_server.iter().map(|(server, connections)| (*server, connections.open))
+        self.by_server
+            .iter()
+            .map(|(server, connections)| (*server, connections.open))
     }
 }
--- a/emulator/src/simulation/mod.rs
+++ b/emulator/src/simulation/mod.rs
@@ -81,11 +81,16 @@
     fn new(experiment: &'a Experiment, seed: u64) -> Result<Self, ExperimentError> {
         let zones = experiment.topology.zones();
         let server_count = experiment.servers.count;
-        let servers = (0..server_count).map(|index| Server::new(seed, index.into(), index % zones, None));
+        let servers =
+            (0..server_count).map(|index| Server::new(seed, index.into(), index % zones, None));
         let endpoints = (0..server_count)
             .map(|index| endpoint_list::endpoint(index, index % zones, EndpointState::Ready, 0.0))
             .collect();
-        let discovery = Discovery::new(&experiment.discovery, endpoints, stream(seed, "discovery", 0));
+        let discovery = Discovery::new(
+            &experiment.discovery,
+            endpoints,
+            stream(seed, "discovery", 0),
+        );
         Ok(Simulation {
             experiment,
             seed,
@@ -111,12 +116,16 @@
     fn schedule_start(&mut self) {
         let gateway_count = self.experiment.gateways.count;
         for index in 0..gateway_count {
-            let gateway = self.start_gateway(GatewayProcess { index, incarnation: 0 });
+            let gateway = self.start_gateway(GatewayProcess {
+                index,
+                incarnation: 0,
+            });
             self.gateways.push(gateway);
             self.deliver_complete_list(index);
             // The checks of all gateways are not due at once.
             let at = IDLE_CHECK_INTERVAL * Micros::from(index) / Micros::from(gateway_count);
-            self.queue.schedule(at, Event::IdleConnectionCheck { gateway: index });
+            self.queue
+                .schedule(at, Event::IdleConnectionCheck { gateway: index });
         }
         for (fault, model) in self.experiment.faults.iter().enumerate() {
             let starts_at = micros(model.start_s() * 1000.0);
@@ -129,7 +138,11 @@
 
     fn start_gateway(&mut self, process: GatewayProcess) -> EmulatedGateway {
         let zone = process.index % self.experiment.topology.zones();
-        let settings = Settings { gateway_index: process.index, zone, ..self.settings.clone() };
+        let settings = Settings {
+            gateway_index: process.index,
+            zone,
+            ..self.settings.clone()
+        };
         self.gateway_starts += 1;
         let seed = stream(self.seed, "gateway", self.gateway_starts).random();
         let library = Gateway::new(settings, seed, self.gateway_clock_ms());
@@ -137,7 +150,11 @@
     }
 
     fn play(&mut self) {
-        let deadlines_ms = self.experiment.classes.iter().map(|class| class.deadline_ms);
+        let deadlines_ms = self
+            .experiment
+            .classes
+            .iter()
+            .map(|class| class.deadline_ms);
         let longest_deadline = micros(deadlines_ms.fold(0.0, f64::max));
         let last_response_by = self.ends_at + longest_deadline + 2 * RESPONSE_SLACK;
         let mut progress = Progress::new();
@@ -159,12 +176,22 @@
             Event::ClientDisconnects { request } => self.client_disconnects(request),
             Event::GatewayTimer { process, token } => self.gateway_timer(process, token),
             Event::AttemptArrives { attempt } => self.attempt_arrives(attempt),
-            Event::ServiceCompleted { server, generation, attempt } => {
+            Event::ServiceCompleted {
+                server,
+                generation,
+                attempt,
+            } => {
                 self.service_completed(server, generation, attempt);
             }
             Event::AttemptEnds { attempt, outcome } => self.attempt_ends(attempt, outcome),
-            Event::CounterCallArrives { call, amount, ttl } => self.counter_call_arrives(call, amount, ttl),
-            Event::CounterCallEnds { call, outcome, total } => self.counter_call_ends(call, outcome, total),
+            Event::CounterCallArrives { call, amount, ttl } => {
+                self.counter_call_arrives(call, amount, ttl);
+            }
+            Event::CounterCallEnds {
+                call,
+                outcome,
+                total,
+            } => self.counter_call_ends(call, outcome, total),
             Event::EndpointListArrives { process } => self.endpoint_list_arrives(process),
             Event::ServerStateDetected { server } => self.server_state_detected(server),
             Event::DeadlinePasses { request } => self.deadline_passes(request),
@@ -194,7 +221,8 @@
 
     fn into_report(self) -> Report {
         let counter_keys = self.counter.as_ref().map_or(0, Counter::key_count);
-        self.recorder.finish(&self.gateways, &self.servers, counter_keys)
+        self.recorder
+            .finish(&self.gateways, &self.servers, counter_keys)
     }
 }
 
@@ -208,12 +236,18 @@
 impl Progress {
     fn new() -> Self {
         let now = Instant::now();
-        Progress { started_at: now, logged_at: now, events: 0 }
+        Progress {
+            started_at: now,
+            logged_at: now,
+            events: 0,
+        }
     }
 
     fn event_done(&mut self, now: Micros) {
         self.events += 1;
-        if self.events % EVENTS_PER_CLOCK_CHECK != 0 || self.logged_at.elapsed() <= PROGRESS_INTERVAL {
+        if self.events % EVENTS_PER_CLOCK_CHECK != 0
+            || self.logged_at.elapsed() <= PROGRESS_INTERVAL
+        {
             return;
         }
         self.logged_at = Instant::now();
--- a/emulator/src/simulation/recorder.rs
+++ b/emulator/src/simulation/recorder.rs
@@ -46,7 +46,10 @@
         let index = (now / WINDOW) as usize;
         while windows.len() <= index {
             let from_s = (windows.len() as u64 * WINDOW) as f64 / 1e6;
-            windows.push(Window { from_s, ..Window::default() });
+            windows.push(Window {
+                from_s,
+                ..Window::default()
+            });
         }
         &mut windows[index]
     }
@@ -72,12 +75,15 @@
     }
 
     fn finish_gateways(&mut self, gateways: &[EmulatedGateway]) {
-        let over_gateways =
-            |figure: fn(&EmulatedGateway) -> f64| Distribution::of(gateways.iter().map(figure).collect());
+        let over_gateways = |figure: fn(&EmulatedGateway) -> f64| {
+            Distribution::of(gateways.iter().map(figure).collect())
+        };
         let figures = &mut self.report.gateways;
         figures.requests = over_gateways(|gateway| gateway.figures.requests as f64);
-        figures.servers_used = over_gateways(|gateway| gateway.figures.attempts_by_server.len() as f64);
-        figures.max_connections = over_gateways(|gateway| f64::from(gateway.figures.max_connections));
+        figures.servers_used =
+            over_gateways(|gateway| gateway.figures.attempts_by_server.len() as f64);
+        figures.max_connections =
+            over_gateways(|gateway| f64::from(gateway.figures.max_connections));
         figures.customers = over_gateways(|gateway| gateway.library.customer_count() as f64);
     }
 
@@ -88,19 +94,24 @@
                 gateways_by_server[*server as usize] += 1;
             }
         }
-        let running: Vec<usize> =
-            (0..servers.len()).filter(|index| servers[*index].state == ServerState::Running).collect();
+        let running: Vec<usize> = (0..servers.len())
+            .filter(|index| servers[*index].state == ServerState::Running)
+            .collect();
         let over_running = |figure: &dyn Fn(usize) -> f64| {
             Distribution::of(running.iter().map(|index| figure(*index)).collect())
         };
         let figures = &mut self.report.servers;
         figures.requests = over_running(&|index| servers[index].requests as f64);
-        figures.idle = running.iter().filter(|index| servers[**index].requests == 0).count() as u64;
+        figures.idle = running
+            .iter()
+            .filter(|index| servers[**index].requests == 0)
+            .count() as u64;
         figures.gateways = over_running(&|index| f64::from(gateways_by_server[index]));
         figures.connections = over_running(&|index| f64::from(servers[index].connections));
     }
 }
 
 fn latency_histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MAX_LATENCY, LATENCY_DIGITS).expect("the bounds are constants in order")
+    Histogram::new_with_bounds(1, MAX_LATENCY, LATENCY_DIGITS)
+        .expect("the bounds are constants in order")
 }
--- a/emulator/src/simulation/requests.rs
+++ b/emulator/src/simulation/requests.rs
@@ -56,13 +56,19 @@
     fn request_arrives(&mut self, client_request: ClientRequest) {
         let gateways = &self.gateways;
         let accepts = |index: usize| gateways[index].accepts_requests;
-        let Some(index) = self.clients.pick_gateway(client_request.customer, accepts) else { return };
+        let Some(index) = self.clients.pick_gateway(client_request.customer, accepts) else {
+            return;
+        };
         let id = self.queue.next_id();
         let deadline_ms = self.experiment.classes[client_request.class as usize].deadline_ms;
         let deadline = micros(deadline_ms);
-        self.queue.schedule_in(deadline + RESPONSE_SLACK, Event::DeadlinePasses { request: id });
+        self.queue.schedule_in(
+            deadline + RESPONSE_SLACK,
+            Event::DeadlinePasses { request: id },
+        );
         if let Some(delay) = self.clients.disconnects_after(deadline) {
-            self.queue.schedule_in(delay, Event::ClientDisconnects { request: id });
+            self.queue
+                .schedule_in(delay, Event::ClientDisconnects { request: id });
         }
         self.record_request(index, &client_request);
         let request = Request {
@@ -104,7 +110,9 @@
 
     pub(super) fn client_disconnects(&mut self, id: u64) {
         let now = self.queue.now();
-        let Some(open) = self.open_requests.get_mut(&id) else { return };
+        let Some(open) = self.open_requests.get_mut(&id) else {
+            return;
+        };
         if open.answered {
             return;
         }
@@ -122,7 +130,9 @@
 
     /// The time is up within which the request must have its final response.
     pub(super) fn deadline_passes(&mut self, id: u64) {
-        let Some(open) = self.open_requests.get_mut(&id) else { return };
+        let Some(open) = self.open_requests.get_mut(&id) else {
+            return;
+        };
         if open.answered {
             return;
         }
@@ -139,7 +149,9 @@
     /// An attempt was successful; its response is the final one unless the request has one already.
     pub(super) fn answer_successfully(&mut self, id: u64) {
         let now = self.queue.now();
-        let Some(open) = self.open_requests.get_mut(&id) else { return };
+        let Some(open) = self.open_requests.get_mut(&id) else {
+            return;
+        };
         if open.answered {
             return;
         }
@@ -177,7 +189,9 @@
 
     /// The gateway gives its final response without success.
     pub(super) fn refuse(&mut self, id: u64, refusal: Refusal) {
-        let Some(open) = self.open_requests.get_mut(&id) else { return };
+        let Some(open) = self.open_requests.get_mut(&id) else {
+            return;
+        };
         if open.answered {
             return;
         }
@@ -213,18 +227,27 @@
 
     /// Forgets a request that has its final response and no attempt in flight.
     pub(super) fn drop_if_ended(&mut self, id: u64) {
-        if self.open_requests.get(&id).is_some_and(|open| open.answered && open.in_flight == 0) {
+        if self
+            .open_requests
+            .get(&id)
+            .is_some_and(|open| open.answered && open.in_flight == 0)
+        {
             self.open_requests.remove(&id);
         }
     }
 
     /// Requests that end without a response together with the gateway's process.
     pub(super) fn lose_open_requests(&mut self, process: GatewayProcess) {
-        let of_process = self.open_requests.iter().filter(|(_, open)| open.process == process);
+        let of_process = self
+            .open_requests
+            .iter()
+            .filter(|(_, open)| open.process == process);
         let mut ids: Vec<u64> = of_process.map(|(id, _)| *id).collect();
         ids.sort_unstable();
         for id in ids {
-            let Some(open) = self.open_requests.remove(&id) else { continue };
+            let Some(open) = self.open_requests.remove(&id) else {
+                continue;
+            };
             if open.answered {
                 continue;
             }
@@ -232,7 +255,9 @@
             let report = &mut self.recorder.report;
             report.requests.lost_at_restart += 1;
             report.violations.unanswered += 1;
-            report.violations.describe(|| format!("lost: gateway {gateway} ended with request {id} open"));
+            report
+                .violations
+                .describe(|| format!("lost: gateway {gateway} ended with request {id} open"));
         }
     }
 
--- a/emulator/tests/command.rs
+++ b/emulator/tests/command.rs
@@ -7,11 +7,15 @@
 const SMALL: &str = include_str!("../experiments/small.toml");
 
 fn emulator(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_fleet-emulator")).args(arguments).output().unwrap()
+    Command::new(env!("CARGO_BIN_EXE_fleet-emulator"))
+        .args(arguments)
+        .output()
+        .unwrap()
 }
 
 fn file(name: &str, text: &str) -> String {
-    let path = std::env::temp_dir().join(format!("fleet-emulator-test-{}-{name}", std::process::id()));
+    let path =
+        std::env::temp_dir().join(format!("fleet-emulator-test-{}-{name}", std::process::id()));
     std::fs::write(&path, text).unwrap();
     path.to_str().unwrap().to_owned()
 }
@@ -19,7 +23,10 @@
 fn assert_fails_with(output: Output, field: &str) {
     let error = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(2), "{error}");
-    assert!(error.contains(field) && error.trim_end().lines().count() == 1, "{field}: {error}");
+    assert!(
+        error.contains(field) && error.trim_end().lines().count() == 1,
+        "{field}: {error}"
+    );
 }
 
 #[test]
@@ -28,7 +35,11 @@
         ("slots = 1", "slots = 1\nslotz = 2", "slotz"),
         ("service_ms = 40", "service_ms = -40", "servers.service_ms"),
         ("service_ms = 40", "service_ms = nan", "servers.service_ms"),
-        ("service_ms = 40", "service_ms = \"long\"", "servers.service_ms"),
+        (
+            "service_ms = 40",
+            "service_ms = \"long\"",
+            "servers.service_ms",
+        ),
         ("count = 136", "count = 4000000000", "servers.count"),
         ("zipf_exponent = 0.6\n", "", "load"),
         (
@@ -36,9 +47,17 @@
             "share = 0.7\nidempotency = \"odd\"",
             "classes[0].idempotency",
         ),
-        ("deadline_ms = 2500", "deadline_ms = 1e300", "classes[0].deadline_ms"),
+        (
+            "deadline_ms = 2500",
+            "deadline_ms = 1e300",
+            "classes[0].deadline_ms",
+        ),
         ("name = \"small\"", "name = ", "TOML"),
-        ("[rules]", "[[faults]]\nwhat = \"flood\"\n[rules]", "faults[0]"),
+        (
+            "[rules]",
+            "[[faults]]\nwhat = \"flood\"\n[rules]",
+            "faults[0]",
+        ),
         (
             "[rules]",
             "[[faults]]\nwhat = \"zone-outage\"\nstart_s = 1\nduration_s = 1\nzone = 9\n[rules]",
@@ -49,8 +68,15 @@
     .enumerate()
     {
         assert!(SMALL.contains(old));
-        let path = file(&format!("invalid-{number}.toml"), &SMALL.replacen(old, new, 1));
-        let field = if field == "TOML" { path.as_str() } else { field };
+        let path = file(
+            &format!("invalid-{number}.toml"),
+            &SMALL.replacen(old, new, 1),
+        );
+        let field = if field == "TOML" {
+            path.as_str()
+        } else {
+            field
+        };
         assert_fails_with(emulator(&["run", &path]), field);
         std::fs::remove_file(&path).unwrap();
     }
@@ -61,18 +87,33 @@
 
 #[test]
 fn a_run_prints_its_summary_and_writes_its_report() {
-    let short =
-        SMALL.replace("seconds = 20", "seconds = 1").replace("measure_from_s = 5", "measure_from_s = 0");
+    let short = SMALL
+        .replace("seconds = 20", "seconds = 1")
+        .replace("measure_from_s = 5", "measure_from_s = 0");
     let (path, report) = (file("short.toml", &short), file("report.json", ""));
-    let output = emulator(&["--log-format", "json", "run", &path, "--seed", "9", "--report", &report]);
+    let output = emulator(&[
+        "--log-format",
+        "json",
+        "run",
+        &path,
+        "--seed",
+        "9",
+        "--report",
+        &report,
+    ]);
     let printed = String::from_utf8(output.stdout).unwrap();
     assert!(
-        output.status.success() && printed.contains("small seed 9") && printed.contains("MB at most"),
+        output.status.success()
+            && printed.contains("small seed 9")
+            && printed.contains("MB at most"),
         "{printed}"
     );
     let written: serde_json::Value =
         serde_json::from_str(&std::fs::read_to_string(&report).unwrap()).unwrap();
-    assert!(written["requests"]["total"].as_u64().unwrap() > 1000, "{written}");
+    assert!(
+        written["requests"]["total"].as_u64().unwrap() > 1000,
+        "{written}"
+    );
     assert_eq!(written["seed"], 9);
     std::fs::remove_file(&path).unwrap();
     std::fs::remove_file(&report).unwrap();
--- a/emulator/tests/experiments.rs
+++ b/emulator/tests/experiments.rs
@@ -21,7 +21,8 @@
 
 #[test]
 fn the_same_seed_gives_the_same_report_and_another_seed_another() {
-    let faults = "[[faults]]\nwhat = \"server-rollout\"\nstart_s = 1\nduration_s = 2\nshare = 0.3\n";
+    let faults =
+        "[[faults]]\nwhat = \"server-rollout\"\nstart_s = 1\nduration_s = 2\nshare = 0.3\n";
     let experiment = small(4, faults);
     let reports = [1, 1, 2].map(|seed| text(&run(&experiment, seed).unwrap()));
     assert_eq!(reports[0], reports[1]);
@@ -41,16 +42,28 @@
             "region-cut\"\nat_s = 1\nfor_s = 2\nregion = 1",
             "region-partition\"\nstart_s = 1\nduration_s = 2\nregion = 1",
         ),
-        ("discovery-down\"\nat_s = 1\nfor_s = 2", "discovery-outage\"\nstart_s = 1\nduration_s = 2"),
-        ("counter-down\"\nat_s = 1\nfor_s = 2", "counter-outage\"\nstart_s = 1\nduration_s = 2"),
-        ("gateway-release\"\nat_s = 1\nfor_s = 2", "gateway-rollout\"\nstart_s = 1\nduration_s = 2"),
+        (
+            "discovery-down\"\nat_s = 1\nfor_s = 2",
+            "discovery-outage\"\nstart_s = 1\nduration_s = 2",
+        ),
+        (
+            "counter-down\"\nat_s = 1\nfor_s = 2",
+            "counter-outage\"\nstart_s = 1\nduration_s = 2",
+        ),
+        (
+            "gateway-release\"\nat_s = 1\nfor_s = 2",
+            "gateway-rollout\"\nstart_s = 1\nduration_s = 2",
+        ),
         (
             "backend-release\"\nat_s = 1\nfor_s = 2\nshare = 0.5",
             "server-rollout\"\nstart_s = 1\nduration_s = 2\nshare = 0.5",
         ),
     ];
     for (former_fault, fault) in FORMER_FAULTS {
-        let former = parse(&format!("{FORMER_KEYS}\n[[troubles]]\nwhat = \"{former_fault}\n")).unwrap();
+        let former = parse(&format!(
+            "{FORMER_KEYS}\n[[troubles]]\nwhat = \"{former_fault}\n"
+        ))
+        .unwrap();
         let current = parse(&format!("{SMALL}\n[[faults]]\nwhat = \"{fault}\n")).unwrap();
         assert_eq!(format!("{former:?}"), format!("{current:?}"));
     }
@@ -62,16 +75,29 @@
     let report = run(&small(6, ""), 3).unwrap();
     let requests = &report.requests;
     assert!(report.violations.is_empty(), "{:?}", report.violations);
-    assert!(requests.served_on_time * 100 >= requests.total * 80, "{requests:?}");
+    assert!(
+        requests.served_on_time * 100 >= requests.total * 80,
+        "{requests:?}"
+    );
     let ended = requests.served_on_time
         + requests.served_late
         + requests.rejected
         + requests.failed
         + requests.disconnected;
-    assert!(ended.abs_diff(requests.total) * 50 <= requests.total, "all but those in flight: {requests:?}");
+    assert!(
+        ended.abs_diff(requests.total) * 50 <= requests.total,
+        "all but those in flight: {requests:?}"
+    );
     assert!(report.attempts.succeeded >= requests.served_on_time + requests.served_late);
-    assert!(report.counter.calls_per_request >= 0.7, "the shared counter is the ordinary path");
-    assert!(report.latency_ms.p50 > 10.0 && report.latency_ms.p99 < 750.0, "{:?}", report.latency_ms);
+    assert!(
+        report.counter.calls_per_request >= 0.7,
+        "the shared counter is the ordinary path"
+    );
+    assert!(
+        report.latency_ms.p50 > 10.0 && report.latency_ms.p99 < 750.0,
+        "{:?}",
+        report.latency_ms
+    );
 }
 
 /// A fault to inject, and what shows in the report that it took place.
@@ -112,7 +138,11 @@
 fn rules_hold_through_faults_and_each_fault_leaves_its_trace() {
     for FaultCase { fault, has_trace } in FAULT_CASES {
         let report = run(&small(14, &format!("[[faults]]\n{fault}\n")), 5).unwrap();
-        assert!(report.violations.is_empty(), "{fault}: {:?}", report.violations);
+        assert!(
+            report.violations.is_empty(),
+            "{fault}: {:?}",
+            report.violations
+        );
         assert!(has_trace(&report), "{fault}: {}", text(&report));
     }
 }
@@ -120,13 +150,16 @@
 /// Servers that bear a fiftieth of what they are sent fail in slow start.
 #[test]
 fn overloaded_servers_are_seen() {
-    let rollout = "[[faults]]\nwhat = \"server-rollout\"\nstart_s = 1\nduration_s = 2\nshare = 0.5\n";
+    let rollout =
+        "[[faults]]\nwhat = \"server-rollout\"\nstart_s = 1\nduration_s = 2\nshare = 0.5\n";
     let mut crowded = small(8, rollout);
     crowded.servers.service_ms = 2000.0;
     crowded.servers.max_queue = 1_000_000;
     let violations = run(&crowded, 1).unwrap().violations;
     assert!(violations.overloaded_servers > 0);
-    assert!(violations.first.is_some_and(|first| first.starts_with("cold")));
+    assert!(violations
+        .first
+        .is_some_and(|first| first.starts_with("cold")));
 }
 
 /// A gateway that ends with requests open loses them.
@@ -141,5 +174,7 @@
     }
     let violations = run(&slow, 1).unwrap().violations;
     assert!(violations.unanswered > 0);
-    assert!(violations.first.is_some_and(|first| first.starts_with("lost")));
+    assert!(violations
+        .first
+        .is_some_and(|first| first.starts_with("lost")));
 }
--- a/soak/src/clients.rs
+++ b/soak/src/clients.rs
@@ -58,7 +58,13 @@
     pub fn new(world: Rc<World>, number: u64, leaving_percent: u32) -> Self {
         let rng = crate::stream(world.seed, "client", number);
         let requests = RequestSource::new(world.clone(), number);
-        Client { world, leaving_percent, requests, rng, kept: None }
+        Client {
+            world,
+            leaving_percent,
+            requests,
+            rng,
+            kept: None,
+        }
     }
 
     /// Makes requests until the load ends.
@@ -67,7 +73,10 @@
             sleep(Duration::from_millis(self.rng.random_range(PAUSE_MS))).await;
             let request = self.requests.next();
             match self.draw_pattern() {
-                SendPattern::Leaves { resets, sends_ahead } => {
+                SendPattern::Leaves {
+                    resets,
+                    sends_ahead,
+                } => {
                     self.leave(&request, resets, sends_ahead).await;
                 }
                 SendPattern::SendsAhead => self.send_two(&request).await,
@@ -78,7 +87,10 @@
 
     fn draw_pattern(&mut self) -> SendPattern {
         if self.rng.random_range(0..100) < self.leaving_percent {
-            return SendPattern::Leaves { resets: self.rng.random(), sends_ahead: self.rng.random() };
+            return SendPattern::Leaves {
+                resets: self.rng.random(),
+                sends_ahead: self.rng.random(),
+            };
         }
         match self.rng.random_range(0..100) {
             0..4 => SendPattern::Slowly,
@@ -96,12 +108,22 @@
         let connecting = TcpStream::connect(address);
         let stream = timeout(CONNECT_TIMEOUT, connecting).await.ok()?.ok()?;
         let connection = Connection::new(stream);
-        Some(Open { connection, gateway, generation, opened_at: Instant::now(), is_reused: false })
+        Some(Open {
+            connection,
+            gateway,
+            generation,
+            opened_at: Instant::now(),
+            is_reused: false,
+        })
     }
 
     fn pick_gateway(&mut self) -> Option<(usize, std::net::SocketAddr, u32)> {
         let gateways = self.world.gateways.borrow();
-        let admitted: Vec<_> = gateways.iter().enumerate().filter(|(_, state)| state.is_admitted).collect();
+        let admitted: Vec<_> = gateways
+            .iter()
+            .enumerate()
+            .filter(|(_, state)| state.is_admitted)
+            .collect();
         let (index, state) = admitted.choose(&mut self.rng)?;
         Some((*index, state.address, state.generation))
     }
@@ -109,14 +131,19 @@
     /// Makes a request and sees it through. One that crosses the end of a resting connection is sent once more.
     async fn make(&mut self, request: &Request, slowly: bool) {
         for _ in 0..2 {
-            let Some(mut open) = self.connect().await else { return };
+            let Some(mut open) = self.connect().await else {
+                return;
+            };
             // Where it fails, an answer may have come before.
             let _ = self.send(&mut open, request, slowly).await;
             match receive(&self.world, &mut open.connection, request).await {
                 End::Answered(answer) => return self.keep(open, &answer),
                 End::TimedOut => return self.judge_timed_out(&open, request),
                 End::Closed(Close::Unread) if open.is_reused && !self.was_forwarded(request) => {
-                    self.world.judge.borrow_mut().count("requests that crossed a close");
+                    self.world
+                        .judge
+                        .borrow_mut()
+                        .count("requests that crossed a close");
                 }
                 End::Closed(close) => return self.judge_closed(&open, request, close),
             }
@@ -156,20 +183,34 @@
 
     fn was_killed(&self, open: &Open) -> bool {
         let gateways = self.world.gateways.borrow();
-        gateways[open.gateway].killed_generation.is_some_and(|killed| killed >= open.generation)
+        gateways[open.gateway]
+            .killed_generation
+            .is_some_and(|killed| killed >= open.generation)
     }
 
     /// A request whose connection ended without an answer is lost, unless its gateway was killed, or the front should
     /// not have opened the connection any more.
     fn judge_closed(&self, open: &Open, request: &Request, close: Close) {
         if self.was_killed(open) {
-            return self.world.judge.borrow_mut().count("requests of killed gateways");
+            return self
+                .world
+                .judge
+                .borrow_mut()
+                .count("requests of killed gateways");
         }
         if self.world.conditions.has_crowd && close.is_due_to_crowd(self.was_forwarded(request)) {
-            return self.world.judge.borrow_mut().count("requests shut unread in a crowd");
+            return self
+                .world
+                .judge
+                .borrow_mut()
+                .count("requests shut unread in a crowd");
         }
         if !open.is_reused && self.was_opened_too_late(open) {
-            return self.world.judge.borrow_mut().count("requests to gateways that were ending");
+            return self
+                .world
+                .judge
+                .borrow_mut()
+                .count("requests to gateways that were ending");
         }
         let how = if open.is_reused { "a reused" } else { "a new" };
         let opened_at = open.opened_at;
@@ -179,7 +220,10 @@
             "{close:?} on {how} connection, opened {:?} ago and {after_sigterm:?} after SIGTERM",
             opened_at.elapsed()
         );
-        self.world.judge.borrow_mut().lost(request.transaction, &detail);
+        self.world
+            .judge
+            .borrow_mut()
+            .lost(request.transaction, &detail);
     }
 
     fn was_opened_too_late(&self, open: &Open) -> bool {
@@ -189,18 +233,25 @@
         state.generation != open.generation
             && state.terminated_at.is_none()
             && open.opened_at.elapsed() > self.world.conditions.longest_deadline()
-            || state.terminated_at.is_some_and(|at| open.opened_at > at + 2 * FRONT_DELAY)
+            || state
+                .terminated_at
+                .is_some_and(|at| open.opened_at > at + 2 * FRONT_DELAY)
     }
 
     fn judge_timed_out(&self, open: &Open, request: &Request) {
         if !self.was_killed(open) {
-            self.world.judge.borrow_mut().lost(request.transaction, "no answer in time");
+            self.world
+                .judge
+                .borrow_mut()
+                .lost(request.transaction, "no answer in time");
         }
     }
 
     /// Sends a request and goes before its answer.
     async fn leave(&mut self, request: &Request, resets: bool, sends_ahead: bool) {
-        let Some(mut open) = self.connect().await else { return };
+        let Some(mut open) = self.connect().await else {
+            return;
+        };
         if !self.send(&mut open, request, false).await {
             return;
         }
@@ -214,13 +265,18 @@
         } else {
             drop(open);
         }
-        self.world.judge.borrow_mut().client_closed(request.transaction);
+        self.world
+            .judge
+            .borrow_mut()
+            .client_closed(request.transaction);
     }
 
     /// Sends two requests together and reads both answers.
     async fn send_two(&mut self, first: &Request) {
         let second = self.requests.next();
-        let Some(mut open) = self.connect().await else { return };
+        let Some(mut open) = self.connect().await else {
+            return;
+        };
         for request in [first, &second] {
             if !self.send(&mut open, request, false).await {
                 return;
--- a/soak/src/conditions.rs
+++ b/soak/src/conditions.rs
@@ -60,11 +60,16 @@
         let (shortest, longest) = (LONGEST_DEADLINE_S.start.ln(), LONGEST_DEADLINE_S.end.ln());
         let longest_s = rng.random_range(shortest..longest).exp();
         let mut other = || {
-            let deadline = Duration::from_secs_f64(longest_s * rng.random_range(OTHER_DEADLINE_PARTS));
+            let deadline =
+                Duration::from_secs_f64(longest_s * rng.random_range(OTHER_DEADLINE_PARTS));
             deadline.max(MIN_DEADLINE)
         };
         let (order, once) = (other(), other());
-        let deadlines = Deadlines { look: Duration::from_secs_f64(longest_s), order, once };
+        let deadlines = Deadlines {
+            look: Duration::from_secs_f64(longest_s),
+            order,
+            once,
+        };
         Conditions {
             deadlines,
             hanging_percent: HANGING_PERCENTS[rng.random_range(0..HANGING_PERCENTS.len())],
@@ -78,7 +83,11 @@
     #[must_use]
     pub fn calm() -> Self {
         Conditions {
-            deadlines: Deadlines { look: CALM_DEADLINE, order: CALM_DEADLINE, once: CALM_DEADLINE },
+            deadlines: Deadlines {
+                look: CALM_DEADLINE,
+                order: CALM_DEADLINE,
+                once: CALM_DEADLINE,
+            },
             hanging_percent: 0,
             has_crowd: false,
             gateways_per_processor: None,
@@ -99,7 +108,10 @@
     /// The longest of the deadlines.
     #[must_use]
     pub fn longest_deadline(&self) -> Duration {
-        self.deadlines.look.max(self.deadlines.order).max(self.deadlines.once)
+        self.deadlines
+            .look
+            .max(self.deadlines.order)
+            .max(self.deadlines.once)
     }
 
     /// How long after SIGTERM SIGKILL comes: as early as the protocol permits.
@@ -132,7 +144,11 @@
 impl Display for Conditions {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
         let Deadlines { look, order, once } = self.deadlines;
-        write!(formatter, "deadlines {look:.2?}, {order:.2?}, {once:.2?}; {}% hang", self.hanging_percent)?;
+        write!(
+            formatter,
+            "deadlines {look:.2?}, {order:.2?}, {once:.2?}; {}% hang",
+            self.hanging_percent
+        )?;
         if self.has_crowd {
             write!(formatter, "; crowd")?;
         }
--- a/soak/src/counter.rs
+++ b/soak/src/counter.rs
@@ -57,7 +57,9 @@
 
 fn add(totals: &Totals, target: &str) -> f64 {
     let (name, query) = target.split_once('?').unwrap_or((target, ""));
-    let amount = query.split('&').find_map(|part| part.strip_prefix("by=")?.parse::<f64>().ok());
+    let amount = query
+        .split('&')
+        .find_map(|part| part.strip_prefix("by=")?.parse::<f64>().ok());
     let mut totals = totals.borrow_mut();
     let total = totals.entry(name.to_owned()).or_default();
     *total += amount.unwrap_or(0.0);
--- a/soak/src/crowd.rs
+++ b/soak/src/crowd.rs
@@ -26,7 +26,9 @@
         if !is_admitted {
             continue;
         }
-        let Ok(mut stream) = TcpStream::connect(address).await else { continue };
+        let Ok(mut stream) = TcpStream::connect(address).await else {
+            continue;
+        };
         let mut answer = [0; READ_BYTES];
         // Ends with the connection.
         while stream.read(&mut answer).await.is_ok_and(|bytes| bytes > 0) {}
--- a/soak/src/discovery.rs
+++ b/soak/src/discovery.rs
@@ -32,7 +32,11 @@
         let address = listener.local_addr()?;
         let closing = tokio::sync::watch::Sender::new(false);
         let accepting = spawn_local(accept(world.clone(), listener, closing.subscribe()));
-        Ok(Discovery { address, accepting, closing })
+        Ok(Discovery {
+            address,
+            accepting,
+            closing,
+        })
     }
 
     /// Accepts nothing more, and closes what is open after a time.
@@ -66,7 +70,9 @@
                 continue;
             }
             ServiceMode::Garbles => {
-                connection.respond(200, "", "{\"version\": 3, \"full\": tr").await?;
+                connection
+                    .respond(200, "", "{\"version\": 3, \"full\": tr")
+                    .await?;
                 continue;
             }
             ServiceMode::Silent => {
@@ -94,10 +100,16 @@
 
 /// Serves a watch until its connection ends or discovery fails.
 async fn serve_watch(world: &World, connection: &mut Connection, call: &Message) -> io::Result<()> {
-    let index = call.second_word().split("index=").nth(1).and_then(|index| index.parse().ok());
+    let index = call
+        .second_word()
+        .split("index=")
+        .nth(1)
+        .and_then(|index| index.parse().ok());
     let mut sent_version: u64 = index.unwrap_or(0);
     let mut updates = world.list_changed.subscribe();
-    connection.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
+    connection
+        .send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        .await?;
     let mut is_first = true;
     loop {
         match world.discovery_mode.get() {
@@ -124,5 +136,7 @@
 }
 
 async fn send_line(connection: &mut Connection, line: &str) -> io::Result<()> {
-    connection.send(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes()).await
+    connection
+        .send(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes())
+        .await
 }
--- a/soak/src/endpoint.rs
+++ b/soak/src/endpoint.rs
@@ -29,10 +29,19 @@
     /// Starts an endpoint and puts it into the list.
     pub async fn start(world: &Rc<World>, is_cold: bool) -> io::Result<(usize, Self)> {
         let listener = TcpListener::bind(any_port()).await?;
-        let number = world.fleet.borrow_mut().add(listener.local_addr()?, is_cold);
+        let number = world
+            .fleet
+            .borrow_mut()
+            .add(listener.local_addr()?, is_cold);
         let connections = Rc::new(std::cell::RefCell::new(Vec::new()));
         let accepting = spawn_local(accept(world.clone(), number, listener, connections.clone()));
-        Ok((number, RunningEndpoint { accepting, connections }))
+        Ok((
+            number,
+            RunningEndpoint {
+                accepting,
+                connections,
+            },
+        ))
     }
 
     /// Ends the process: its connections break, and new ones are refused.
@@ -52,8 +61,11 @@
 ) {
     let mut rng = crate::stream(world.seed, "endpoint", number as u64);
     while let Ok((stream, _)) = listener.accept().await {
-        let service =
-            Service { world: world.clone(), number, rng: crate::stream(rng.random(), "service", 0) };
+        let service = Service {
+            world: world.clone(),
+            number,
+            rng: crate::stream(rng.random(), "service", 0),
+        };
         let task = spawn_local(async move {
             // Connections break as part of the test.
             let _ = service.serve(Connection::new(stream)).await;
@@ -82,13 +94,19 @@
                 connection.respond(503, "X-Turned-Away: 1\r\n", "").await?;
                 continue;
             }
-            let is_first = self.world.judge.borrow_mut().executed(transaction, self.number);
+            let is_first = self
+                .world
+                .judge
+                .borrow_mut()
+                .executed(transaction, self.number);
             sleep(Duration::from_millis(self.rng.random_range(SERVICE_MS))).await;
             let body = answer_body(transaction);
             let charged = "X-Units-Charged: 1\r\n";
             match behaviour {
                 _ if !is_first => connection.respond(200, charged, &body).await?,
-                Behaviour::Serves | Behaviour::TurnsAway => connection.respond(200, charged, &body).await?,
+                Behaviour::Serves | Behaviour::TurnsAway => {
+                    connection.respond(200, charged, &body).await?;
+                }
                 Behaviour::Hangs => {
                     sleep(HANG_TIME).await;
                     return Ok(());
@@ -99,7 +117,9 @@
                 }
                 Behaviour::Garbles => connection.send(b"\x01\x02 this is no HTTP\r\n\r\n").await?,
                 Behaviour::OmitsLength => {
-                    connection.send(format!("HTTP/1.1 200 OK\r\n{charged}\r\n{body}").as_bytes()).await?;
+                    connection
+                        .send(format!("HTTP/1.1 200 OK\r\n{charged}\r\n{body}").as_bytes())
+                        .await?;
                     return connection.finish().await;
                 }
                 Behaviour::Repeats => {
@@ -131,14 +151,19 @@
         let fleet = world.fleet.borrow();
         let endpoint = &fleet.endpoints[self.number];
         let gateway = world.judge.borrow().gateway_of(transaction);
-        let drain_notified_at = endpoint.listed_state.since().and_then(|at| world.notified_at(gateway?, at));
+        let drain_notified_at = endpoint
+            .listed_state
+            .since()
+            .and_then(|at| world.notified_at(gateway?, at));
         world.judge.borrow_mut().attempt(SeenAttempt {
             transaction,
             endpoint: self.number,
             began_at: request.began_at,
             stated: Duration::from_millis(stated_ms),
             drain_notified_at,
-            started_at: endpoint.started_at.filter(|_| endpoint.listed_state == ListedState::Ready),
+            started_at: endpoint
+                .started_at
+                .filter(|_| endpoint.listed_state == ListedState::Ready),
             lag: world.lag.allowance(),
         });
         Some(transaction)
@@ -146,7 +171,12 @@
 }
 
 /// Sets how endpoints behave for a time.
-pub async fn behave(world: &Rc<World>, endpoints: &[usize], behaviour: Behaviour, how_long: Duration) {
+pub async fn behave(
+    world: &Rc<World>,
+    endpoints: &[usize],
+    behaviour: Behaviour,
+    how_long: Duration,
+) {
     let set = |behaviour| {
         let mut fleet = world.fleet.borrow_mut();
         for endpoint in endpoints {
@@ -171,13 +201,27 @@
     drains: bool,
 ) -> Option<(usize, RunningEndpoint)> {
     if drains {
-        world.fleet.borrow_mut().set_listed_state(number, ListedState::Draining(Instant::now()));
+        world
+            .fleet
+            .borrow_mut()
+            .set_listed_state(number, ListedState::Draining(Instant::now()));
         world.list_changes();
-        sleep(if world.is_polled { POLLED_DRAIN_TIME } else { DRAIN_TIME }).await;
+        sleep(if world.is_polled {
+            POLLED_DRAIN_TIME
+        } else {
+            DRAIN_TIME
+        })
+        .await;
     }
-    let since = world.fleet.borrow().endpoints[number].listed_state.since().unwrap_or_else(Instant::now);
+    let since = world.fleet.borrow().endpoints[number]
+        .listed_state
+        .since()
+        .unwrap_or_else(Instant::now);
     running.stop();
-    world.fleet.borrow_mut().set_listed_state(number, ListedState::Gone(since));
+    world
+        .fleet
+        .borrow_mut()
+        .set_listed_state(number, ListedState::Gone(since));
     let new = RunningEndpoint::start(world, true).await.ok();
     world.list_changes();
     new
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -84,7 +84,10 @@
         addresses.discovery = self.discovery_address().unwrap_or(addresses.discovery);
         let mut gateway = Gateway::start(world, &self.launcher, index, addresses, call_faults)?;
         gateway.wait_until_ready(world).await;
-        if self.discovery_address().is_some_and(|address| address != addresses.discovery) {
+        if self
+            .discovery_address()
+            .is_some_and(|address| address != addresses.discovery)
+        {
             addresses.discovery = self.discovery_address().unwrap_or(addresses.discovery);
             gateway.reload(world, &self.launcher, addresses)?;
         }
@@ -93,7 +96,10 @@
     }
 
     fn discovery_address(&self) -> Option<SocketAddr> {
-        self.discovery.borrow().as_ref().map(|discovery| discovery.address)
+        self.discovery
+            .borrow()
+            .as_ref()
+            .map(|discovery| discovery.address)
     }
 }
 
@@ -103,7 +109,9 @@
     let mut running = JoinSet::new();
     while !world.has_ended() {
         sleep(Duration::from_millis(rng.random_range(PAUSE_MS))).await;
-        let Some(fault) = ALL.choose(&mut rng).copied() else { return };
+        let Some(fault) = ALL.choose(&mut rng).copied() else {
+            return;
+        };
         world.judge.borrow_mut().count(&format!("fault {fault:?}"));
         let part = Part {
             world: world.clone(),
@@ -122,7 +130,10 @@
 
 fn report_failure(world: &World, ended: Result<Result<(), SoakError>, tokio::task::JoinError>) {
     if let Ok(Err(error)) = ended {
-        world.judge.borrow_mut().report(crate::judge::Rule::Process, error.to_string());
+        world
+            .judge
+            .borrow_mut()
+            .report(crate::judge::Rule::Process, error.to_string());
     }
 }
 
@@ -142,15 +153,23 @@
             Fault::Reloads => self.reload().await,
             Fault::InvalidReloads => self.reload_invalid(),
             Fault::DiscoveryFails => {
-                let mode = self.draw_mode(&[ServiceMode::Silent, ServiceMode::Closes, ServiceMode::Refuses]);
+                let mode = self.draw_mode(&[
+                    ServiceMode::Silent,
+                    ServiceMode::Closes,
+                    ServiceMode::Refuses,
+                ]);
                 self.world.set_discovery_mode(mode);
                 sleep(length).await;
                 self.world.set_discovery_mode(ServiceMode::Works);
                 Ok(())
             }
             Fault::CounterFails => {
-                let modes =
-                    [ServiceMode::Silent, ServiceMode::Closes, ServiceMode::Refuses, ServiceMode::Garbles];
+                let modes = [
+                    ServiceMode::Silent,
+                    ServiceMode::Closes,
+                    ServiceMode::Refuses,
+                    ServiceMode::Garbles,
+                ];
                 let mode = self.draw_mode(&modes);
                 self.world.counter_mode.set(mode);
                 sleep(length).await;
@@ -169,7 +188,10 @@
     }
 
     fn draw_mode(&mut self, modes: &[ServiceMode]) -> ServiceMode {
-        modes.choose(&mut self.rng).copied().unwrap_or(ServiceMode::Silent)
+        modes
+            .choose(&mut self.rng)
+            .copied()
+            .unwrap_or(ServiceMode::Silent)
     }
 
     fn draw_behaviour(&mut self) -> Behaviour {
@@ -182,7 +204,10 @@
             Behaviour::Repeats,
             Behaviour::Closes,
         ];
-        behaviours.choose(&mut self.rng).copied().unwrap_or(Behaviour::Hangs)
+        behaviours
+            .choose(&mut self.rng)
+            .copied()
+            .unwrap_or(Behaviour::Hangs)
     }
 
     fn draw_part<T>(&mut self, mut all: Vec<T>) -> Vec<T> {
@@ -223,7 +248,9 @@
                 } else {
                     shut_down(&world, gateway, &mut rng).await
                 };
-                processes.start_again(&world, index, addresses, call_faults).await
+                processes
+                    .start_again(&world, index, addresses, call_faults)
+                    .await
             });
         }
         while let Some(ended) = restarts.join_next().await {
@@ -252,7 +279,9 @@
         indices.sort_unstable();
         for index in indices {
             let mut gateways = self.processes.gateways.borrow_mut();
-            let Some(gateway) = gateways.get_mut(&index) else { continue };
+            let Some(gateway) = gateways.get_mut(&index) else {
+                continue;
+            };
             let mut addresses = gateway.addresses();
             addresses.discovery = address;
             gateway.reload(&self.world, &self.processes.launcher, addresses)?;
@@ -326,5 +355,9 @@
         return None;
     }
     let chosen: Vec<_> = kinds.choose_multiple(rng, 3).copied().collect();
-    Some(format!("seed={},{}", rng.random_range(1..1000), chosen.join(",")))
+    Some(format!(
+        "seed={},{}",
+        rng.random_range(1..1000),
+        chosen.join(",")
+    ))
 }
--- a/soak/src/fleet.rs
+++ b/soak/src/fleet.rs
@@ -75,7 +75,10 @@
 impl Fleet {
     /// No endpoints yet.
     pub fn new() -> Self {
-        Fleet { endpoints: Vec::new(), version: FIRST_VERSION }
+        Fleet {
+            endpoints: Vec::new(),
+            version: FIRST_VERSION,
+        }
     }
 
     /// Adds an endpoint that has just started, or started long ago. Returns its number.
@@ -83,7 +86,9 @@
         if is_cold {
             self.version += 1;
         }
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or(Duration::ZERO);
         self.endpoints.push(Endpoint {
             address,
             listed_state: ListedState::Ready,
@@ -113,7 +118,9 @@
 
     /// The complete list, as discovery writes it.
     pub fn complete_list(&self) -> String {
-        self.list(true, |endpoint| !matches!(endpoint.listed_state, ListedState::Gone(_)))
+        self.list(true, |endpoint| {
+            !matches!(endpoint.listed_state, ListedState::Gone(_))
+        })
     }
 
     /// What changed after a version, as discovery writes it.
@@ -124,9 +131,14 @@
     fn list(&self, complete: bool, is_named: impl Fn(&Endpoint) -> bool) -> String {
         let numbered = self.endpoints.iter().enumerate();
         let named = numbered.filter(|(_, endpoint)| is_named(endpoint));
-        let entries: Vec<_> = named.map(|(number, endpoint)| entry(number, endpoint)).collect();
+        let entries: Vec<_> = named
+            .map(|(number, endpoint)| entry(number, endpoint))
+            .collect();
         let version = self.version;
-        format!("{{\"version\":{version},\"full\":{complete},\"servers\":[{}]}}", entries.join(","))
+        format!(
+            "{{\"version\":{version},\"full\":{complete},\"servers\":[{}]}}",
+            entries.join(",")
+        )
     }
 }
 
--- a/soak/src/gateway.rs
+++ b/soak/src/gateway.rs
@@ -29,7 +29,8 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 const READY_REQUEST: &[u8] = b"GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-const METRICS_REQUEST: &[u8] = b"GET /health/metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
+const METRICS_REQUEST: &[u8] =
+    b"GET /health/metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
 /// An exchange of a check with a gateway takes no longer.
 const CHECK_TIMEOUT: Duration = Duration::from_secs(2);
 /// Half of the memory that a gateway may have.
@@ -116,11 +117,18 @@
         let config = gateway_config(index, launcher.site, &addresses, &known, seed);
         std::fs::write(&config_path, config.to_string())?;
         let mut command = Command::new(&launcher.program);
-        command.env("RELAY_CONFIG", &config_path).env("RELAY_LOG", log_level(launcher));
+        command
+            .env("RELAY_CONFIG", &config_path)
+            .env("RELAY_LOG", log_level(launcher));
         if let (Some(library), Some(call_faults)) = (&launcher.faults_library, &call_faults) {
-            command.env("LD_PRELOAD", library).env("GATEWAY_FAULTS", call_faults);
+            command
+                .env("LD_PRELOAD", library)
+                .env("GATEWAY_FAULTS", call_faults);
         }
-        command.stdin(Stdio::null()).stderr(Stdio::piped()).kill_on_drop(true);
+        command
+            .stdin(Stdio::null())
+            .stderr(Stdio::piped())
+            .kill_on_drop(true);
         let mut child = command.spawn()?;
         if let (Some(pid), Some(sharing)) = (child.id(), world.conditions.gateways_per_processor) {
             bind_to_processor(Pid::from_raw(pid as i32), index / sharing)?;
@@ -129,7 +137,13 @@
             let file = open_log(launcher, index, generation);
             spawn_local(read_log(world.clone(), index, BufReader::new(log), file));
         }
-        Ok(Gateway { index, child, addresses, config_path, call_faults })
+        Ok(Gateway {
+            index,
+            child,
+            addresses,
+            config_path,
+            call_faults,
+        })
     }
 
     /// Its number.
@@ -147,8 +161,10 @@
         let started_at = Instant::now();
         while started_at.elapsed() < READY_TIMEOUT {
             if let Ok(Some(status)) = self.child.try_wait() {
-                let detail =
-                    format!("gateway {} ended at its start: {status}, {:?}", self.index, self.call_faults);
+                let detail = format!(
+                    "gateway {} ended at its start: {status}, {:?}",
+                    self.index, self.call_faults
+                );
                 world.judge.borrow_mut().report(Rule::Process, detail);
                 return false;
             }
@@ -158,7 +174,10 @@
             }
             sleep(READY_POLL_INTERVAL).await;
         }
-        let detail = format!("gateway {} is not ready in time, {:?}", self.index, self.call_faults);
+        let detail = format!(
+            "gateway {} is not ready in time, {:?}",
+            self.index, self.call_faults
+        );
         world.judge.borrow_mut().report(Rule::Process, detail);
         false
     }
@@ -169,7 +188,10 @@
             let mut connection = Connection::new(stream);
             connection.send(request).await.ok()?;
             let answer = connection.receive().await.ok()??;
-            Some((answer.status(), String::from_utf8_lossy(&answer.body).into_owned()))
+            Some((
+                answer.status(),
+                String::from_utf8_lossy(&answer.body).into_owned(),
+            ))
         };
         timeout(CHECK_TIMEOUT, exchange).await.ok().flatten()
     }
@@ -177,8 +199,14 @@
     /// The number of broken rules that the gateway has counted; none if it does not say.
     pub async fn own_violations(&self) -> Option<u64> {
         let (_, text) = self.check(METRICS_REQUEST).await?;
-        let counts = text.lines().filter(|line| line.starts_with("gateway_rule_violations_total"));
-        Some(counts.filter_map(|line| line.rsplit(' ').next()?.parse::<u64>().ok()).sum())
+        let counts = text
+            .lines()
+            .filter(|line| line.starts_with("gateway_rule_violations_total"));
+        Some(
+            counts
+                .filter_map(|line| line.rsplit(' ').next()?.parse::<u64>().ok())
+                .sum(),
+        )
     }
 
     fn signal(&self, signal: Signal) {
@@ -205,10 +233,18 @@
         launcher: &Launcher,
         addresses: Addresses,
     ) -> std::io::Result<()> {
-        let config = gateway_config(self.index, launcher.site, &addresses, &Value::Null, world.seed);
+        let config = gateway_config(
+            self.index,
+            launcher.site,
+            &addresses,
+            &Value::Null,
+            world.seed,
+        );
         self.write_config(&config.to_string())?;
         self.addresses = addresses;
-        world.gateways.borrow_mut()[self.index].reloaded_at.push(Instant::now());
+        world.gateways.borrow_mut()[self.index]
+            .reloaded_at
+            .push(Instant::now());
         self.signal(Signal::SIGHUP);
         Ok(())
     }
@@ -232,8 +268,10 @@
         let terminated_at = Instant::now();
         world.gateways.borrow_mut()[self.index].terminated_at = Some(terminated_at);
         self.signal(Signal::SIGTERM);
-        let disturbing =
-            self.child.id().map(|pid| spawn_local(plan.carry_out(Pid::from_raw(pid as i32), terminated_at)));
+        let disturbing = self
+            .child
+            .id()
+            .map(|pid| spawn_local(plan.carry_out(Pid::from_raw(pid as i32), terminated_at)));
         let front = spawn_local(withdraw_from_front(world.clone(), self.index));
         let kill_at = terminated_at + world.conditions.kill_after();
         let ended = tokio::time::timeout_at(kill_at, self.child.wait()).await;
@@ -242,7 +280,10 @@
         match ended {
             Ok(Ok(status)) if status.success() => {}
             Ok(status) => {
-                let detail = format!("gateway {} ended with {status:?}, {:?}", self.index, self.call_faults);
+                let detail = format!(
+                    "gateway {} ended with {status:?}, {:?}",
+                    self.index, self.call_faults
+                );
                 world.judge.borrow_mut().report(Rule::Process, detail);
             }
             Err(_) => {
@@ -278,14 +319,23 @@
 
     /// A process that has ended without being told to has crashed; one that has taken too much memory might have been.
     pub fn check_process(&mut self, world: &World) {
-        let peak_kb = self.child.id().map_or(0.0, |pid| peak_memory_kb(&pid.to_string()));
+        let peak_kb = self
+            .child
+            .id()
+            .map_or(0.0, |pid| peak_memory_kb(&pid.to_string()));
         if peak_kb > MAX_MEMORY_KB {
             let detail = format!("gateway {} has taken {peak_kb} kB", self.index);
             world.judge.borrow_mut().report(Rule::Process, detail);
         }
-        world.judge.borrow_mut().note_largest("kB of memory at most", peak_kb as u64);
+        world
+            .judge
+            .borrow_mut()
+            .note_largest("kB of memory at most", peak_kb as u64);
         if let Ok(Some(status)) = self.child.try_wait() {
-            let detail = format!("gateway {} has crashed: {status}, {:?}", self.index, self.call_faults);
+            let detail = format!(
+                "gateway {} has crashed: {status}, {:?}",
+                self.index, self.call_faults
+            );
             world.judge.borrow_mut().report(Rule::Process, detail);
         }
     }
@@ -307,7 +357,9 @@
 /// Lets a process run on one of this machine's processors alone, the one of this number, counted round.
 fn bind_to_processor(pid: Pid, number: usize) -> std::io::Result<()> {
     let available = sched_getaffinity(Pid::from_raw(0))?;
-    let allowed: Vec<_> = (0..CpuSet::count()).filter(|cpu| available.is_set(*cpu) == Ok(true)).collect();
+    let allowed: Vec<_> = (0..CpuSet::count())
+        .filter(|cpu| available.is_set(*cpu) == Ok(true))
+        .collect();
     let mut only = CpuSet::new();
     if let Some(cpu) = allowed.get(number % allowed.len().max(1)) {
         only.set(*cpu)?;
@@ -340,7 +392,10 @@
     let mut lines = log.lines();
     while let Ok(Some(line)) = lines.next_line().await {
         if line.contains("rule broken") || line.contains("panic") {
-            world.judge.borrow_mut().report(Rule::OwnCheck, format!("gateway {index}: {line}"));
+            world
+                .judge
+                .borrow_mut()
+                .report(Rule::OwnCheck, format!("gateway {index}: {line}"));
         }
         if let Some(file) = &mut file {
             let _ = writeln!(file, "{line}");
--- a/soak/src/gateway_config.rs
+++ b/soak/src/gateway_config.rs
@@ -44,7 +44,13 @@
 }
 
 /// The configuration of one gateway.
-pub fn gateway_config(index: usize, site: Site, addresses: &Addresses, known: &Value, seed: u64) -> Value {
+pub fn gateway_config(
+    index: usize,
+    site: Site,
+    addresses: &Addresses,
+    known: &Value,
+    seed: u64,
+) -> Value {
     json!({
         "name": format!("n{index}"),
         "listen": addresses.listen,
--- a/soak/src/http.rs
+++ b/soak/src/http.rs
@@ -40,7 +40,8 @@
 
     /// True if the peer closes the connection behind this.
     pub fn closes(&self) -> bool {
-        self.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"))
+        self.header("connection")
+            .is_some_and(|value| value.eq_ignore_ascii_case("close"))
     }
 }
 
@@ -64,7 +65,12 @@
     /// Small writes are sent at once.
     pub fn new(stream: TcpStream) -> Self {
         let _ = stream.set_nodelay(true);
-        Connection { stream, received: Vec::new(), began_at: Instant::now(), has_partial: false }
+        Connection {
+            stream,
+            received: Vec::new(),
+            began_at: Instant::now(),
+            has_partial: false,
+        }
     }
 
     /// The next message; `None` once the peer has closed the connection.
@@ -88,17 +94,26 @@
     }
 
     fn take_message(&mut self) -> Option<Message> {
-        let head_end = self.received.windows(HEAD_END.len()).position(|window| window == HEAD_END)?;
+        let head_end = self
+            .received
+            .windows(HEAD_END.len())
+            .position(|window| window == HEAD_END)?;
         let head = String::from_utf8_lossy(&self.received[..head_end]).into_owned();
         let body_start = head_end + HEAD_END.len();
-        let length = header(&head, "content-length").and_then(|value| value.parse().ok()).unwrap_or(0);
+        let length = header(&head, "content-length")
+            .and_then(|value| value.parse().ok())
+            .unwrap_or(0);
         if self.received.len() < body_start + length {
             return None;
         }
         let body = self.received[body_start..body_start + length].to_vec();
         self.received.drain(..body_start + length);
         self.has_partial = !self.received.is_empty();
-        Some(Message { head, body, began_at: self.began_at })
+        Some(Message {
+            head,
+            body,
+            began_at: self.began_at,
+        })
     }
 
     /// True if the peer has closed or broken the connection, and that has arrived here.
@@ -117,7 +132,10 @@
 
     /// Sends a response; `headers` are whole lines.
     pub async fn respond(&mut self, status: u16, headers: &str, body: &str) -> io::Result<()> {
-        let head = format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n", body.len());
+        let head = format!(
+            "HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n",
+            body.len()
+        );
         self.send((head + body).as_bytes()).await
     }
 
--- a/soak/src/judge.rs
+++ b/soak/src/judge.rs
@@ -63,7 +63,13 @@
 
 impl Display for Violation {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
-        write!(formatter, "{:8.3} s {:?}: {}", self.at.as_secs_f64(), self.rule, self.detail)
+        write!(
+            formatter,
+            "{:8.3} s {:?}: {}",
+            self.at.as_secs_f64(),
+            self.rule,
+            self.detail
+        )
     }
 }
 
@@ -156,11 +162,21 @@
 
     /// A rule was broken.
     pub fn report(&mut self, rule: Rule, detail: String) {
-        self.violations.push(Violation { rule, detail, at: self.started_at.elapsed() });
+        self.violations.push(Violation {
+            rule,
+            detail,
+            at: self.started_at.elapsed(),
+        });
     }
 
     /// The last byte of a request is about to be written, for the first time or, on another connection, again.
-    pub fn request_sent(&mut self, transaction: u64, class: Class, gateway: usize, remaining: Duration) {
+    pub fn request_sent(
+        &mut self,
+        transaction: u64,
+        class: Class,
+        gateway: usize,
+        remaining: Duration,
+    ) {
         let sent_at = Instant::now();
         let seen = self.requests.entry(transaction).or_insert(Seen {
             class,
@@ -192,7 +208,9 @@
     /// True if an endpoint has got an attempt of this request.
     #[must_use]
     pub fn was_forwarded(&self, transaction: u64) -> bool {
-        self.requests.get(&transaction).is_some_and(|seen| seen.attempts > 0)
+        self.requests
+            .get(&transaction)
+            .is_some_and(|seen| seen.attempts > 0)
     }
 
     /// An attempt has come whole to an endpoint.
@@ -206,7 +224,9 @@
         let client_deadline = seen.sent_at + seen.remaining;
         let left = client_deadline.saturating_duration_since(attempt.began_at);
         let late_by = |since: Option<Instant>| {
-            since.map_or(Duration::ZERO, |since| attempt.began_at.saturating_duration_since(since))
+            since.map_or(Duration::ZERO, |since| {
+                attempt.began_at.saturating_duration_since(since)
+            })
         };
         let after_close = late_by(seen.closed_at);
         let after_drain = late_by(attempt.drain_notified_at);
@@ -215,13 +235,22 @@
             attempt.transaction, seen.gateway, attempt.endpoint
         );
         if after_close > CLOSE_GRACE + attempt.lag {
-            self.report(Rule::ClientGone, format!("{ids}: {after_close:?} after the close"));
+            self.report(
+                Rule::ClientGone,
+                format!("{ids}: {after_close:?} after the close"),
+            );
         }
         if after_drain > self.figures.drain_grace + SOCKET_SLACK + attempt.lag {
-            self.report(Rule::Drain, format!("{ids}: {after_drain:?} after the notice"));
+            self.report(
+                Rule::Drain,
+                format!("{ids}: {after_drain:?} after the notice"),
+            );
         }
         if attempt.stated > left + REMAINING_SLACK + attempt.lag {
-            self.report(Rule::Remaining, format!("{ids}: {:?} stated, {left:?} left", attempt.stated));
+            self.report(
+                Rule::Remaining,
+                format!("{ids}: {:?} stated, {left:?} left", attempt.stated),
+            );
         }
         if let Some(started_at) = attempt.started_at {
             self.check_slow_start(&attempt, started_at, &ids);
@@ -237,17 +266,24 @@
         }
         let recent = self.cold.entry(attempt.endpoint).or_default();
         let window = figures.overload_window;
-        while recent.front().is_some_and(|at| attempt.began_at.saturating_duration_since(*at) > window) {
+        while recent
+            .front()
+            .is_some_and(|at| attempt.began_at.saturating_duration_since(*at) > window)
+        {
             recent.pop_front();
         }
         recent.push_back(attempt.began_at);
         let count = recent.len() as f64;
         let progress = age.as_secs_f64() / figures.warm_up.as_secs_f64();
         let share = figures.initial_share + (1.0 - figures.initial_share) * progress;
-        let borne = figures.overload_multiple * share * figures.capacity_per_s * window.as_secs_f64();
+        let borne =
+            figures.overload_multiple * share * figures.capacity_per_s * window.as_secs_f64();
         let margin = if borne < FEW_REQUESTS { 3.0 } else { 2.0 };
         if count > borne + margin * borne.sqrt() + margin {
-            self.report(Rule::SlowStart, format!("{ids}: {count} in {window:?}, {borne:.0} borne"));
+            self.report(
+                Rule::SlowStart,
+                format!("{ids}: {count} in {window:?}, {borne:.0} borne"),
+            );
         }
     }
 
@@ -255,9 +291,12 @@
     pub fn executed(&mut self, transaction: u64, endpoint: usize) -> bool {
         let now = Instant::now();
         let key_window = self.figures.key_window;
-        let Some(seen) = self.requests.get_mut(&transaction) else { return true };
+        let Some(seen) = self.requests.get_mut(&transaction) else {
+            return true;
+        };
         let first = seen.executed_at.first().copied();
-        let is_known = seen.class == Class::Order && first.is_some_and(|first| now - first < key_window);
+        let is_known =
+            seen.class == Class::Order && first.is_some_and(|first| now - first < key_window);
         if is_known {
             return false;
         }
@@ -276,10 +315,16 @@
     /// A request has its final answer.
     pub fn answered(&mut self, transaction: u64, status: u16, body: &[u8]) {
         self.count(&format!("answers {status}"));
-        let executed = self.requests.get(&transaction).is_some_and(|seen| !seen.executed_at.is_empty());
+        let executed = self
+            .requests
+            .get(&transaction)
+            .is_some_and(|seen| !seen.executed_at.is_empty());
         if status == 200 && (!executed || body != answer_body(transaction).as_bytes()) {
             let text = String::from_utf8_lossy(body).into_owned();
-            self.report(Rule::WrongAnswer, format!("txn {transaction:016x}: {text:?}"));
+            self.report(
+                Rule::WrongAnswer,
+                format!("txn {transaction:016x}: {text:?}"),
+            );
         }
     }
 
@@ -287,7 +332,8 @@
     pub fn lost(&mut self, transaction: u64, how: &str) {
         let gateway = self.gateway_of(transaction);
         let forwarded = self.was_forwarded(transaction);
-        let detail = format!("txn {transaction:016x} of gateway {gateway:?}, forwarded: {forwarded}: {how}");
+        let detail =
+            format!("txn {transaction:016x} of gateway {gateway:?}, forwarded: {forwarded}: {how}");
         self.report(Rule::Lost, detail);
     }
 }
--- a/soak/src/judge/tests.rs
+++ b/soak/src/judge/tests.rs
@@ -31,7 +31,11 @@
 }
 
 fn rules(judge: &Judge) -> Vec<Rule> {
-    judge.violations.iter().map(|violation| violation.rule).collect()
+    judge
+        .violations
+        .iter()
+        .map(|violation| violation.rule)
+        .collect()
 }
 
 #[tokio::test(start_paused = true)]
@@ -42,16 +46,35 @@
     judge.client_closed(1);
     advance(MS(100)).await;
     let drain_notified_at = Some(Instant::now() - MS(2050));
-    judge.attempt(SeenAttempt { stated: MS(1050), drain_notified_at, ..attempt(1) });
+    judge.attempt(SeenAttempt {
+        stated: MS(1050),
+        drain_notified_at,
+        ..attempt(1)
+    });
     assert_eq!(rules(&judge), []);
     advance(MS(1)).await;
-    judge.attempt(SeenAttempt { stated: MS(900), ..attempt(1) });
+    judge.attempt(SeenAttempt {
+        stated: MS(900),
+        ..attempt(1)
+    });
     assert_eq!(rules(&judge), [Rule::ClientGone]);
-    judge.attempt(SeenAttempt { lag: MS(2), stated: MS(1052), ..attempt(1) });
-    assert_eq!(rules(&judge).len(), 2, "the lag is allowed for: {:?}", judge.violations);
+    judge.attempt(SeenAttempt {
+        lag: MS(2),
+        stated: MS(1052),
+        ..attempt(1)
+    });
+    assert_eq!(
+        rules(&judge).len(),
+        2,
+        "the lag is allowed for: {:?}",
+        judge.violations
+    );
     let drain_notified_at = Some(Instant::now() - MS(2051));
     judge.request_sent(2, Class::Once, 0, MS(1000));
-    judge.attempt(SeenAttempt { drain_notified_at, ..attempt(2) });
+    judge.attempt(SeenAttempt {
+        drain_notified_at,
+        ..attempt(2)
+    });
     assert_eq!(rules(&judge)[2..], [Rule::Drain]);
 }
 
@@ -86,7 +109,15 @@
     judge.answered(3, 200, answer_body(3).as_bytes());
     judge.attempt(attempt(9));
     judge.lost(3, "closed");
-    assert_eq!(rules(&judge), [Rule::WrongAnswer, Rule::WrongAnswer, Rule::WrongAnswer, Rule::Lost]);
+    assert_eq!(
+        rules(&judge),
+        [
+            Rule::WrongAnswer,
+            Rule::WrongAnswer,
+            Rule::WrongAnswer,
+            Rule::Lost
+        ]
+    );
 }
 
 /// At first 4 * 0.2 * 10 = 8 are borne in a second, with a margin of 3 roots and 3.
@@ -96,9 +127,15 @@
     judge.request_sent(1, Class::Look, 0, MS(1000));
     let started_at = Some(Instant::now());
     for _ in 0..19 {
-        judge.attempt(SeenAttempt { started_at, ..attempt(1) });
+        judge.attempt(SeenAttempt {
+            started_at,
+            ..attempt(1)
+        });
     }
     assert_eq!(rules(&judge), []);
-    judge.attempt(SeenAttempt { started_at, ..attempt(1) });
+    judge.attempt(SeenAttempt {
+        started_at,
+        ..attempt(1)
+    });
     assert_eq!(rules(&judge), [Rule::SlowStart]);
 }
--- a/soak/src/lag.rs
+++ b/soak/src/lag.rs
@@ -22,8 +22,10 @@
 impl Lag {
     /// Starts to measure.
     pub fn start() -> Self {
-        let lag =
-            Lag { worst: Rc::new(Cell::new((Instant::now(), Duration::ZERO))), worst_ever: Rc::default() };
+        let lag = Lag {
+            worst: Rc::new(Cell::new((Instant::now(), Duration::ZERO))),
+            worst_ever: Rc::default(),
+        };
         spawn_local(lag.clone().measure());
         lag
     }
--- a/soak/src/misbehaving_clients.rs
+++ b/soak/src/misbehaving_clients.rs
@@ -31,7 +31,11 @@
     while !world.has_ended() {
         sleep(Duration::from_millis(rng.random_range(PAUSE_MS))).await;
         let gateway = rng.random_range(0..world.gateways.borrow().len());
-        let delay = Duration::from_millis(if rng.random() { 0 } else { rng.random_range(0..2200) });
+        let delay = Duration::from_millis(if rng.random() {
+            0
+        } else {
+            rng.random_range(0..2200)
+        });
         let text = TEXTS[rng.random_range(0..TEXTS.len())];
         let (address, generation) = {
             let gateways = world.gateways.borrow();
@@ -40,19 +44,26 @@
             }
             (gateways[gateway].address, gateways[gateway].generation)
         };
-        let Ok(stream) = TcpStream::connect(address).await else { continue };
+        let Ok(stream) = TcpStream::connect(address).await else {
+            continue;
+        };
         let connected_at = Instant::now();
         let mut connection = Connection::new(stream);
         sleep(delay).await;
         let _ = connection.send(text.as_bytes()).await;
-        let is_over = timeout(PATIENCE + Duration::from_secs(2), connection.receive()).await.is_ok();
+        let is_over = timeout(PATIENCE + Duration::from_secs(2), connection.receive())
+            .await
+            .is_ok();
         let took = connected_at.elapsed();
         let allowed = PATIENCE + world.lag.allowance();
         let state_changed = world.gateways.borrow()[gateway].generation != generation;
         world.judge.borrow_mut().count("misbehaving clients");
         if (!is_over || took > allowed) && !state_changed {
             let detail = format!("gateway {gateway}: {took:?} for {text:?}, sent after {delay:?}");
-            world.judge.borrow_mut().report(Rule::MisbehavingClient, detail);
+            world
+                .judge
+                .borrow_mut()
+                .report(Rule::MisbehavingClient, detail);
         }
     }
 }
--- a/soak/src/outcome.rs
+++ b/soak/src/outcome.rs
@@ -57,10 +57,17 @@
     let sent_at = Instant::now();
     match timeout(request.remaining + ANSWER_SLACK, connection.receive()).await {
         Ok(Ok(Some(answer))) => {
-            world.judge.borrow_mut().answered(request.transaction, answer.status(), &answer.body);
+            world
+                .judge
+                .borrow_mut()
+                .answered(request.transaction, answer.status(), &answer.body);
             End::Answered(answer)
         }
-        Ok(result) => End::Closed(Close::seen(&result, sent_at.elapsed(), world.lag.allowance())),
+        Ok(result) => End::Closed(Close::seen(
+            &result,
+            sent_at.elapsed(),
+            world.lag.allowance(),
+        )),
         Err(_) => End::TimedOut,
     }
 }
--- a/soak/src/process_state.rs
+++ b/soak/src/process_state.rs
@@ -5,16 +5,30 @@
 
 /// Names, states and system calls of all threads, for a report. What can't be read is left out.
 pub fn thread_states(pid: u32) -> String {
-    let Ok(threads) = fs::read_dir(format!("/proc/{pid}/task")) else { return String::new() };
-    let states: Vec<_> = threads.flatten().map(|thread| thread_state(&thread.path())).collect();
+    let Ok(threads) = fs::read_dir(format!("/proc/{pid}/task")) else {
+        return String::new();
+    };
+    let states: Vec<_> = threads
+        .flatten()
+        .map(|thread| thread_state(&thread.path()))
+        .collect();
     states.join("; ")
 }
 
 fn thread_state(thread: &Path) -> String {
     let read = |file: &str| fs::read_to_string(thread.join(file)).unwrap_or_default();
     let status = read("status");
-    let state = status.lines().find_map(|line| line.strip_prefix("State:")).unwrap_or("").trim().to_owned();
+    let state = status
+        .lines()
+        .find_map(|line| line.strip_prefix("State:"))
+        .unwrap_or("")
+        .trim()
+        .to_owned();
     // Its first word is the number of the call.
     let call = read("syscall").trim().to_owned();
-    format!("{} {state}, call {call}, {}", read("comm").trim(), read("wchan"))
+    format!(
+        "{} {state}, call {call}, {}",
+        read("comm").trim(),
+        read("wchan")
+    )
 }
--- a/soak/src/request.rs
+++ b/soak/src/request.rs
@@ -45,15 +45,29 @@
 
     /// The next request, with an id of its own.
     pub fn next(&mut self) -> Request {
-        let class = *[Class::Look, Class::Order, Class::Once].choose(&mut self.rng).unwrap_or(&Class::Look);
+        let class = *[Class::Look, Class::Order, Class::Once]
+            .choose(&mut self.rng)
+            .unwrap_or(&Class::Look);
         let longest = self.world.conditions.deadline(class);
-        let shortest = longest.mul_f64(MIN_REMAINING_PART).max(MIN_REMAINING).min(longest / 2);
+        let shortest = longest
+            .mul_f64(MIN_REMAINING_PART)
+            .max(MIN_REMAINING)
+            .min(longest / 2);
         let remaining = self.rng.random_range(shortest..longest);
         let transaction = self.world.next_transaction();
         let customer = self.number * CUSTOMERS + self.rng.random_range(0..CUSTOMERS);
-        let body_length = if class == Class::Look { 0 } else { self.rng.random_range(BODY_BYTES) };
+        let body_length = if class == Class::Look {
+            0
+        } else {
+            self.rng.random_range(BODY_BYTES)
+        };
         let text = request_text(class, transaction, customer, remaining, body_length);
-        Request { transaction, class, remaining, text }
+        Request {
+            transaction,
+            class,
+            remaining,
+            text,
+        }
     }
 }
 
--- a/soak/src/shutdown_clients.rs
+++ b/soak/src/shutdown_clients.rs
@@ -66,8 +66,10 @@
     async fn run(mut self, terminated_at: Instant) {
         let started_at = Instant::now();
         let connect_after = self.rng.random_range(Duration::ZERO..LEAD + FRONT_DELAY);
-        let send_at =
-            terminated_at + self.rng.random_range(Duration::ZERO..self.world.conditions.kill_after());
+        let send_at = terminated_at
+            + self
+                .rng
+                .random_range(Duration::ZERO..self.world.conditions.kill_after());
         sleep_until(started_at + connect_after).await;
         let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address)).await;
         let Ok(Ok(stream)) = connecting else { return };
@@ -98,7 +100,10 @@
         if pattern == SendPattern::TwoAtOnce {
             requests.push(self.requests.next());
         }
-        let text: String = requests.iter().map(|request| request.text.as_str()).collect();
+        let text: String = requests
+            .iter()
+            .map(|request| request.text.as_str())
+            .collect();
         let mut rest = text.as_bytes();
         if pattern == SendPattern::InTwoPieces {
             let (first, last) = rest.split_at(self.rng.random_range(1..rest.len()));
@@ -110,12 +115,19 @@
             rest = last;
         }
         if connection.is_closed_by_peer() {
-            return self.world.judge.borrow_mut().count("connections closed before the last request");
+            return self
+                .world
+                .judge
+                .borrow_mut()
+                .count("connections closed before the last request");
         }
         for request in &requests {
             self.note_sent(request);
         }
-        self.world.judge.borrow_mut().count("requests at a gateway's end");
+        self.world
+            .judge
+            .borrow_mut()
+            .count("requests at a gateway's end");
         // As above.
         let _ = connection.send(rest).await;
         for request in &requests {
@@ -127,7 +139,12 @@
 
     fn note_sent(&self, request: &Request) {
         let mut judge = self.world.judge.borrow_mut();
-        judge.request_sent(request.transaction, request.class, self.gateway, request.remaining);
+        judge.request_sent(
+            request.transaction,
+            request.class,
+            self.gateway,
+            request.remaining,
+        );
     }
 
     /// Waits for an answer; false if nothing more is answered behind it.
@@ -135,7 +152,11 @@
         match receive(&self.world, connection, request).await {
             End::Answered(answer) => return !answer.closes(),
             End::Closed(close) => self.judge_unanswered(request, close),
-            End::TimedOut => self.world.judge.borrow_mut().lost(request.transaction, "no answer in time"),
+            End::TimedOut => self
+                .world
+                .judge
+                .borrow_mut()
+                .lost(request.transaction, "no answer in time"),
         }
         false
     }
@@ -145,7 +166,9 @@
     fn judge_unanswered(&self, request: &Request, close: Close) {
         let mut judge = self.world.judge.borrow_mut();
         match close {
-            Close::Dropped => judge.lost(request.transaction, "read and dropped at the gateway's end"),
+            Close::Dropped => {
+                judge.lost(request.transaction, "read and dropped at the gateway's end");
+            }
             Close::Unread if judge.was_forwarded(request.transaction) => {
                 judge.lost(request.transaction, "not answered at the gateway's end");
             }
--- a/soak/src/shutdown_plan.rs
+++ b/soak/src/shutdown_plan.rs
@@ -26,7 +26,10 @@
     /// One for a process that is killed after this time.
     pub fn draw(rng: &mut ChaCha8Rng, kill_after: Duration, repeats_signals: bool) -> Self {
         let held_up_after = rng.random_range(Duration::ZERO..kill_after);
-        ShutdownPlan { held_up_after: rng.random::<bool>().then_some(held_up_after), repeats_signals }
+        ShutdownPlan {
+            held_up_after: rng.random::<bool>().then_some(held_up_after),
+            repeats_signals,
+        }
     }
 
     /// Carries the plan out, until it is aborted.
--- a/soak/src/soak.rs
+++ b/soak/src/soak.rs
@@ -130,7 +130,10 @@
 impl Soak {
     /// The runs that were asked for.
     pub fn each_run(&self) -> impl Iterator<Item = Soak> + '_ {
-        (0..self.runs).map(|number| Soak { seed: self.seed.wrapping_add(number), ..self.clone() })
+        (0..self.runs).map(|number| Soak {
+            seed: self.seed.wrapping_add(number),
+            ..self.clone()
+        })
     }
 
     /// Makes one run, with the first seed.
@@ -139,7 +142,9 @@
     ///
     /// Fails if the system refuses a socket or a process.
     pub fn run(&self) -> Result<SoakReport, SoakError> {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()?;
         LocalSet::new().block_on(&runtime, self.play())
     }
 
@@ -150,18 +155,32 @@
     /// Fails if one is out of range, or a file is not there.
     pub fn check(&self) -> Result<(), SoakError> {
         within("--gateways", self.size.gateways as u64, MAX_GATEWAYS as u64)?;
-        within("--endpoints", self.size.endpoints as u64, MAX_ENDPOINTS as u64)?;
+        within(
+            "--endpoints",
+            self.size.endpoints as u64,
+            MAX_ENDPOINTS as u64,
+        )?;
         within("--clients", self.size.clients as u64, MAX_CLIENTS as u64)?;
         within("--seconds", self.size.seconds, MAX_SECONDS)?;
         within("--runs", self.runs, MAX_RUNS)?;
         is_there("--program", &self.program)?;
-        self.faults_library.as_ref().map_or(Ok(()), |library| is_there("--faults-library", library))
+        self.faults_library
+            .as_ref()
+            .map_or(Ok(()), |library| is_there("--faults-library", library))
     }
 
     async fn play(&self) -> Result<SoakReport, SoakError> {
         let ends_at = Instant::now() + Duration::from_secs(self.size.seconds);
-        let conditions = if self.calm { Conditions::calm() } else { Conditions::draw(self.seed) };
-        let run = RunSettings { conditions, seed: self.seed, is_polled: self.polled };
+        let conditions = if self.calm {
+            Conditions::calm()
+        } else {
+            Conditions::draw(self.seed)
+        };
+        let run = RunSettings {
+            conditions,
+            seed: self.seed,
+            is_polled: self.polled,
+        };
         let world = Rc::new(World::new(Judge::new(RULES), Lag::start(), ends_at, run));
         let processes = Rc::new(self.start_processes(&world).await?);
         let mut load = self.start_load(&world);
@@ -172,7 +191,10 @@
         } else {
             faults::run(world.clone(), processes.clone()).await;
         }
-        let _ = tokio::time::timeout(SETTLE_TIME, async { while load.join_next().await.is_some() {} }).await;
+        let _ = tokio::time::timeout(SETTLE_TIME, async {
+            while load.join_next().await.is_some() {}
+        })
+        .await;
         Self::finish(&world, &processes).await;
         Ok(self.report(&world))
     }
@@ -188,16 +210,33 @@
         let counter = counter::start(world).await?;
         let launcher = Launcher {
             program: self.program.clone(),
-            site: Site { gateways: self.size.gateways, is_polled: self.polled, conditions: world.conditions },
+            site: Site {
+                gateways: self.size.gateways,
+                is_polled: self.polled,
+                conditions: world.conditions,
+            },
             faults_library: self.faults_library.clone(),
             log_folder: self.logs.clone(),
         };
         let mut rng = crate::stream(self.seed, "call faults", 0);
         let mut gateways = HashMap::new();
         for index in 0..self.size.gateways {
-            let addresses = Addresses { listen: free_address()?, discovery: discovery.address, counter };
-            world.gateways.borrow_mut().push(GatewayState::new(addresses.listen));
-            let gateway = Gateway::start(world, &launcher, index, addresses, draw_call_faults(&mut rng))?;
+            let addresses = Addresses {
+                listen: free_address()?,
+                discovery: discovery.address,
+                counter,
+            };
+            world
+                .gateways
+                .borrow_mut()
+                .push(GatewayState::new(addresses.listen));
+            let gateway = Gateway::start(
+                world,
+                &launcher,
+                index,
+                addresses,
+                draw_call_faults(&mut rng),
+            )?;
             gateways.insert(index, gateway);
         }
         for gateway in gateways.values_mut() {
@@ -214,7 +253,9 @@
     fn start_load(&self, world: &Rc<World>) -> JoinSet<()> {
         let mut load = JoinSet::new();
         for number in 0..self.size.gateways * self.size.clients {
-            load.spawn_local(Client::new(world.clone(), number as u64, self.size.leaving_percent).run());
+            load.spawn_local(
+                Client::new(world.clone(), number as u64, self.size.leaving_percent).run(),
+            );
         }
         for number in 0..self.size.gateways * MISBEHAVING_CLIENTS_PER_GATEWAY {
             load.spawn_local(misbehaving_clients::run(world.clone(), number as u64));
@@ -268,14 +309,21 @@
     if (1..=max).contains(&value) {
         return Ok(());
     }
-    Err(SoakError::OutOfRange { argument, value, max })
+    Err(SoakError::OutOfRange {
+        argument,
+        value,
+        max,
+    })
 }
 
 fn is_there(argument: &'static str, path: &Path) -> Result<(), SoakError> {
     if path.is_file() {
         return Ok(());
     }
-    Err(SoakError::NotThere { argument, path: path.to_path_buf() })
+    Err(SoakError::NotThere {
+        argument,
+        path: path.to_path_buf(),
+    })
 }
 
 impl Display for SoakReport {
--- a/soak/src/world.rs
+++ b/soak/src/world.rs
@@ -128,8 +128,16 @@
             }
             (ServiceMode::Works, false) | (_, true) => {}
             (_, false) => {
-                let grace = if mode == ServiceMode::Silent { SILENCE_GRACE } else { FAILURE_GRACE };
-                outages.push(Outage { from: Instant::now(), until: None, grace });
+                let grace = if mode == ServiceMode::Silent {
+                    SILENCE_GRACE
+                } else {
+                    FAILURE_GRACE
+                };
+                outages.push(Outage {
+                    from: Instant::now(),
+                    until: None,
+                    grace,
+                });
             }
         }
         drop(outages);
@@ -140,26 +148,36 @@
     pub fn list_changes(&self) {
         let version = self.fleet.borrow().version;
         if self.discovery_mode.get() == ServiceMode::Works {
-            self.published_list.replace(self.fleet.borrow().complete_list());
+            self.published_list
+                .replace(self.fleet.borrow().complete_list());
         }
         let _ = self.list_changed.send(version);
     }
 
     /// When a change of this moment counts as notified to a gateway; none while that is open.
     pub fn notified_at(&self, gateway: usize, changed_at: Instant) -> Option<Instant> {
-        let mut notified_at = if self.is_polled { changed_at + FAILURE_GRACE } else { changed_at };
+        let mut notified_at = if self.is_polled {
+            changed_at + FAILURE_GRACE
+        } else {
+            changed_at
+        };
         for outage in self.discovery_outages.borrow().iter() {
             // A change shortly before an outage may be on its way still, or not have been asked for.
             if outage.from <= notified_at + Duration::from_millis(100) {
                 match outage.until {
                     None => return None,
-                    Some(until) if until + outage.grace > notified_at => notified_at = until + outage.grace,
+                    Some(until) if until + outage.grace > notified_at => {
+                        notified_at = until + outage.grace;
+                    }
                     Some(_) => {}
                 }
             }
         }
-        let reloads =
-            self.gateways.borrow().get(gateway).map_or(Vec::new(), |state| state.reloaded_at.clone());
+        let reloads = self
+            .gateways
+            .borrow()
+            .get(gateway)
+            .map_or(Vec::new(), |state| state.reloaded_at.clone());
         for reloaded_at in reloads {
             if reloaded_at <= notified_at && notified_at < reloaded_at + RELOAD_GRACE {
                 notified_at = reloaded_at + RELOAD_GRACE;
--- a/soak/tests/command.rs
+++ b/soak/tests/command.rs
@@ -5,10 +5,16 @@
 use std::process::{Command, Output};
 
 /// Built by the test command before the tests run.
-const PROGRAM: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../target/release/quota-gateway");
+const PROGRAM: &str = concat!(
+    env!("CARGO_MANIFEST_DIR"),
+    "/../target/release/quota-gateway"
+);
 
 fn soak(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_gateway-soak")).args(arguments).output().unwrap()
+    Command::new(env!("CARGO_BIN_EXE_gateway-soak"))
+        .args(arguments)
+        .output()
+        .unwrap()
 }
 
 #[test]
@@ -21,20 +27,39 @@
         (["--faults-library", "nowhere"], "--faults-library"),
     ] {
         let arguments = [&["--program", PROGRAM][..], &arguments[..]].concat();
-        let arguments = if named == "--program" { &arguments[2..] } else { &arguments[..] };
+        let arguments = if named == "--program" {
+            &arguments[2..]
+        } else {
+            &arguments[..]
+        };
         let output = soak(arguments);
         let error = String::from_utf8(output.stderr).unwrap();
         assert_eq!(output.status.code(), Some(2), "{error}");
-        assert!(error.contains(named) && error.trim_end().lines().count() == 1, "{error}");
+        assert!(
+            error.contains(named) && error.trim_end().lines().count() == 1,
+            "{error}"
+        );
     }
 }
 
 #[test]
 fn a_calm_run_serves_requests_and_breaks_no_rule_that_needs_no_clock() {
-    let size = ["--gateways", "3", "--endpoints", "6", "--seconds", "2", "--calm"];
+    let size = [
+        "--gateways",
+        "3",
+        "--endpoints",
+        "6",
+        "--seconds",
+        "2",
+        "--calm",
+    ];
     let output = soak(&[&["--program", PROGRAM][..], &size[..]].concat());
     let report = String::from_utf8(output.stdout).unwrap();
-    assert!(report.contains(" answers 200"), "{report}{}", String::from_utf8_lossy(&output.stderr));
+    assert!(
+        report.contains(" answers 200"),
+        "{report}{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     for rule in ["Duplicate", "WrongAnswer", "Process", "OwnCheck"] {
         assert!(!report.contains(&format!("s {rule}:")), "{report}");
     }
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -133,6 +133,9 @@
     /// Whether the outcome proves that nothing was executed, so that a retry repeats nothing.
     #[must_use]
     pub fn never_executed(self) -> bool {
-        matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
+        matches!(
+            self,
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
+        )
     }
 }
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -12,7 +12,8 @@
 pub use endpoint::{Endpoint, EndpointState, LoadReport};
 pub use event::{AttemptEnd, Event, Outcome, Request};
 pub use settings::{
-    Class, CounterSettings, Idempotency, KeyScope, Limits, LoadReporting, Plan, Prices, Rules, Settings,
+    Class, CounterSettings, Idempotency, KeyScope, Limits, LoadReporting, Plan, Prices, Rules,
+    Settings,
 };
 
 /// A moment on the gateway's clock or a span of it, in milliseconds. The clock's origin is arbitrary, but all
--- a/src/bin/quota-gateway/config/error.rs
+++ b/src/bin/quota-gateway/config/error.rs
@@ -13,9 +13,15 @@
     FileUnreadable { path: String, source: io::Error },
     /// Not JSON, or a field is missing or has the wrong type.
     #[error("configuration: {field}: {source}")]
-    Syntax { field: String, source: serde_json::Error },
+    Syntax {
+        field: String,
+        source: serde_json::Error,
+    },
     #[error("configuration: {field}: {problem}")]
-    InvalidField { field: String, problem: FieldProblem },
+    InvalidField {
+        field: String,
+        problem: FieldProblem,
+    },
 }
 
 impl ConfigError {
@@ -25,7 +31,10 @@
     }
 
     pub fn invalid(field: impl Into<String>, problem: FieldProblem) -> Self {
-        ConfigError::InvalidField { field: field.into(), problem }
+        ConfigError::InvalidField {
+            field: field.into(),
+            problem,
+        }
     }
 }
 
--- a/src/bin/quota-gateway/config/mod.rs
+++ b/src/bin/quota-gateway/config/mod.rs
@@ -66,7 +66,10 @@
 
 /// Reads the file that `RELAY_CONFIG` names, again for a while if that fails for a reason that may pass.
 pub async fn load() -> Result<Config, ConfigError> {
-    retry(READ_PATIENCE, ConfigError::may_pass, || async { load_once() }).await
+    retry(READ_PATIENCE, ConfigError::may_pass, || async {
+        load_once()
+    })
+    .await
 }
 
 fn load_once() -> Result<Config, ConfigError> {
@@ -80,9 +83,11 @@
 /// Reads the text of a configuration file.
 fn parse(text: &str) -> Result<Config, ConfigError> {
     let mut json = serde_json::Deserializer::from_str(text);
-    let file: WireConfig = serde_path_to_error::deserialize(&mut json).map_err(|error| {
-        ConfigError::Syntax { field: error.path().to_string(), source: error.into_inner() }
-    })?;
+    let file: WireConfig =
+        serde_path_to_error::deserialize(&mut json).map_err(|error| ConfigError::Syntax {
+            field: error.path().to_string(),
+            source: error.into_inner(),
+        })?;
     validate::validate(&file)?;
     let seed = u64::from_str_radix(&file.seed, 16)
         .map_err(|_| ConfigError::invalid("seed", FieldProblem::NotHexadecimal))?;
@@ -106,8 +111,16 @@
             max_sockets: file.limits.sockets,
             known_endpoints: file.known,
             settings: settings::library_settings(&wire),
-            class_names: wire.categories.into_iter().map(|class| class.name).collect(),
-            plan_names: wire.tiers_of_service.into_iter().map(|plan| plan.name).collect(),
+            class_names: wire
+                .categories
+                .into_iter()
+                .map(|class| class.name)
+                .collect(),
+            plan_names: wire
+                .tiers_of_service
+                .into_iter()
+                .map(|plan| plan.name)
+                .collect(),
             zone_names: wire.zones,
             kind_names: wire.kinds,
             connect_timeout_ms: wire.limits.connect_timeout_ms,
--- a/src/bin/quota-gateway/config/settings.rs
+++ b/src/bin/quota-gateway/config/settings.rs
@@ -1,11 +1,12 @@
 //! Converts the settings of the file into those of the decision library.
 
 use super::file::{
-    WireClass, WireDomain, WireEffect, WireKeyScope, WireLimits, WireMembershipMode, WirePenalties, WirePlan,
-    WireRules, WireSettings,
+    WireClass, WireDomain, WireEffect, WireKeyScope, WireLimits, WireMembershipMode, WirePenalties,
+    WirePlan, WireRules, WireSettings,
 };
 use quota_gateway::{
-    Class, CounterSettings, Idempotency, KeyScope, Limits, LoadReporting, Plan, Prices, Rules, Settings,
+    Class, CounterSettings, Idempotency, KeyScope, Limits, LoadReporting, Plan, Prices, Rules,
+    Settings,
 };
 
 /// The library's settings. `limits.max_connections` stays 0: it depends on the machine.
@@ -44,9 +45,10 @@
 fn idempotency(wire: &WireClass) -> Idempotency {
     match wire.effect {
         WireEffect::ReadLike => Idempotency::Idempotent,
-        WireEffect::IdempotencyKey => {
-            Idempotency::WithKey { scope: key_scope(wire.group), window_ms: wire.window_ms.unwrap_or(0.0) }
-        }
+        WireEffect::IdempotencyKey => Idempotency::WithKey {
+            scope: key_scope(wire.group),
+            window_ms: wire.window_ms.unwrap_or(0.0),
+        },
         WireEffect::NonIdempotent => Idempotency::NotIdempotent,
     }
 }
@@ -77,7 +79,10 @@
     if !wire.may_count {
         return None;
     }
-    Some(CounterSettings { timeout_ms: wire.counter_timeout_ms, call_price: wire.count_fee })
+    Some(CounterSettings {
+        timeout_ms: wire.counter_timeout_ms,
+        call_price: wire.count_fee,
+    })
 }
 
 fn limits(wire: &WireLimits) -> Limits {
--- a/src/bin/quota-gateway/config/validate.rs
+++ b/src/bin/quota-gateway/config/validate.rs
@@ -13,7 +13,9 @@
     let settings = &file.settings;
     check_durations(settings)?;
     if file.limits.sockets < MIN_SOCKETS {
-        let problem = FieldProblem::TooFewSockets { minimum: MIN_SOCKETS };
+        let problem = FieldProblem::TooFewSockets {
+            minimum: MIN_SOCKETS,
+        };
         return Err(ConfigError::invalid("limits.sockets", problem));
     }
     check_position(settings)?;
@@ -26,10 +28,19 @@
 fn check_durations(settings: &WireSettings) -> Result<(), ConfigError> {
     let limits = &settings.limits;
     let domain = &settings.domain;
-    check_range("settings.limits.connect-timeout-ms", limits.connect_timeout_ms)?;
+    check_range(
+        "settings.limits.connect-timeout-ms",
+        limits.connect_timeout_ms,
+    )?;
     check_range("settings.limits.idle-close-ms", limits.idle_close_ms)?;
-    check_range("settings.limits.max-retry-after-ms", limits.max_retry_after_ms)?;
-    check_range("settings.domain.counter-timeout-ms", domain.counter_timeout_ms)?;
+    check_range(
+        "settings.limits.max-retry-after-ms",
+        limits.max_retry_after_ms,
+    )?;
+    check_range(
+        "settings.domain.counter-timeout-ms",
+        domain.counter_timeout_ms,
+    )?;
     check_range("settings.domain.peer-intake", domain.peer_intake)?;
     check_range("settings.granularity-ms", settings.granularity_ms)?;
     check_range("settings.rules.warm-up-ms", settings.rules.warm_up_ms)
@@ -45,17 +56,26 @@
 
 fn check_position(settings: &WireSettings) -> Result<(), ConfigError> {
     if settings.balancers == 0 || settings.position >= settings.balancers {
-        return Err(ConfigError::invalid("settings.position", FieldProblem::NotBelowGatewayCount));
+        return Err(ConfigError::invalid(
+            "settings.position",
+            FieldProblem::NotBelowGatewayCount,
+        ));
     }
     if settings.locality as usize >= settings.zones.len() {
-        return Err(ConfigError::invalid("settings.locality", FieldProblem::NotAZoneIndex));
+        return Err(ConfigError::invalid(
+            "settings.locality",
+            FieldProblem::NotAZoneIndex,
+        ));
     }
     Ok(())
 }
 
 fn check_classes(classes: &[WireClass]) -> Result<(), ConfigError> {
     if classes.is_empty() {
-        return Err(ConfigError::invalid("settings.categories", FieldProblem::Empty));
+        return Err(ConfigError::invalid(
+            "settings.categories",
+            FieldProblem::Empty,
+        ));
     }
     for (index, class) in classes.iter().enumerate() {
         check_class(&format!("settings.categories[{index}]"), class)?;
@@ -70,10 +90,16 @@
         return Ok(());
     }
     if class.group.is_none() {
-        return Err(ConfigError::invalid(format!("{path}.group"), FieldProblem::MissingForKeyedClass));
+        return Err(ConfigError::invalid(
+            format!("{path}.group"),
+            FieldProblem::MissingForKeyedClass,
+        ));
     }
     if class.window_ms.is_none() {
-        return Err(ConfigError::invalid(format!("{path}.window-ms"), FieldProblem::MissingForKeyedClass));
+        return Err(ConfigError::invalid(
+            format!("{path}.window-ms"),
+            FieldProblem::MissingForKeyedClass,
+        ));
     }
     Ok(())
 }
@@ -84,7 +110,10 @@
         let store_fits = plan.refill >= 0.0 && (plan.store_size > 0.0 || no_quota);
         if !store_fits {
             let field = format!("settings.tiers-of-service[{index}].store-size");
-            return Err(ConfigError::invalid(field, FieldProblem::RefillWithoutStore));
+            return Err(ConfigError::invalid(
+                field,
+                FieldProblem::RefillWithoutStore,
+            ));
         }
     }
     Ok(())
@@ -92,7 +121,10 @@
 
 fn check_counter(file: &WireConfig) -> Result<(), ConfigError> {
     if file.settings.domain.may_count && file.counter.is_none() {
-        return Err(ConfigError::invalid("counter", FieldProblem::MissingCounter));
+        return Err(ConfigError::invalid(
+            "counter",
+            FieldProblem::MissingCounter,
+        ));
     }
     Ok(())
 }
--- a/src/bin/quota-gateway/counter/codec.rs
+++ b/src/bin/quota-gateway/counter/codec.rs
@@ -27,7 +27,10 @@
 /// The requests that together add the amount of a call.
 pub fn encode(call: &CounterCall, addr: SocketAddr) -> Vec<String> {
     let parts = split_amount(call.amount * SCALE);
-    parts.into_iter().map(|part| request(call, part, addr)).collect()
+    parts
+        .into_iter()
+        .map(|part| request(call, part, addr))
+        .collect()
 }
 
 fn request(call: &CounterCall, part: f64, addr: SocketAddr) -> String {
@@ -52,9 +55,18 @@
 /// Reads a response. Without a total that is a number the amount may or may not have been added.
 pub fn decode(status: u16, body: &[u8]) -> CounterReply {
     match (status, parse_total(body)) {
-        (200, Some(total)) => CounterReply { outcome: Outcome::Success, total: total / SCALE },
-        (503 | 400 | 404, _) => CounterReply { outcome: Outcome::Rejected, total: 0.0 },
-        _ => CounterReply { outcome: Outcome::ErrorResponse, total: 0.0 },
+        (200, Some(total)) => CounterReply {
+            outcome: Outcome::Success,
+            total: total / SCALE,
+        },
+        (503 | 400 | 404, _) => CounterReply {
+            outcome: Outcome::Rejected,
+            total: 0.0,
+        },
+        _ => CounterReply {
+            outcome: Outcome::ErrorResponse,
+            total: 0.0,
+        },
     }
 }
 
--- a/src/bin/quota-gateway/counter/codec/tests.rs
+++ b/src/bin/quota-gateway/counter/codec/tests.rs
@@ -11,7 +11,10 @@
 
 #[test]
 fn only_a_finite_number_is_a_total() {
-    let success = CounterReply { outcome: Outcome::Success, total: 2.0 };
+    let success = CounterReply {
+        outcome: Outcome::Success,
+        total: 2.0,
+    };
     assert_eq!(decode(200, b"20000000.000"), success);
     for body in [&b"many"[..], b"", b"inf", b"\xff\xfe"] {
         assert_eq!(decode(200, body).outcome, Outcome::ErrorResponse);
--- a/src/bin/quota-gateway/counter/connection.rs
+++ b/src/bin/quota-gateway/counter/connection.rs
@@ -121,7 +121,11 @@
 
     /// Reports the calls that have no response: one written completely may have been added, the others were not.
     pub fn close(self) {
-        for request in self.pending.iter().filter(|request| !request.ignore_response) {
+        for request in self
+            .pending
+            .iter()
+            .filter(|request| !request.ignore_response)
+        {
             let outcome = if request.end_offset <= self.bytes_written {
                 Outcome::ConnectionReset
             } else {
@@ -138,7 +142,9 @@
     }
 
     fn on_call(&mut self, call: Option<CounterCall>) -> ControlFlow<()> {
-        let Some(call) = call else { return ControlFlow::Break(()) };
+        let Some(call) = call else {
+            return ControlFlow::Break(());
+        };
         self.enqueue(&call);
         ControlFlow::Continue(())
     }
@@ -156,15 +162,23 @@
 
     fn on_response(&mut self, response: io::Result<(Head, Bytes)>) -> ControlFlow<()> {
         self.last_response_at = Instant::now();
-        let Ok((head, body)) = response else { return ControlFlow::Break(()) };
-        let Some(request) = self.pending.pop_front() else { return ControlFlow::Break(()) };
+        let Ok((head, body)) = response else {
+            return ControlFlow::Break(());
+        };
+        let Some(request) = self.pending.pop_front() else {
+            return ControlFlow::Break(());
+        };
         let reply = codec::decode(head.status, &body);
         let is_invalid = reply.outcome == Outcome::ErrorResponse;
         if is_invalid {
-            self.context.invalid_response.warn("invalid response from the counter with status", head.status);
+            self.context
+                .invalid_response
+                .warn("invalid response from the counter with status", head.status);
         }
         if !request.ignore_response {
-            self.context.reporter.report(&request.call, reply.outcome, reply.total);
+            self.context
+                .reporter
+                .report(&request.call, reply.outcome, reply.total);
         }
         // After an invalid response the connection is of no use: what follows could be taken for the response to
         // another call. The same is true of bytes that no call awaits.
@@ -178,7 +192,9 @@
     fn on_timer(&mut self) -> ControlFlow<()> {
         let now = Instant::now();
         self.report_timeouts(now);
-        let ends_at = self.silence_deadline().unwrap_or_else(|| self.idle_deadline());
+        let ends_at = self
+            .silence_deadline()
+            .unwrap_or_else(|| self.idle_deadline());
         if ends_at <= now {
             return ControlFlow::Break(());
         }
@@ -187,12 +203,18 @@
 
     fn report_timeouts(&mut self, now: Instant) {
         let timeout = self.context.call_timeout;
-        for request in self.pending.iter_mut().filter(|request| !request.ignore_response) {
+        for request in self
+            .pending
+            .iter_mut()
+            .filter(|request| !request.ignore_response)
+        {
             if request.call.started_at + timeout > now {
                 break;
             }
             request.ignore_response = true;
-            self.context.reporter.report(&request.call, Outcome::Timeout, 0.0);
+            self.context
+                .reporter
+                .report(&request.call, Outcome::Timeout, 0.0);
         }
     }
 
@@ -202,7 +224,9 @@
 
     /// When the timer has something to do next.
     fn wake_at(&self) -> Instant {
-        let Some(silence_deadline) = self.silence_deadline() else { return self.idle_deadline() };
+        let Some(silence_deadline) = self.silence_deadline() else {
+            return self.idle_deadline();
+        };
         match self.next_call_deadline() {
             Some(call_deadline) => call_deadline.min(silence_deadline),
             None => silence_deadline,
@@ -211,7 +235,10 @@
 
     /// When the next call is to be reported as timed out.
     fn next_call_deadline(&self) -> Option<Instant> {
-        let next = self.pending.iter().find(|request| !request.ignore_response)?;
+        let next = self
+            .pending
+            .iter()
+            .find(|request| !request.ignore_response)?;
         Some(next.call.started_at + self.context.call_timeout)
     }
 
--- a/src/bin/quota-gateway/counter/report.rs
+++ b/src/bin/quota-gateway/counter/report.rs
@@ -22,6 +22,8 @@
 
     pub fn report(&self, call: &CounterCall, outcome: Outcome, total: f64) {
         let elapsed_ms = call.started_at.elapsed().as_secs_f64() * 1000.0;
-        self.handler.clone().counter_reply(call.key, outcome, total, elapsed_ms);
+        self.handler
+            .clone()
+            .counter_reply(call.key, outcome, total, elapsed_ms);
     }
 }
--- a/src/bin/quota-gateway/counter/worker.rs
+++ b/src/bin/quota-gateway/counter/worker.rs
@@ -40,7 +40,9 @@
     queue: &mut Receiver<CounterCall>,
     context: &ConnectionContext,
 ) {
-    context.reporter.report(first_call, Outcome::ConnectFailed, 0.0);
+    context
+        .reporter
+        .report(first_call, Outcome::ConnectFailed, 0.0);
     while let Ok(call) = queue.try_recv() {
         context.reporter.report(&call, Outcome::ConnectFailed, 0.0);
     }
--- a/src/bin/quota-gateway/discovery/call.rs
+++ b/src/bin/quota-gateway/discovery/call.rs
@@ -37,7 +37,11 @@
             version = list.version;
             updates.apply_fetched(list);
         }
-        self.write_request(&mut reader, &format!("/registry/instances?stream=1&index={version}")).await?;
+        self.write_request(
+            &mut reader,
+            &format!("/registry/instances?stream=1&index={version}"),
+        )
+        .await?;
         check_status(&timeout(timeouts.response, reader.read_head()).await??)?;
         Ok(reader)
     }
@@ -48,12 +52,17 @@
         timeouts: CallTimeouts,
     ) -> Result<EndpointList, DiscoveryError> {
         self.write_request(reader, "/registry/instances").await?;
-        let (head, body) = timeout(timeouts.response, reader.read_response(MAX_LIST_BYTES)).await??;
+        let (head, body) =
+            timeout(timeouts.response, reader.read_response(MAX_LIST_BYTES)).await??;
         check_status(&head)?;
         Ok(serde_json::from_slice(&body)?)
     }
 
-    async fn write_request(&self, reader: &mut Reader<Socket>, target: &str) -> Result<(), DiscoveryError> {
+    async fn write_request(
+        &self,
+        reader: &mut Reader<Socket>,
+        target: &str,
+    ) -> Result<(), DiscoveryError> {
         let request = format!("GET {target} HTTP/1.1\r\nHost: {}\r\n\r\n", self.addr);
         reader.io.write_all(request.as_bytes()).await?;
         Ok(())
--- a/src/bin/quota-gateway/discovery/mod.rs
+++ b/src/bin/quota-gateway/discovery/mod.rs
@@ -69,7 +69,9 @@
         let watch = open_watch(&mut self.policy, call, on_failure).await;
         let opened_at = Instant::now();
         let end = follow(watch, &self.updates).await;
-        let pause = self.policy.pause_after_watch(opened_at.elapsed(), end.is_invalid_response());
+        let pause = self
+            .policy
+            .pause_after_watch(opened_at.elapsed(), end.is_invalid_response());
         self.warning.warn(WATCH_ENDED, end);
         sleep(pause).await;
     }
