--- a/src/bin/quota-gateway/discovery/open.rs
+++ b/src/bin/quota-gateway/discovery/open.rs
@@ -52,7 +52,11 @@
 
 impl<W: 'static> PendingCalls<W> {
     fn new() -> Self {
-        PendingCalls { set: JoinSet::new(), handles: Vec::new(), next_call_at: Instant::now() }
+        PendingCalls {
+            set: JoinSet::new(),
+            handles: Vec::new(),
+            next_call_at: Instant::now(),
+        }
     }
 
     fn start<C>(&mut self, policy: &mut WatchPolicy, call: impl Fn(CallTimeouts) -> C)
@@ -63,7 +67,12 @@
         self.next_call_at = started_at + policy.unanswered_interval(self.set.is_empty());
         let response = call(policy.timeouts());
         self.handles.retain(|handle| !handle.is_finished());
-        let handle = self.set.spawn_local(async move { FinishedCall { started_at, result: response.await } });
+        let handle = self.set.spawn_local(async move {
+            FinishedCall {
+                started_at,
+                result: response.await,
+            }
+        });
         self.handles.push(handle);
         if self.handles.len() > MAX_CONCURRENT_CALLS {
             self.handles.remove(0).abort();
@@ -77,6 +86,10 @@
         error: &DiscoveryError,
     ) {
         let retry_at = policy.next_call_after_failure(started_at, error.is_invalid_response());
-        self.next_call_at = if self.set.is_empty() { retry_at } else { self.next_call_at.min(retry_at) };
+        self.next_call_at = if self.set.is_empty() {
+            retry_at
+        } else {
+            self.next_call_at.min(retry_at)
+        };
     }
 }
--- a/src/bin/quota-gateway/discovery/open/tests.rs
+++ b/src/bin/quota-gateway/discovery/open/tests.rs
@@ -55,7 +55,10 @@
     }
     let watches_open = gateways.join_all().await;
     let calls = calls.borrow().clone();
-    Recovery { watches_open, calls }
+    Recovery {
+        watches_open,
+        calls,
+    }
 }
 
 /// With a shared service: however calls failed during the outage, each gateway has its watch within 6 s of the
@@ -65,13 +68,24 @@
     let set = tokio::task::LocalSet::new();
     set.run_until(async {
         for outage in [Outage::RefusesConnections, Outage::Hangs, Outage::Rejects] {
-            for (gateway_count, outage_ms) in [(3, 8000), (30, 8000), (300, 3900), (300, 8000), (720, 31_000)]
-            {
+            for (gateway_count, outage_ms) in [
+                (3, 8000),
+                (30, 8000),
+                (300, 3900),
+                (300, 8000),
+                (720, 31_000),
+            ] {
                 let recovery = recover(gateway_count, outage, outage_ms).await;
                 let latest = recovery.watches_open.iter().max().unwrap();
-                assert!(*latest <= PROPAGATION_LIMIT, "{gateway_count}, {outage:?} {outage_ms}: {latest:?}");
+                assert!(
+                    *latest <= PROPAGATION_LIMIT,
+                    "{gateway_count}, {outage:?} {outage_ms}: {latest:?}"
+                );
                 let mut per_second = [0.0; 8];
-                recovery.calls.iter().for_each(|at| per_second[at.as_secs() as usize] += 1.0);
+                recovery
+                    .calls
+                    .iter()
+                    .for_each(|at| per_second[at.as_secs() as usize] += 1.0);
                 let even = f64::from(gateway_count) / (f64::from(gateway_count) / 10.0).min(4.0);
                 let most = 4.0 / 3.0 * even + 4.0 * even.sqrt();
                 assert!(
--- a/src/bin/quota-gateway/discovery/policy.rs
+++ b/src/bin/quota-gateway/discovery/policy.rs
@@ -61,11 +61,18 @@
 impl WatchPolicy {
     /// The policy for these settings; the seed sets this gateway apart from the others.
     pub fn new(settings: &Settings, seed: u64) -> Self {
-        let source = if settings.endpoints_polled { Source::SharedService } else { Source::LocalAgent };
+        let source = if settings.endpoints_polled {
+            Source::SharedService
+        } else {
+            Source::LocalAgent
+        };
         let agent_timeout = agent_call_timeout(settings.rules.drain_grace_ms);
         let service_interval = PROPAGATION_LIMIT.saturating_sub(RESPONSE_ALLOWANCE);
         let timeouts = match source {
-            Source::LocalAgent => CallTimeouts { connect: agent_timeout, response: agent_timeout },
+            Source::LocalAgent => CallTimeouts {
+                connect: agent_timeout,
+                response: agent_timeout,
+            },
             Source::SharedService => CallTimeouts {
                 connect: CONNECT_TIMEOUT,
                 response: service_interval * MAX_CONCURRENT_CALLS as u32,
@@ -79,7 +86,11 @@
                 Source::SharedService => service_interval,
             },
             cadence: Cadence::new(settings.gateway_count, service_interval, seed),
-            invalid_response_backoff: Backoff::new(AGENT_RETRY_PAUSE, service_interval, seed.rotate_left(16)),
+            invalid_response_backoff: Backoff::new(
+                AGENT_RETRY_PAUSE,
+                service_interval,
+                seed.rotate_left(16),
+            ),
             rng: fastrand::Rng::with_seed(seed.rotate_left(32)),
         }
     }
@@ -100,7 +111,11 @@
 
     /// When the next call is due after one that has just failed. Invalid responses are not requested in a loop.
     #[must_use]
-    pub fn next_call_after_failure(&mut self, started_at: Instant, invalid_response: bool) -> Instant {
+    pub fn next_call_after_failure(
+        &mut self,
+        started_at: Instant,
+        invalid_response: bool,
+    ) -> Instant {
         let now = Instant::now();
         let pause = match self.source {
             Source::LocalAgent => AGENT_RETRY_PAUSE,
@@ -111,7 +126,11 @@
 
     /// The pause after a watch that was open for this long. Invalid events are not requested in a loop.
     #[must_use]
-    pub fn pause_after_watch(&mut self, was_open_for: Duration, invalid_response: bool) -> Duration {
+    pub fn pause_after_watch(
+        &mut self,
+        was_open_for: Duration,
+        invalid_response: bool,
+    ) -> Duration {
         self.cadence.reset();
         let pause = match self.source {
             Source::LocalAgent => AGENT_RETRY_PAUSE,
--- a/src/bin/quota-gateway/discovery/policy/tests.rs
+++ b/src/bin/quota-gateway/discovery/policy/tests.rs
@@ -3,7 +3,11 @@
 
 /// The policy of one of several gateways.
 pub fn policy(gateway_count: u32, endpoints_polled: bool, seed: u64) -> WatchPolicy {
-    let mut settings = Settings { gateway_count, endpoints_polled, ..Settings::default() };
+    let mut settings = Settings {
+        gateway_count,
+        endpoints_polled,
+        ..Settings::default()
+    };
     settings.rules.drain_grace_ms = 2000.0;
     WatchPolicy::new(&settings, seed)
 }
@@ -35,9 +39,16 @@
             .collect();
         let longest = PROPAGATION_LIMIT - RESPONSE_ALLOWANCE;
         assert!(pauses.iter().all(|pause| *pause <= longest), "{pauses:?}");
-        assert!(pauses[8..].iter().sum::<Duration>() > 12 * longest / 4, "{pauses:?}");
+        assert!(
+            pauses[8..].iter().sum::<Duration>() > 12 * longest / 4,
+            "{pauses:?}"
+        );
         let _ = policy.pause_after_watch(PROPAGATION_LIMIT, false);
-        let longest_pause = if endpoints_polled { MAX_REOPEN_PAUSE } else { AGENT_RETRY_PAUSE };
+        let longest_pause = if endpoints_polled {
+            MAX_REOPEN_PAUSE
+        } else {
+            AGENT_RETRY_PAUSE
+        };
         assert!(policy.pause_after_watch(PROPAGATION_LIMIT, false) <= longest_pause);
     }
 }
--- a/src/bin/quota-gateway/discovery/schedule.rs
+++ b/src/bin/quota-gateway/discovery/schedule.rs
@@ -18,14 +18,23 @@
 impl Backoff {
     /// Pauses of at least half of `initial`; the longest doubles with each failure up to `max`.
     pub fn new(initial: Duration, max: Duration, seed: u64) -> Self {
-        Backoff { rng: fastrand::Rng::with_seed(seed), initial, max, ceiling: initial }
+        Backoff {
+            rng: fastrand::Rng::with_seed(seed),
+            initial,
+            max,
+            ceiling: initial,
+        }
     }
 
     /// The pause before the next attempt after one more failure.
     #[must_use]
     pub fn next_pause(&mut self) -> Duration {
         let shortest = self.initial / 2;
-        let pause = shortest + self.ceiling.saturating_sub(shortest).mul_f64(self.rng.f64());
+        let pause = shortest
+            + self
+                .ceiling
+                .saturating_sub(shortest)
+                .mul_f64(self.rng.f64());
         self.ceiling = (self.ceiling * 2).min(self.max);
         pause
     }
@@ -61,7 +70,12 @@
     pub fn new(gateway_count: u32, max_interval: Duration, seed: u64) -> Self {
         let min_interval = MIN_INTERVAL.min(max_interval);
         let interval = (INTERVAL_PER_GATEWAY * gateway_count).clamp(min_interval, max_interval);
-        Cadence { rng: fastrand::Rng::with_seed(seed), interval, max_interval, dispersed: false }
+        Cadence {
+            rng: fastrand::Rng::with_seed(seed),
+            interval,
+            max_interval,
+            dispersed: false,
+        }
     }
 
     /// From the failure of an attempt that took this long to the next attempt.
@@ -80,7 +94,8 @@
             self.dispersed = true;
         }
         let fraction = self.fraction();
-        self.max_interval.mul_f64(MIN_UNANSWERED_SHARE + (1.0 - MIN_UNANSWERED_SHARE) * fraction)
+        self.max_interval
+            .mul_f64(MIN_UNANSWERED_SHARE + (1.0 - MIN_UNANSWERED_SHARE) * fraction)
     }
 
     /// An attempt has succeeded: all gateways may see the next failure at the same time.
--- a/src/bin/quota-gateway/discovery/schedule/tests.rs
+++ b/src/bin/quota-gateway/discovery/schedule/tests.rs
@@ -7,7 +7,9 @@
     let attempts = |seed| {
         let mut cadence = Cadence::new(gateway_count, MAX_INTERVAL, seed);
         let next = |at: &Duration| Some(*at + cadence.pause_after_failure(Duration::ZERO));
-        std::iter::successors(Some(Duration::ZERO), next).take_while(|at| *at < 5 * MAX_INTERVAL).collect()
+        std::iter::successors(Some(Duration::ZERO), next)
+            .take_while(|at| *at < 5 * MAX_INTERVAL)
+            .collect()
     };
     (0..gateway_count.into()).map(attempts).collect()
 }
@@ -36,10 +38,15 @@
     for gateway_count in [1, 3, 40, 300, 720] {
         for attempts in attempt_times(gateway_count) {
             assert!(
-                attempts.windows(2).all(|pair| pair[1] - pair[0] <= MAX_INTERVAL),
+                attempts
+                    .windows(2)
+                    .all(|pair| pair[1] - pair[0] <= MAX_INTERVAL),
                 "{gateway_count}: {attempts:?}"
             );
-            assert!(attempts.last().unwrap() >= &(4 * MAX_INTERVAL), "they go on");
+            assert!(
+                attempts.last().unwrap() >= &(4 * MAX_INTERVAL),
+                "they go on"
+            );
         }
     }
 }
@@ -55,9 +62,20 @@
     let initial = Duration::from_millis(50);
     let mut backoff = Backoff::new(initial, MAX_INTERVAL, 1);
     let pauses: Vec<_> = (0..50).map(|_| backoff.next_pause()).collect();
-    assert!(pauses.iter().all(|pause| *pause >= initial / 2 && *pause <= MAX_INTERVAL), "{pauses:?}");
-    assert!(pauses.iter().any(|pause| *pause > MAX_INTERVAL / 2), "{pauses:?}");
-    assert!(pauses.iter().sum::<Duration>() > 20 * MAX_INTERVAL / 2, "{pauses:?}");
+    assert!(
+        pauses
+            .iter()
+            .all(|pause| *pause >= initial / 2 && *pause <= MAX_INTERVAL),
+        "{pauses:?}"
+    );
+    assert!(
+        pauses.iter().any(|pause| *pause > MAX_INTERVAL / 2),
+        "{pauses:?}"
+    );
+    assert!(
+        pauses.iter().sum::<Duration>() > 20 * MAX_INTERVAL / 2,
+        "{pauses:?}"
+    );
     backoff.reset();
     assert!(backoff.next_pause() <= initial);
 }
--- a/src/bin/quota-gateway/discovery/updates.rs
+++ b/src/bin/quota-gateway/discovery/updates.rs
@@ -20,7 +20,11 @@
 impl ListUpdates {
     /// The handler has the list of this version.
     pub fn new(version: u64, handler: Rc<dyn EndpointListHandler>) -> Self {
-        ListUpdates { version: Cell::new(version), incomplete: Cell::new(false), handler }
+        ListUpdates {
+            version: Cell::new(version),
+            incomplete: Cell::new(false),
+            handler,
+        }
     }
 
     /// The version of the list.
--- a/src/bin/quota-gateway/discovery/updates/tests.rs
+++ b/src/bin/quota-gateway/discovery/updates/tests.rs
@@ -19,7 +19,11 @@
 }
 
 fn list(version: u64, complete: bool) -> EndpointList {
-    EndpointList { version, complete, endpoints: EndpointEntries::default() }
+    EndpointList {
+        version,
+        complete,
+        endpoints: EndpointEntries::default(),
+    }
 }
 
 #[test]
@@ -42,7 +46,9 @@
     let updates = ListUpdates::new(7, versions.clone());
     assert!(updates.apply_watched(list(6, false)).is_err());
     assert!(updates.is_incomplete());
-    updates.apply_watched(list(2, true)).expect("a complete list applies");
+    updates
+        .apply_watched(list(2, true))
+        .expect("a complete list applies");
     assert!(!updates.is_incomplete());
     assert_eq!(*versions.0.borrow(), [2]);
 }
--- a/src/bin/quota-gateway/discovery/watch.rs
+++ b/src/bin/quota-gateway/discovery/watch.rs
@@ -19,7 +19,10 @@
 
 /// Hands on what a watch reports until it ends; returns why it ended. The head of its response has been read.
 pub async fn follow(mut reader: Reader<Socket>, updates: &ListUpdates) -> DiscoveryError {
-    let mut events = WatchEvents { framer: ObjectFramer::default(), updates };
+    let mut events = WatchEvents {
+        framer: ObjectFramer::default(),
+        updates,
+    };
     match events.read(&mut reader).await {
         Ok(()) => DiscoveryError::Closed,
         Err(error) => error,
@@ -58,7 +61,9 @@
     }
 
     fn next_frame(&mut self) -> Result<Option<Frame>, DiscoveryError> {
-        self.framer.next_frame().inspect_err(|_| self.updates.mark_incomplete())
+        self.framer
+            .next_frame()
+            .inspect_err(|_| self.updates.mark_incomplete())
     }
 
     /// An event that can't be read changes nothing, but the change in it is missed.
@@ -77,7 +82,10 @@
 
 impl IdleTimer {
     fn new() -> Self {
-        IdleTimer { deadline: Instant::now() + IDLE_TIMEOUT, unfinished_bytes: 0 }
+        IdleTimer {
+            deadline: Instant::now() + IDLE_TIMEOUT,
+            unfinished_bytes: 0,
+        }
     }
 
     fn received(&mut self, bytes: usize, only_continues_object: bool) {
--- a/src/bin/quota-gateway/driver/actions.rs
+++ b/src/bin/quota-gateway/driver/actions.rs
@@ -19,7 +19,9 @@
         let mut events = VecDeque::from([event]);
         let mut actions = self.actions.take();
         while let Some(event) = events.pop_front() {
-            self.decisions.borrow_mut().handle(self.clock.now_ms(), event, &mut actions);
+            self.decisions
+                .borrow_mut()
+                .handle(self.clock.now_ms(), event, &mut actions);
             for action in actions.drain(..) {
                 events.extend(self.perform(action));
             }
@@ -30,23 +32,43 @@
     /// Carries out one action. Returns the event that reports an action which failed at once.
     fn perform(self: &Rc<Self>, action: Action) -> Option<Event> {
         match action {
-            Action::SendAttempt { id, endpoint, timeout_ms, start_within_ms } => {
-                return self.send_attempt(id, endpoint, duration(timeout_ms), duration(start_within_ms));
+            Action::SendAttempt {
+                id,
+                endpoint,
+                timeout_ms,
+                start_within_ms,
+            } => {
+                return self.send_attempt(
+                    id,
+                    endpoint,
+                    duration(timeout_ms),
+                    duration(start_within_ms),
+                );
             }
             Action::CancelAttempt { id, attempt } => {
-                self.requests.borrow_mut().cancel_attempt(id, attempt.into());
+                self.requests
+                    .borrow_mut()
+                    .cancel_attempt(id, attempt.into());
             }
             Action::Reject { id, retry_after_ms } => {
                 tracing::debug!(id, retry_after_ms, "rejected");
-                self.requests.borrow_mut().respond(id, FinalResponse::Rejected { retry_after_ms });
+                self.requests
+                    .borrow_mut()
+                    .respond(id, FinalResponse::Rejected { retry_after_ms });
             }
             Action::Fail { id } => {
                 tracing::debug!(id, "failed");
-                self.requests.borrow_mut().respond(id, FinalResponse::Failed);
+                self.requests
+                    .borrow_mut()
+                    .respond(id, FinalResponse::Failed);
             }
             Action::SetTimer { token, after_ms } => self.set_timer(token, duration(after_ms)),
             Action::CheckHealth { endpoint } => self.check_health(endpoint),
-            Action::AddToCounter { key, amount, ttl_ms } => {
+            Action::AddToCounter {
+                key,
+                amount,
+                ttl_ms,
+            } => {
                 return self.add_to_counter(key, amount, ttl_ms);
             }
             // The watch on discovery is held open in any case.
@@ -70,7 +92,10 @@
         start_within: Duration,
     ) -> Option<Event> {
         let addr = self.pool.address(endpoint);
-        let started = self.requests.borrow_mut().start_attempt(id, addr, timeout, start_within);
+        let started = self
+            .requests
+            .borrow_mut()
+            .start_attempt(id, addr, timeout, start_within);
         match started {
             Ok(attempt) => {
                 tracing::debug!(id, attempt = attempt.number, endpoint, "attempt");
@@ -92,10 +117,20 @@
     /// Calls the counter, or reports that there is no room for the call.
     fn add_to_counter(&self, key: u64, amount: f64, ttl_ms: f64) -> Option<Event> {
         let counter = self.counter.as_ref()?;
-        if counter.call(CounterCall { key, amount, ttl_ms, started_at: Instant::now() }) {
+        if counter.call(CounterCall {
+            key,
+            amount,
+            ttl_ms,
+            started_at: Instant::now(),
+        }) {
             return None;
         }
-        Some(Event::CounterReply { key, outcome: Outcome::Rejected, total: 0.0, elapsed_ms: 0.0 })
+        Some(Event::CounterReply {
+            key,
+            outcome: Outcome::Rejected,
+            total: 0.0,
+            elapsed_ms: 0.0,
+        })
     }
 }
 
--- a/src/bin/quota-gateway/driver/attempts.rs
+++ b/src/bin/quota-gateway/driver/attempts.rs
@@ -32,7 +32,11 @@
 
 impl OutgoingRequest for AttemptRequest {
     fn settle(&self) -> Option<Settled<'_>> {
-        let client = self.driver.requests.borrow().client_socket(self.guarded.request)?;
+        let client = self
+            .driver
+            .requests
+            .borrow()
+            .client_socket(self.guarded.request)?;
         let unread = client.unread();
         self.guarded.client.set(unread);
         (unread == Unread::Bytes).then(|| {
@@ -51,13 +55,15 @@
     fn encode(&self) -> Vec<u8> {
         // The process may end before the request's own deadline.
         let deadline = self.driver.lifecycle.limit_deadline(self.deadline);
-        self.stated.set(deadline.saturating_duration_since(Instant::now()));
+        self.stated
+            .set(deadline.saturating_duration_since(Instant::now()));
         self.forwarded.encode(self.stated.get())
     }
 
     fn on_written(&self) {
         self.written.set(true);
-        self.driver.check_after_write(&self.guarded, self.stated.get());
+        self.driver
+            .check_after_write(&self.guarded, self.stated.get());
     }
 }
 
@@ -110,7 +116,10 @@
         endpoint: EndpointId,
         mut attempt: StartedAttempt,
     ) -> AttemptReport {
-        let target = Target { endpoint, addr: attempt.addr };
+        let target = Target {
+            endpoint,
+            addr: attempt.addr,
+        };
         let outgoing = AttemptRequest {
             driver: self.clone(),
             guarded: GuardedAttempt {
@@ -145,13 +154,18 @@
 
     /// Starts a health check, unless the endpoint is not listed any more. Its task ends by its own time-out.
     pub(super) fn check_health(self: &Rc<Self>, endpoint: EndpointId) {
-        let Some(addr) = self.pool.address(endpoint) else { return };
+        let Some(addr) = self.pool.address(endpoint) else {
+            return;
+        };
         let driver = self.clone();
         tokio::task::spawn_local(async move {
             let started_at = Instant::now();
             let deadline = started_at + driver.pool.connect_timeout();
             let target = Target { endpoint, addr };
-            let result = driver.pool.attempt(target, deadline, &HealthCheckRequest { addr }).await;
+            let result = driver
+                .pool
+                .attempt(target, deadline, &HealthCheckRequest { addr })
+                .await;
             driver.health_check_ended(endpoint, result.outcome, elapsed_ms(started_at));
         });
     }
@@ -160,9 +174,11 @@
 /// What the client gets of a successful attempt.
 fn served_response(result: AttemptResult) -> Option<EndpointResponse> {
     match (result.outcome, result.response) {
-        (Outcome::Success, Some(CompleteResponse { head, body })) => {
-            Some(EndpointResponse { units: head.units, content_type: head.content_type, body })
-        }
+        (Outcome::Success, Some(CompleteResponse { head, body })) => Some(EndpointResponse {
+            units: head.units,
+            content_type: head.content_type,
+            body,
+        }),
         _ => None,
     }
 }
--- a/src/bin/quota-gateway/driver/clock.rs
+++ b/src/bin/quota-gateway/driver/clock.rs
@@ -13,8 +13,13 @@
 impl Clock {
     /// Reads the system's clock once; from then on only elapsed time is added.
     pub fn new() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start_unix_ms: unix.as_secs_f64() * 1000.0, started_at: Instant::now() }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            start_unix_ms: unix.as_secs_f64() * 1000.0,
+            started_at: Instant::now(),
+        }
     }
 
     /// The present moment.
--- a/src/bin/quota-gateway/driver/endpoints.rs
+++ b/src/bin/quota-gateway/driver/endpoints.rs
@@ -60,13 +60,27 @@
         let removed_at = removed.then(Instant::now);
         let assigned = self.assigned.entry(name).or_insert_with(|| {
             self.last_id += 1;
-            AssignedId { id: self.last_id, start: Start { listed_ms: 0.0, judged_ms: 0.0 }, removed_at }
+            AssignedId {
+                id: self.last_id,
+                start: Start {
+                    listed_ms: 0.0,
+                    judged_ms: 0.0,
+                },
+                removed_at,
+            }
         });
         if listed_ms > assigned.start.listed_ms {
-            assigned.start = Start { listed_ms, judged_ms: judge() };
+            assigned.start = Start {
+                listed_ms,
+                judged_ms: judge(),
+            };
         }
         assigned.removed_at = removed_at;
-        let started_ms = if listed_ms > 0.0 { assigned.start.judged_ms } else { listed_ms };
+        let started_ms = if listed_ms > 0.0 {
+            assigned.start.judged_ms
+        } else {
+            listed_ms
+        };
         (assigned.id, started_ms)
     }
 
@@ -81,7 +95,8 @@
 
     fn drop_expired(&mut self) {
         let is_kept = |removed_at: Instant| removed_at.elapsed() < REMOVED_ID_RETENTION;
-        self.assigned.retain(|_, assigned| assigned.removed_at.is_none_or(is_kept));
+        self.assigned
+            .retain(|_, assigned| assigned.removed_at.is_none_or(is_kept));
     }
 }
 
@@ -142,8 +157,9 @@
     /// Forgets endpoints that were removed long ago.
     pub fn drop_expired(&mut self) {
         self.ids.drop_expired();
-        self.not_ready_since
-            .retain(|id, since| self.states.contains_key(id) || since.elapsed() < REMOVED_ID_RETENTION);
+        self.not_ready_since.retain(|id, since| {
+            self.states.contains_key(id) || since.elapsed() < REMOVED_ID_RETENTION
+        });
     }
 
     fn record_state(&mut self, id: EndpointId, state: EndpointState, started_at: f64) {
@@ -166,7 +182,12 @@
 
     /// Applies a list, also to the pool's addresses. Returns the entries in the library's terms; `now_ms` is the
     /// present Unix time there.
-    pub fn update(&mut self, list: EndpointList, pool: &ConnectionPool, now_ms: f64) -> Vec<Endpoint> {
+    pub fn update(
+        &mut self,
+        list: EndpointList,
+        pool: &ConnectionPool,
+        now_ms: f64,
+    ) -> Vec<Endpoint> {
         let mut endpoints = Vec::with_capacity(list.endpoints.valid.len());
         for entry in list.endpoints.valid {
             endpoints.push(self.update_entry(entry, pool, now_ms));
@@ -174,16 +195,27 @@
         if list.complete {
             self.remove_unlisted(&endpoints, pool);
         }
-        self.ready_count = self.states.values().filter(|state| **state == EndpointState::Ready).count();
+        self.ready_count = self
+            .states
+            .values()
+            .filter(|state| **state == EndpointState::Ready)
+            .count();
         endpoints
     }
 
-    fn update_entry(&mut self, entry: EndpointEntry, pool: &ConnectionPool, now_ms: f64) -> Endpoint {
+    fn update_entry(
+        &mut self,
+        entry: EndpointEntry,
+        pool: &ConnectionPool,
+        now_ms: f64,
+    ) -> Endpoint {
         let state = endpoint_state(entry.state);
         let hash_key = xxh3_64(entry.id.as_bytes());
         let judge = || self.start_times.judge(entry.started_ms, now_ms);
         let is_removed = state == EndpointState::Removed;
-        let (id, started_at) = self.ids.get_or_assign(entry.id, is_removed, entry.started_ms, judge);
+        let (id, started_at) =
+            self.ids
+                .get_or_assign(entry.id, is_removed, entry.started_ms, judge);
         self.record_state(id, state, started_at);
         match entry.addr {
             Some(addr) if !is_removed => {
@@ -233,5 +265,8 @@
 
 /// The index of a name in the settings; one past the last for a name that they don't have.
 fn index_of(names: &[String], name: &str) -> u32 {
-    names.iter().position(|known| known == name).unwrap_or(names.len()) as u32
+    names
+        .iter()
+        .position(|known| known == name)
+        .unwrap_or(names.len()) as u32
 }
--- a/src/bin/quota-gateway/driver/endpoints/tests.rs
+++ b/src/bin/quota-gateway/driver/endpoints/tests.rs
@@ -27,7 +27,14 @@
 }
 
 fn list(complete: bool, entries: Vec<EndpointEntry>) -> EndpointList {
-    EndpointList { version: 1, complete, endpoints: EndpointEntries { valid: entries, invalid: 0 } }
+    EndpointList {
+        version: 1,
+        complete,
+        endpoints: EndpointEntries {
+            valid: entries,
+            invalid: 0,
+        },
+    }
 }
 
 /// The endpoints and the pool under test.
@@ -42,11 +49,15 @@
             zones: vec!["room-a".to_owned(), "room-b".to_owned()],
             kinds: vec!["std-2c".to_owned()],
         };
-        Fleet { endpoints: Endpoints::new(topology), pool: ConnectionPool::new(8, 250.0, 30_000.0) }
+        Fleet {
+            endpoints: Endpoints::new(topology),
+            pool: ConnectionPool::new(8, 250.0, 30_000.0),
+        }
     }
 
     fn update(&mut self, complete: bool, entries: Vec<EndpointEntry>) -> Vec<Endpoint> {
-        self.endpoints.update(list(complete, entries), &self.pool, NOW_MS)
+        self.endpoints
+            .update(list(complete, entries), &self.pool, NOW_MS)
     }
 }
 
@@ -56,7 +67,10 @@
     let listed = fleet.update(true, vec![entry("s-1", EntryState::Terminating)]);
     assert_eq!(listed[0].state, EndpointState::Draining);
     assert_eq!(listed[0].zone, 1);
-    assert_eq!(listed[0].kind, 1, "one past the last for a name that the settings don't have");
+    assert_eq!(
+        listed[0].kind, 1,
+        "one past the last for a name that the settings don't have"
+    );
     assert_eq!(listed[0].cell, 3);
     assert!(!fleet.endpoints.any_ready());
 }
@@ -64,18 +78,34 @@
 #[test]
 fn a_change_keeps_ids_and_leaves_other_endpoints_alone() {
     let mut fleet = Fleet::new();
-    let before = fleet.update(true, vec![entry("s-1", EntryState::Ready), entry("s-2", EntryState::Ready)]);
+    let before = fleet.update(
+        true,
+        vec![
+            entry("s-1", EntryState::Ready),
+            entry("s-2", EntryState::Ready),
+        ],
+    );
     let after = fleet.update(false, vec![entry("s-1", EntryState::Terminating)]);
     assert_eq!(after[0].id, before[0].id);
     assert!(!fleet.endpoints.is_ready(before[0].id));
     assert!(fleet.endpoints.is_ready(before[1].id));
-    assert_eq!(fleet.pool.address(before[0].id), Some(address()), "a draining endpoint is still listed");
+    assert_eq!(
+        fleet.pool.address(before[0].id),
+        Some(address()),
+        "a draining endpoint is still listed"
+    );
 }
 
 #[test]
 fn a_complete_list_removes_what_it_does_not_name() {
     let mut fleet = Fleet::new();
-    let before = fleet.update(true, vec![entry("s-1", EntryState::Ready), entry("s-2", EntryState::Ready)]);
+    let before = fleet.update(
+        true,
+        vec![
+            entry("s-1", EntryState::Ready),
+            entry("s-2", EntryState::Ready),
+        ],
+    );
     fleet.update(true, vec![entry("s-2", EntryState::Ready)]);
     assert!(!fleet.endpoints.is_ready(before[0].id));
     assert_eq!(fleet.pool.address(before[0].id), None);
@@ -90,22 +120,46 @@
     fleet.update(false, vec![entry("s-1", EntryState::Gone)]);
     tokio::time::advance(REMOVED_ID_RETENTION - Duration::from_secs(1)).await;
     fleet.endpoints.drop_expired();
-    assert_eq!(fleet.update(false, vec![entry("s-1", EntryState::Gone)])[0].id, first);
+    assert_eq!(
+        fleet.update(false, vec![entry("s-1", EntryState::Gone)])[0].id,
+        first
+    );
     tokio::time::advance(REMOVED_ID_RETENTION).await;
     fleet.endpoints.drop_expired();
-    assert_ne!(fleet.update(false, vec![entry("s-1", EntryState::Ready)])[0].id, first);
+    assert_ne!(
+        fleet.update(false, vec![entry("s-1", EntryState::Ready)])[0].id,
+        first
+    );
 }
 
 /// What is judged once holds for as long as the list says the same.
 #[test]
 fn a_start_is_judged_when_it_is_news() {
     let mut fleet = Fleet::new();
-    let entry_started = |started_ms| EndpointEntry { started_ms, ..entry("s-1", EntryState::Ready) };
+    let entry_started = |started_ms| EndpointEntry {
+        started_ms,
+        ..entry("s-1", EntryState::Ready)
+    };
     let old = NOW_MS - 3_600_000.0;
-    assert_eq!(fleet.update(true, vec![entry_started(old)])[0].started_at, old);
+    assert_eq!(
+        fleet.update(true, vec![entry_started(old)])[0].started_at,
+        old
+    );
     fleet.endpoints.synced();
-    assert_eq!(fleet.update(false, vec![entry_started(old)])[0].started_at, old);
-    assert_eq!(fleet.update(false, vec![entry_started(old + 1000.0)])[0].started_at, NOW_MS);
-    assert_eq!(fleet.update(true, vec![entry_started(old + 1000.0)])[0].started_at, NOW_MS);
-    assert_eq!(fleet.update(true, vec![entry_started(0.0)])[0].started_at, 0.0);
+    assert_eq!(
+        fleet.update(false, vec![entry_started(old)])[0].started_at,
+        old
+    );
+    assert_eq!(
+        fleet.update(false, vec![entry_started(old + 1000.0)])[0].started_at,
+        NOW_MS
+    );
+    assert_eq!(
+        fleet.update(true, vec![entry_started(old + 1000.0)])[0].started_at,
+        NOW_MS
+    );
+    assert_eq!(
+        fleet.update(true, vec![entry_started(0.0)])[0].started_at,
+        0.0
+    );
 }
--- a/src/bin/quota-gateway/driver/events.rs
+++ b/src/bin/quota-gateway/driver/events.rs
@@ -45,13 +45,17 @@
         let elapsed_ms = incoming.received_at.elapsed().as_secs_f64() * 1000.0;
         let timeout_ms = (incoming.remaining_ms - elapsed_ms - RESPONSE_MARGIN_MS).max(0.0);
         let now = Instant::now();
-        let deadline = self.lifecycle.limit_deadline(now + Duration::from_secs_f64(timeout_ms / 1000.0));
-        let timeout_ms = timeout_ms.min(deadline.saturating_duration_since(now).as_secs_f64() * 1000.0);
+        let deadline = self
+            .lifecycle
+            .limit_deadline(now + Duration::from_secs_f64(timeout_ms / 1000.0));
+        let timeout_ms =
+            timeout_ms.min(deadline.saturating_duration_since(now).as_secs_f64() * 1000.0);
         let new = NewRequest {
             transaction_id: incoming.transaction_id,
             forwarded,
             deadline,
-            client_deadline: incoming.received_at + Duration::from_secs_f64(incoming.remaining_ms / 1000.0),
+            client_deadline: incoming.received_at
+                + Duration::from_secs_f64(incoming.remaining_ms / 1000.0),
             client_socket,
         };
         let id = self.requests.borrow_mut().insert(new, client);
@@ -66,7 +70,11 @@
             gateway_set_size: incoming.gateway_set_size,
             is_retry: incoming.is_retry,
         }));
-        StartedRequest { id, deadline, response }
+        StartedRequest {
+            id,
+            deadline,
+            response,
+        }
     }
 
     /// The client has gone, or its time is up: nothing more is sent for the request.
@@ -74,7 +82,9 @@
         if self.requests.borrow().is_answered(id) {
             return;
         }
-        self.requests.borrow_mut().respond(id, FinalResponse::Failed);
+        self.requests
+            .borrow_mut()
+            .respond(id, FinalResponse::Failed);
         self.dispatch(Event::ClientDisconnected { id });
     }
 
@@ -85,7 +95,9 @@
         if may_have_run {
             return FinalResponse::Failed;
         }
-        FinalResponse::Rejected { retry_after_ms: 0.0 }
+        FinalResponse::Rejected {
+            retry_after_ms: 0.0,
+        }
     }
 
     /// Gives all open requests their final response, when the process has to end.
@@ -95,7 +107,11 @@
             let mut requests = self.requests.borrow_mut();
             let may_have_run = requests.may_have_run(id);
             tracing::debug!(id, may_have_run, "ended: the process ends");
-            let response = if may_have_run { FinalResponse::Failed } else { FinalResponse::ShuttingDown };
+            let response = if may_have_run {
+                FinalResponse::Failed
+            } else {
+                FinalResponse::ShuttingDown
+            };
             requests.respond(id, response);
             drop(requests);
             self.dispatch(Event::ClientDisconnected { id });
@@ -138,7 +154,12 @@
         elapsed_ms: f64,
     ) {
         let load = LoadReport::default();
-        self.dispatch(Event::HealthCheckEnded { endpoint, outcome, elapsed_ms, load });
+        self.dispatch(Event::HealthCheckEnded {
+            endpoint,
+            outcome,
+            elapsed_ms,
+            load,
+        });
     }
 
     pub(super) fn timer_fired(self: &Rc<Self>, token: u64) {
@@ -148,7 +169,12 @@
 
 impl CounterReplyHandler for Driver {
     fn counter_reply(self: Rc<Self>, key: u64, outcome: Outcome, total: f64, elapsed_ms: f64) {
-        self.dispatch(Event::CounterReply { key, outcome, total, elapsed_ms });
+        self.dispatch(Event::CounterReply {
+            key,
+            outcome,
+            total,
+            elapsed_ms,
+        });
     }
 }
 
@@ -161,7 +187,10 @@
 impl EndpointListHandler for Driver {
     fn endpoint_list_changed(self: Rc<Self>, list: EndpointList) {
         if list.endpoints.invalid > 0 {
-            self.bad_entry_warning.warn("discovery", "an entry of the list can't be read and is passed over");
+            self.bad_entry_warning.warn(
+                "discovery",
+                "an entry of the list can't be read and is passed over",
+            );
         }
         let complete = list.complete;
         self.metrics.list_updates.inc();
@@ -171,8 +200,14 @@
             entries = list.endpoints.valid.len(),
             "endpoint list"
         );
-        let endpoints = self.endpoints.borrow_mut().update(list, &self.pool, self.clock.now_ms());
-        self.dispatch(Event::EndpointUpdate { complete, endpoints });
+        let endpoints = self
+            .endpoints
+            .borrow_mut()
+            .update(list, &self.pool, self.clock.now_ms());
+        self.dispatch(Event::EndpointUpdate {
+            complete,
+            endpoints,
+        });
     }
 
     fn discovery_synced(&self) {
--- a/src/bin/quota-gateway/driver/guard.rs
+++ b/src/bin/quota-gateway/driver/guard.rs
@@ -75,15 +75,33 @@
     pub fn broken_rules(&self, attempt: &WrittenAttempt<'_>) -> Vec<Rule> {
         let since = |at: Option<Instant>| at.map_or(Duration::ZERO, |at| attempt.written_at - at);
         let record = attempt.record;
-        let left = record.client_deadline.saturating_duration_since(attempt.written_at);
+        let left = record
+            .client_deadline
+            .saturating_duration_since(attempt.written_at);
         let checks = [
-            (Rule::SendForClosedRequest, since(record.ended_at) > CLOSED_REQUEST_GRACE),
-            (Rule::SendToDraining, since(attempt.not_ready_since) > self.drain_grace + SOCKET_SLACK),
+            (
+                Rule::SendForClosedRequest,
+                since(record.ended_at) > CLOSED_REQUEST_GRACE,
+            ),
+            (
+                Rule::SendToDraining,
+                since(attempt.not_ready_since) > self.drain_grace + SOCKET_SLACK,
+            ),
             (Rule::RemainingTime, attempt.stated > left + TIME_SLACK),
-            (Rule::SendWhileRefusing, since(attempt.refusing_since) > TIME_SLACK),
-            (Rule::Repeat, record.must_not_repeat || attempt.written_at > attempt.start_by + TIME_SLACK),
+            (
+                Rule::SendWhileRefusing,
+                since(attempt.refusing_since) > TIME_SLACK,
+            ),
+            (
+                Rule::Repeat,
+                record.must_not_repeat || attempt.written_at > attempt.start_by + TIME_SLACK,
+            ),
         ];
-        checks.into_iter().filter(|(_, is_broken)| *is_broken).map(|(rule, _)| rule).collect()
+        checks
+            .into_iter()
+            .filter(|(_, is_broken)| *is_broken)
+            .map(|(rule, _)| rule)
+            .collect()
     }
 
     /// Counts and logs a broken rule.
@@ -101,7 +119,10 @@
 impl Driver {
     /// Whether an attempt may be written now. Asked right before its first byte: finding a connection takes time, in
     /// which the client may go, the endpoint drain and the time for a repeat pass.
-    pub(super) fn check_before_write(&self, attempt: &GuardedAttempt) -> Result<(), AttemptRefusal> {
+    pub(super) fn check_before_write(
+        &self,
+        attempt: &GuardedAttempt,
+    ) -> Result<(), AttemptRefusal> {
         let record = self.requests.borrow().record(attempt.request);
         let record = record.filter(|record| record.ended_at.is_none());
         let record = record.ok_or(AttemptRefusal::RequestAnswered)?;
@@ -130,7 +151,9 @@
     pub(super) fn check_after_write(&self, attempt: &GuardedAttempt, stated: Duration) {
         let written_at = Instant::now();
         let endpoint = attempt.target.endpoint;
-        let Some(record) = self.requests.borrow().record(attempt.request) else { return };
+        let Some(record) = self.requests.borrow().record(attempt.request) else {
+            return;
+        };
         let endpoints = self.endpoints.borrow();
         let written = WrittenAttempt {
             record: &record,
@@ -141,7 +164,9 @@
             refusing_since: self.lifecycle.refusing_since(),
         };
         let mut broken = self.guard.broken_rules(&written);
-        let age_ms = endpoints.started_at(endpoint).map(|started_at| self.clock.now_ms() - started_at);
+        let age_ms = endpoints
+            .started_at(endpoint)
+            .map(|started_at| self.clock.now_ms() - started_at);
         let mut slow_start = self.guard.slow_start.borrow_mut();
         if !slow_start.record(endpoint, age_ms, endpoints.ready_count(), written_at) {
             broken.push(Rule::SlowStart);
--- a/src/bin/quota-gateway/driver/guard/tests.rs
+++ b/src/bin/quota-gateway/driver/guard/tests.rs
@@ -28,11 +28,21 @@
             ended_at: None,
             must_not_repeat: false,
         };
-        Case { record, not_ready_since: None, start_by: now, stated: SECOND, now, refusing_since: None }
+        Case {
+            record,
+            not_ready_since: None,
+            start_by: now,
+            stated: SECOND,
+            now,
+            refusing_since: None,
+        }
     }
 
     fn broken_rules(&self) -> Vec<Rule> {
-        let rules = Rules { drain_grace_ms: 2000.0, ..Rules::default() };
+        let rules = Rules {
+            drain_grace_ms: 2000.0,
+            ..Rules::default()
+        };
         let written = WrittenAttempt {
             record: &self.record,
             not_ready_since: self.not_ready_since,
@@ -60,7 +70,12 @@
     case.not_ready_since = Some(case.now - ms(2051));
     case.stated = SECOND + ms(151);
     case.start_by = case.now - ms(151);
-    let all = [Rule::SendForClosedRequest, Rule::SendToDraining, Rule::RemainingTime, Rule::Repeat];
+    let all = [
+        Rule::SendForClosedRequest,
+        Rule::SendToDraining,
+        Rule::RemainingTime,
+        Rule::Repeat,
+    ];
     assert_eq!(case.broken_rules(), all);
     let mut case = Case::new();
     case.refusing_since = Some(case.now - ms(150));
--- a/src/bin/quota-gateway/driver/messages.rs
+++ b/src/bin/quota-gateway/driver/messages.rs
@@ -45,7 +45,8 @@
 impl ForwardedRequest {
     /// The bytes to be written.
     pub fn encode(&self, remaining: Duration) -> Vec<u8> {
-        let mut message = Vec::with_capacity(self.head.len() + self.body.len() + REMAINING_LINE_BYTES);
+        let mut message =
+            Vec::with_capacity(self.head.len() + self.body.len() + REMAINING_LINE_BYTES);
         message.extend_from_slice(&self.head);
         // Writing to a Vec can't fail.
         let _ = write!(message, "X-Remaining-Ms: {}\r\n", remaining.as_millis());
--- a/src/bin/quota-gateway/driver/mod.rs
+++ b/src/bin/quota-gateway/driver/mod.rs
@@ -125,7 +125,8 @@
 
     /// True once requests can be served: the list is fresh, or discovery is silent, and an endpoint is ready.
     pub fn is_ready(&self) -> bool {
-        let discovery_settled = self.discovery_synced.get() || self.started_at.elapsed() > DISCOVERY_PATIENCE;
+        let discovery_settled =
+            self.discovery_synced.get() || self.started_at.elapsed() > DISCOVERY_PATIENCE;
         discovery_settled && self.endpoints.borrow().any_ready()
     }
 
--- a/src/bin/quota-gateway/driver/requests.rs
+++ b/src/bin/quota-gateway/driver/requests.rs
@@ -155,7 +155,12 @@
     }
 
     fn may_have_run(&self) -> bool {
-        self.may_have_run || self.attempts.iter().flatten().any(|attempt| attempt.written.get())
+        self.may_have_run
+            || self
+                .attempts
+                .iter()
+                .flatten()
+                .any(|attempt| attempt.written.get())
     }
 
     fn respond(&mut self, response: FinalResponse) {
@@ -183,7 +188,11 @@
 impl OpenRequests {
     /// Ids are given out in order from `first_id`.
     pub fn new(first_id: RequestId, limits: AttemptLimits) -> Self {
-        OpenRequests { open: HashMap::new(), next_id: first_id, limits }
+        OpenRequests {
+            open: HashMap::new(),
+            next_id: first_id,
+            limits,
+        }
     }
 
     /// Adds a request. Its final response goes to `client`.
@@ -207,7 +216,11 @@
 
     /// The ids of all requests that have no final response.
     pub fn unanswered(&self) -> Vec<RequestId> {
-        self.open.iter().filter(|(_, request)| !request.is_answered()).map(|(id, _)| *id).collect()
+        self.open
+            .iter()
+            .filter(|(_, request)| !request.is_answered())
+            .map(|(id, _)| *id)
+            .collect()
     }
 
     /// True unless it is certain that no endpoint has run the request.
@@ -254,7 +267,10 @@
         start_within: Duration,
     ) -> Result<StartedAttempt, UnsentAttempt> {
         let Some(request) = self.open.get_mut(&id) else {
-            return Err(UnsentAttempt { number: 0, request_answered: true });
+            return Err(UnsentAttempt {
+                number: 0,
+                request_answered: true,
+            });
         };
         let number = request.attempts.len();
         let now = Instant::now();
@@ -263,11 +279,17 @@
         let may_start = request.may_start_attempt(&self.limits, now, deadline);
         let Some(addr) = addr.filter(|_| may_start) else {
             request.attempts.push(None);
-            return Err(UnsentAttempt { number, request_answered: request.is_answered() });
+            return Err(UnsentAttempt {
+                number,
+                request_answered: request.is_answered(),
+            });
         };
         let (cancel, cancelled) = oneshot::channel();
         let written = Rc::new(Cell::new(false));
-        request.attempts.push(Some(Attempt { cancel: Some(cancel), written: written.clone() }));
+        request.attempts.push(Some(Attempt {
+            cancel: Some(cancel),
+            written: written.clone(),
+        }));
         let forwarded = request.forwarded.clone();
         Ok(StartedAttempt {
             number,
@@ -283,7 +305,9 @@
 
     /// Cancels an attempt. Its task closes the connection, then reports the end; it counts as in flight until then.
     pub fn cancel_attempt(&mut self, id: RequestId, number: usize) {
-        let Some(request) = self.open.get_mut(&id) else { return };
+        let Some(request) = self.open.get_mut(&id) else {
+            return;
+        };
         if let Some(Some(attempt)) = request.attempts.get_mut(number) {
             attempt.cancel();
         }
@@ -304,15 +328,23 @@
         if let Some(served) = served.filter(|_| !request.is_answered()) {
             // A number beyond what one request can take is as good as none.
             actual_units = served.units.filter(|units| *units <= self.limits.max_units);
-            request.respond(FinalResponse::Success { content_type: served.content_type, body: served.body });
+            request.respond(FinalResponse::Success {
+                content_type: served.content_type,
+                body: served.body,
+            });
         }
         let request_answered = request.is_answered();
         self.remove_if_finished(id);
-        Some(FinishedAttempt { request_answered, actual_units })
+        Some(FinishedAttempt {
+            request_answered,
+            actual_units,
+        })
     }
 
     fn remove_if_finished(&mut self, id: RequestId) {
-        let Some(request) = self.open.get(&id) else { return };
+        let Some(request) = self.open.get(&id) else {
+            return;
+        };
         if request.is_answered() && !request.has_attempt_in_flight() {
             self.open.remove(&id);
         }
--- a/src/bin/quota-gateway/driver/requests/tests.rs
+++ b/src/bin/quota-gateway/driver/requests/tests.rs
@@ -18,12 +18,23 @@
 }
 
 fn open_requests(hedging: bool) -> OpenRequests {
-    OpenRequests::new(1, AttemptLimits { max_attempts: 2, hedging, max_units: MAX_UNITS })
+    OpenRequests::new(
+        1,
+        AttemptLimits {
+            max_attempts: 2,
+            hedging,
+            max_units: MAX_UNITS,
+        },
+    )
 }
 
 fn insert(requests: &mut OpenRequests) -> (RequestId, oneshot::Receiver<FinalResponse>) {
     let (client, response) = oneshot::channel();
-    let forwarded = ForwardedRequest { head: Vec::new(), body: Vec::new(), must_not_repeat: true };
+    let forwarded = ForwardedRequest {
+        head: Vec::new(),
+        body: Vec::new(),
+        must_not_repeat: true,
+    };
     let deadline = Instant::now() + TIMEOUT;
     let new = NewRequest {
         transaction_id: 7,
@@ -36,11 +47,17 @@
 }
 
 fn start(requests: &mut OpenRequests, id: RequestId) -> Option<StartedAttempt> {
-    requests.start_attempt(id, Some(address()), TIMEOUT, TIMEOUT).ok()
+    requests
+        .start_attempt(id, Some(address()), TIMEOUT, TIMEOUT)
+        .ok()
 }
 
 fn served(units: f64, body: &'static str) -> EndpointResponse {
-    EndpointResponse { units: Some(units), content_type: None, body: Bytes::from_static(body.as_bytes()) }
+    EndpointResponse {
+        units: Some(units),
+        content_type: None,
+        body: Bytes::from_static(body.as_bytes()),
+    }
 }
 
 #[test]
@@ -49,14 +66,29 @@
         let mut requests = open_requests(hedging);
         let (id, _response) = insert(&mut requests);
         assert!(start(&mut requests, id).is_some());
-        assert_eq!(start(&mut requests, id).is_some(), second_is_sent, "beside another one");
+        assert_eq!(
+            start(&mut requests, id).is_some(),
+            second_is_sent,
+            "beside another one"
+        );
         requests.finish_attempt(id, 0, Outcome::NotSent, None);
-        assert!(start(&mut requests, id).is_none(), "past the limit: one that was not sent counts as well");
+        assert!(
+            start(&mut requests, id).is_none(),
+            "past the limit: one that was not sent counts as well"
+        );
     }
     let mut requests = open_requests(false);
     let (id, _response) = insert(&mut requests);
-    assert!(requests.start_attempt(id, None, TIMEOUT, TIMEOUT).is_err(), "without an address");
-    assert!(requests.start_attempt(id, Some(address()), Duration::ZERO, TIMEOUT).is_err(), "out of time");
+    assert!(
+        requests.start_attempt(id, None, TIMEOUT, TIMEOUT).is_err(),
+        "without an address"
+    );
+    assert!(
+        requests
+            .start_attempt(id, Some(address()), Duration::ZERO, TIMEOUT)
+            .is_err(),
+        "out of time"
+    );
     assert!(start(&mut requests, id + 1).is_none(), "of no open request");
 }
 
@@ -66,12 +98,18 @@
     let (id, mut response) = insert(&mut requests);
     start(&mut requests, id).unwrap();
     start(&mut requests, id).unwrap();
-    let first = requests.finish_attempt(id, 1, Outcome::Success, Some(served(MAX_UNITS, "first"))).unwrap();
+    let first = requests
+        .finish_attempt(id, 1, Outcome::Success, Some(served(MAX_UNITS, "first")))
+        .unwrap();
     assert!(first.request_answered);
     assert_eq!(first.actual_units, Some(MAX_UNITS));
-    let second = requests.finish_attempt(id, 0, Outcome::Success, Some(served(1.0, "second"))).unwrap();
+    let second = requests
+        .finish_attempt(id, 0, Outcome::Success, Some(served(1.0, "second")))
+        .unwrap();
     assert_eq!(second.actual_units, None, "it did not answer the request");
-    assert!(matches!(response.try_recv(), Ok(FinalResponse::Success { body, .. }) if body == "first"));
+    assert!(
+        matches!(response.try_recv(), Ok(FinalResponse::Success { body, .. }) if body == "first")
+    );
     assert!(requests.record(id).is_none());
 }
 
@@ -80,8 +118,9 @@
     let mut requests = open_requests(false);
     let (id, _response) = insert(&mut requests);
     start(&mut requests, id).unwrap();
-    let finished =
-        requests.finish_attempt(id, 0, Outcome::Success, Some(served(MAX_UNITS + 1.0, ""))).unwrap();
+    let finished = requests
+        .finish_attempt(id, 0, Outcome::Success, Some(served(MAX_UNITS + 1.0, "")))
+        .unwrap();
     assert!(finished.request_answered);
     assert_eq!(finished.actual_units, None);
 }
@@ -97,7 +136,10 @@
     assert!(connecting.cancelled.try_recv().is_ok());
     assert!(written.cancelled.try_recv().is_err());
     requests.cancel_attempt(id, written.number);
-    assert!(written.cancelled.try_recv().is_ok(), "the decision library cancels it all the same");
+    assert!(
+        written.cancelled.try_recv().is_ok(),
+        "the decision library cancels it all the same"
+    );
 }
 
 #[test]
@@ -109,23 +151,35 @@
     assert!(requests.is_answered(id));
     assert!(requests.record(id).is_some());
     assert!(requests.unanswered().is_empty());
-    assert!(requests.finish_attempt(id, 0, Outcome::NotSent, None).unwrap().request_answered);
+    assert!(
+        requests
+            .finish_attempt(id, 0, Outcome::NotSent, None)
+            .unwrap()
+            .request_answered
+    );
     assert!(requests.record(id).is_none());
-    assert!(requests.finish_attempt(id, 0, Outcome::NotSent, None).is_none());
+    assert!(requests
+        .finish_attempt(id, 0, Outcome::NotSent, None)
+        .is_none());
 }
 
 /// What may have run and must not run again is on record until the request is no longer open.
 #[test]
 fn a_request_that_may_have_run_is_on_record() {
-    for (outcome, may_have_run) in
-        [(Outcome::Rejected, false), (Outcome::ConnectFailed, false), (Outcome::ConnectionReset, true)]
-    {
+    for (outcome, may_have_run) in [
+        (Outcome::Rejected, false),
+        (Outcome::ConnectFailed, false),
+        (Outcome::ConnectionReset, true),
+    ] {
         let mut requests = open_requests(false);
         let (id, _response) = insert(&mut requests);
         start(&mut requests, id).unwrap();
         requests.finish_attempt(id, 0, outcome, None);
         let record = requests.record(id).unwrap();
-        assert_eq!((record.must_not_repeat, record.ended_at), (may_have_run, None));
+        assert_eq!(
+            (record.must_not_repeat, record.ended_at),
+            (may_have_run, None)
+        );
         requests.respond(id, FinalResponse::Failed);
         assert!(requests.record(id).is_none());
     }
--- a/src/bin/quota-gateway/driver/slow_start_check.rs
+++ b/src/bin/quota-gateway/driver/slow_start_check.rs
@@ -72,7 +72,11 @@
 
 /// What an endpoint bears that may get this number of attempts in the mean.
 fn with_margin(attempts: f64) -> f64 {
-    let margin = if attempts < FEW_ATTEMPTS { MARGIN_OF_FEW } else { MARGIN };
+    let margin = if attempts < FEW_ATTEMPTS {
+        MARGIN_OF_FEW
+    } else {
+        MARGIN
+    };
     attempts + margin * attempts.sqrt() + margin
 }
 
--- a/src/bin/quota-gateway/driver/slow_start_check/tests.rs
+++ b/src/bin/quota-gateway/driver/slow_start_check/tests.rs
@@ -23,7 +23,9 @@
     for _ in 0..90 {
         assert!(check.record(1, None, 10, now));
     }
-    let kept = (0..20).take_while(|_| check.record(2, Some(0.0), 10, now)).count();
+    let kept = (0..20)
+        .take_while(|_| check.record(2, Some(0.0), 10, now))
+        .count();
     assert_eq!(kept, 15);
     assert!(check.record(2, Some(10_000.0), 10, now), "it is warm");
     assert!(check.record(3, Some(0.0), 10, now), "another one");
@@ -34,6 +36,14 @@
     let mut check = check();
     let start = Instant::now();
     for second in 0..100 {
-        assert!(check.record(2, Some(0.0), 10, start + Duration::from_millis(300 * second)), "{second}");
+        assert!(
+            check.record(
+                2,
+                Some(0.0),
+                10,
+                start + Duration::from_millis(300 * second)
+            ),
+            "{second}"
+        );
     }
 }
--- a/src/bin/quota-gateway/driver/start_times.rs
+++ b/src/bin/quota-gateway/driver/start_times.rs
@@ -29,7 +29,9 @@
     /// warm one.
     pub fn judge(&self, started_ms: f64, now_ms: f64) -> f64 {
         let started_ms = started_ms.min(now_ms);
-        let Some(synced_at) = self.synced_at else { return started_ms };
+        let Some(synced_at) = self.synced_at else {
+            return started_ms;
+        };
         let max_age_ms = synced_at.elapsed().as_secs_f64() * 1000.0 + PROPAGATION_MS;
         if started_ms > 0.0 && now_ms - started_ms > max_age_ms {
             now_ms
--- a/src/bin/quota-gateway/gossip.rs
+++ b/src/bin/quota-gateway/gossip.rs
@@ -35,7 +35,11 @@
         broadcast: Option<SocketAddr>,
     ) -> io::Result<Self> {
         let socket = UdpSocket::bind(listen).await?;
-        Ok(GossipSocket { socket, peers, broadcast })
+        Ok(GossipSocket {
+            socket,
+            peers,
+            broadcast,
+        })
     }
 
     /// Sends to the gateway with this index, or to all others for `u32::MAX`. A message that the socket can't take now
@@ -62,19 +66,29 @@
 }
 
 /// Receives messages for as long as the program runs; drops those beyond the rate.
-pub async fn run(socket: Rc<GossipSocket>, max_messages_per_second: f64, handler: Rc<dyn GossipHandler>) {
+pub async fn run(
+    socket: Rc<GossipSocket>,
+    max_messages_per_second: f64,
+    handler: Rc<dyn GossipHandler>,
+) {
     // One byte more than the longest message, so that a longer one is noticed.
     let mut buffer = [0; MAX_MESSAGE_BYTES + 1];
     let mut limiter = RateLimiter::new(max_messages_per_second);
     loop {
-        let Ok((length, addr)) = socket.socket.recv_from(&mut buffer).await else { continue };
+        let Ok((length, addr)) = socket.socket.recv_from(&mut buffer).await else {
+            continue;
+        };
         // Strangers' messages, and those that no gateway may send, don't count towards the rate.
-        let Some(from) = socket.index(addr) else { continue };
+        let Some(from) = socket.index(addr) else {
+            continue;
+        };
         if length > MAX_MESSAGE_BYTES {
             continue;
         }
         if limiter.admit() {
-            handler.clone().gossip_received(from as u32, buffer[..length].to_vec());
+            handler
+                .clone()
+                .gossip_received(from as u32, buffer[..length].to_vec());
         }
     }
 }
@@ -88,7 +102,11 @@
 
 impl RateLimiter {
     fn new(per_second: f64) -> Self {
-        RateLimiter { per_second, tokens: per_second, refilled_at: Instant::now() }
+        RateLimiter {
+            per_second,
+            tokens: per_second,
+            refilled_at: Instant::now(),
+        }
     }
 
     fn admit(&mut self) -> bool {
--- a/src/bin/quota-gateway/http/body.rs
+++ b/src/bin/quota-gateway/http/body.rs
@@ -71,7 +71,9 @@
                 buffer.split_to(length)
             }
             Body::ChunkData(left) => {
-                let length = usize::try_from(left).unwrap_or(usize::MAX).min(buffer.len());
+                let length = usize::try_from(left)
+                    .unwrap_or(usize::MAX)
+                    .min(buffer.len());
                 *self = Body::ChunkData(left - length as u64);
                 buffer.split_to(length)
             }
@@ -85,10 +87,16 @@
         match httparse::parse_chunk_size(buffer) {
             Ok(Status::Complete((line_length, size))) => {
                 buffer.advance(line_length);
-                *self = if size == 0 { Body::Trailers } else { Body::ChunkData(size) };
+                *self = if size == 0 {
+                    Body::Trailers
+                } else {
+                    Body::ChunkData(size)
+                };
                 Ok(true)
             }
-            Ok(Status::Partial) if buffer.len() > MAX_HEAD_BYTES => Err(MalformedResponse::ChunkLineTooLong),
+            Ok(Status::Partial) if buffer.len() > MAX_HEAD_BYTES => {
+                Err(MalformedResponse::ChunkLineTooLong)
+            }
             Ok(Status::Partial) => Ok(false),
             Err(_) => Err(MalformedResponse::InvalidChunkSize),
         }
@@ -110,7 +118,10 @@
 
     /// Drops one line behind the last chunk; an empty one ends the body. False while it is not complete.
     fn read_trailer(&mut self, buffer: &mut BytesMut) -> Result<bool, MalformedResponse> {
-        let Some(end) = buffer.windows(LINE_END.len()).position(|window| window == LINE_END) else {
+        let Some(end) = buffer
+            .windows(LINE_END.len())
+            .position(|window| window == LINE_END)
+        else {
             if buffer.len() > MAX_HEAD_BYTES {
                 return Err(MalformedResponse::TrailerTooLong);
             }
--- a/src/bin/quota-gateway/http/head.rs
+++ b/src/bin/quota-gateway/http/head.rs
@@ -71,7 +71,11 @@
     Ok(Some(ParsedHead { head, body, length }))
 }
 
-fn read_header(header: &Header<'_>, head: &mut Head, framing: &mut Framing) -> Result<(), MalformedResponse> {
+fn read_header(
+    header: &Header<'_>,
+    head: &mut Head,
+    framing: &mut Framing,
+) -> Result<(), MalformedResponse> {
     let value = std::str::from_utf8(header.value).unwrap_or("").trim();
     let is_named = |name: &str| header.name.eq_ignore_ascii_case(name);
     if is_named("content-length") {
@@ -101,7 +105,10 @@
 }
 
 fn parse_units(value: &str) -> Option<f64> {
-    value.parse().ok().filter(|units: &f64| units.is_finite() && *units >= 0.0)
+    value
+        .parse()
+        .ok()
+        .filter(|units: &f64| units.is_finite() && *units >= 0.0)
 }
 
 impl Framing {
@@ -110,7 +117,9 @@
         if !value.bytes().all(|byte| byte.is_ascii_digit()) {
             return Err(MalformedResponse::InvalidContentLength);
         }
-        let length = value.parse().map_err(|_| MalformedResponse::InvalidContentLength)?;
+        let length = value
+            .parse()
+            .map_err(|_| MalformedResponse::InvalidContentLength)?;
         if self.content_length.is_some_and(|other| other != length) {
             return Err(MalformedResponse::ConflictingContentLengths);
         }
--- a/src/bin/quota-gateway/http/reader.rs
+++ b/src/bin/quota-gateway/http/reader.rs
@@ -65,7 +65,9 @@
             }
             self.interim_responses += 1;
             // Nobody asked for another protocol.
-            if parsed.head.status == SWITCHING_PROTOCOLS || self.interim_responses > MAX_INTERIM_RESPONSES {
+            if parsed.head.status == SWITCHING_PROTOCOLS
+                || self.interim_responses > MAX_INTERIM_RESPONSES
+            {
                 return Err(MalformedResponse::NoFinalResponse.into());
             }
         }
@@ -80,7 +82,9 @@
                 Decoded::Incomplete => {}
             }
             match self.fill().await {
-                Err(e) if e.kind() == ErrorKind::UnexpectedEof && self.body.ends_with_connection() => {
+                Err(e)
+                    if e.kind() == ErrorKind::UnexpectedEof && self.body.ends_with_connection() =>
+                {
                     self.body = Body::Complete;
                 }
                 other => other?,
@@ -103,7 +107,10 @@
                 return Err(MalformedResponse::BodyTooLong.into());
             }
         }
-        let head = self.partial_head.take().ok_or(MalformedResponse::MissingHead)?;
+        let head = self
+            .partial_head
+            .take()
+            .ok_or(MalformedResponse::MissingHead)?;
         Ok((head, self.partial_body.split().freeze()))
     }
 
--- a/src/bin/quota-gateway/http/tests.rs
+++ b/src/bin/quota-gateway/http/tests.rs
@@ -57,10 +57,22 @@
     // Neither a line without end nor what a chunk claims to hold is stored.
     let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     assert!(read(&format!("{chunked}4;{}", "x".repeat(MAX_HEAD_BYTES * 2))).is_err());
-    assert!(read(&format!("{chunked}ffffffff\r\n{}", "x".repeat(MAX_BODY_BYTES + 1))).is_err());
-    assert!(read(&format!("HTTP/1.1 200 OK\r\n\r\n{}", "x".repeat(MAX_BODY_BYTES + 1))).is_err());
+    assert!(read(&format!(
+        "{chunked}ffffffff\r\n{}",
+        "x".repeat(MAX_BODY_BYTES + 1)
+    ))
+    .is_err());
+    assert!(read(&format!(
+        "HTTP/1.1 200 OK\r\n\r\n{}",
+        "x".repeat(MAX_BODY_BYTES + 1)
+    ))
+    .is_err());
     assert!(read(&"HTTP/1.1 102 Wait\r\n\r\n".repeat(1000)).is_err());
-    assert!(read(&format!("HTTP/1.1 200 OK\r\nX: {}", "x".repeat(MAX_HEAD_BYTES * 2))).is_err());
+    assert!(read(&format!(
+        "HTTP/1.1 200 OK\r\nX: {}",
+        "x".repeat(MAX_HEAD_BYTES * 2)
+    ))
+    .is_err());
 }
 
 /// Yields these bytes, then the error of a broken connection.
@@ -82,10 +94,15 @@
 
 #[test]
 fn a_break_is_no_end_of_a_body_without_a_length() {
-    let runtime = tokio::runtime::Builder::new_current_thread().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .build()
+        .unwrap();
     let mut reader = Reader::new(Broken(b"HTTP/1.1 200 OK\r\n\r\nfine"));
     let result = runtime.block_on(reader.read_response(MAX_BODY_BYTES));
-    assert_eq!(result.err().map(|error| error.kind()), Some(io::ErrorKind::ConnectionReset));
+    assert_eq!(
+        result.err().map(|error| error.kind()),
+        Some(io::ErrorKind::ConnectionReset)
+    );
 }
 
 /// Yields one byte a read.
@@ -107,7 +124,9 @@
 
 #[test]
 fn a_response_that_comes_byte_by_byte_is_read_the_same() {
-    let runtime = tokio::runtime::Builder::new_current_thread().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .build()
+        .unwrap();
     for text in [
         "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nf\r\n3;x=y\r\nine\r\n0\r\nX: y\r\n\r\n",
--- a/src/bin/quota-gateway/lifecycle/mod.rs
+++ b/src/bin/quota-gateway/lifecycle/mod.rs
@@ -67,7 +67,8 @@
     pub fn advance_to(&self, phase: Phase) {
         if phase >= Phase::Refusing {
             let now = Instant::now();
-            self.refusing_at.set(Some(self.refusing_at.get().map_or(now, |at| at.min(now))));
+            self.refusing_at
+                .set(Some(self.refusing_at.get().map_or(now, |at| at.min(now))));
         }
         self.phase.send_if_modified(|current| {
             let is_later = phase > *current;
@@ -83,7 +84,9 @@
 
     /// Whether a request may still be forwarded.
     pub fn may_forward(&self) -> bool {
-        let Some(timeline) = self.timeline.get() else { return true };
+        let Some(timeline) = self.timeline.get() else {
+            return true;
+        };
         self.refusing_since().is_none() && Instant::now() < timeline.last_forwarding_at
     }
 
@@ -94,7 +97,9 @@
 
     /// The earlier of a request's deadline and that of the shutdown.
     pub fn limit_deadline(&self, deadline: Instant) -> Instant {
-        self.timeline.get().map_or(deadline, |timeline| deadline.min(timeline.request_deadline))
+        self.timeline
+            .get()
+            .map_or(deadline, |timeline| deadline.min(timeline.request_deadline))
     }
 
     /// Follows the phase.
--- a/src/bin/quota-gateway/lifecycle/timeline.rs
+++ b/src/bin/quota-gateway/lifecycle/timeline.rs
@@ -34,7 +34,11 @@
 
 /// The longest time that a client waits, over all classes of the settings.
 pub fn longest_deadline(settings: &Settings) -> Duration {
-    let longest_ms = settings.classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max);
+    let longest_ms = settings
+        .classes
+        .iter()
+        .map(|class| class.deadline_ms)
+        .fold(0.0, f64::max);
     Duration::from_secs_f64(longest_ms.clamp(0.0, MAX_DEADLINE_MS) / 1000.0)
 }
 
--- a/src/bin/quota-gateway/lifecycle/timeline/tests.rs
+++ b/src/bin/quota-gateway/lifecycle/timeline/tests.rs
@@ -13,9 +13,18 @@
     let terminated_at = Instant::now();
     for deadline_ms in DEADLINES_MS {
         let timeline = Timeline::new(terminated_at, Duration::from_millis(deadline_ms));
-        assert!(timeline.no_new_connections_at <= timeline.refusing_at, "{deadline_ms}");
-        assert!(timeline.last_forwarding_at < timeline.request_deadline, "{deadline_ms}");
-        assert!(timeline.request_deadline < timeline.refusing_at, "{deadline_ms}");
+        assert!(
+            timeline.no_new_connections_at <= timeline.refusing_at,
+            "{deadline_ms}"
+        );
+        assert!(
+            timeline.last_forwarding_at < timeline.request_deadline,
+            "{deadline_ms}"
+        );
+        assert!(
+            timeline.request_deadline < timeline.refusing_at,
+            "{deadline_ms}"
+        );
         assert!(timeline.quiet_from <= timeline.refusing_at, "{deadline_ms}");
     }
 }
@@ -40,7 +49,10 @@
     for deadline_ms in DEADLINES_MS {
         let timeline = Timeline::new(terminated_at, Duration::from_millis(deadline_ms));
         let served_for = timeline.request_deadline - terminated_at;
-        assert!(served_for + Duration::from_millis(320) > kill_after(deadline_ms), "{deadline_ms}");
+        assert!(
+            served_for + Duration::from_millis(320) > kill_after(deadline_ms),
+            "{deadline_ms}"
+        );
     }
 }
 
@@ -49,18 +61,30 @@
     let terminated_at = Instant::now();
     for deadline_ms in DEADLINES_MS {
         let timeline = Timeline::new(terminated_at, Duration::from_millis(deadline_ms));
-        assert!(timeline.no_new_connections_at - terminated_at > Duration::from_millis(400), "{deadline_ms}");
+        assert!(
+            timeline.no_new_connections_at - terminated_at > Duration::from_millis(400),
+            "{deadline_ms}"
+        );
     }
 }
 
 #[test]
 fn the_longest_deadline_is_that_of_all_classes() {
-    for (deadlines, longest_ms) in
-        [(vec![400.0], 400), (vec![2500.0, 900.0], 2500), (vec![7500.0], 7500), (vec![f64::NAN], 0)]
-    {
-        let class = |deadline_ms| Class { deadline_ms, ..Class::default() };
+    for (deadlines, longest_ms) in [
+        (vec![400.0], 400),
+        (vec![2500.0, 900.0], 2500),
+        (vec![7500.0], 7500),
+        (vec![f64::NAN], 0),
+    ] {
+        let class = |deadline_ms| Class {
+            deadline_ms,
+            ..Class::default()
+        };
         let classes = deadlines.into_iter().map(class).collect();
-        let longest = longest_deadline(&Settings { classes, ..Settings::default() });
+        let longest = longest_deadline(&Settings {
+            classes,
+            ..Settings::default()
+        });
         assert_eq!(longest, Duration::from_millis(longest_ms));
     }
 }
--- a/src/bin/quota-gateway/logging.rs
+++ b/src/bin/quota-gateway/logging.rs
@@ -30,7 +30,9 @@
     pub fn start() -> Self {
         let builder = NonBlockingBuilder::default().buffered_lines_limit(MAX_WAITING_LINES);
         let (writer, worker) = builder.thread_name("log").finish(stderr());
-        let log = tracing_subscriber::fmt().with_writer(writer.clone()).with_max_level(level());
+        let log = tracing_subscriber::fmt()
+            .with_writer(writer.clone())
+            .with_max_level(level());
         // Time since the start of the process: the wall clock may be stepped.
         log.with_ansi(false).with_timer(uptime()).init();
         panic::set_hook(Box::new(log_panic));
@@ -59,7 +61,9 @@
 
 fn level() -> LevelFilter {
     let named = std::env::var(LEVEL_VARIABLE).ok();
-    named.and_then(|name| name.parse().ok()).unwrap_or(LevelFilter::INFO)
+    named
+        .and_then(|name| name.parse().ok())
+        .unwrap_or(LevelFilter::INFO)
 }
 
 /// Logs a panic. The standard hook would write to standard error itself, and might wait for its reader.
@@ -70,5 +74,6 @@
 
 fn panic_message(payload: &(dyn Any + Send)) -> &str {
     let text = payload.downcast_ref::<&str>().copied();
-    text.or_else(|| payload.downcast_ref::<String>().map(String::as_str)).unwrap_or("no message")
+    text.or_else(|| payload.downcast_ref::<String>().map(String::as_str))
+        .unwrap_or("no message")
 }
--- a/src/bin/quota-gateway/main.rs
+++ b/src/bin/quota-gateway/main.rs
@@ -1,6 +1,13 @@
 //! The gateway program: the decision library on real sockets.
 // Tests fail by panicking, and the figures that they compare are exact.
-#![cfg_attr(test, allow(clippy::unwrap_used, clippy::float_cmp, clippy::unchecked_time_subtraction))]
+#![cfg_attr(
+    test,
+    allow(
+        clippy::unwrap_used,
+        clippy::float_cmp,
+        clippy::unchecked_time_subtraction
+    )
+)]
 
 mod config;
 mod counter;
@@ -57,8 +64,14 @@
 
 /// Starts the gateway and serves until SIGTERM; SIGHUP reloads the configuration, during the shutdown, too.
 async fn serve(signals: Signals) -> Result<(), StartupError> {
-    let mut terminate = signals.terminate.listen().map_err(StartupError::SignalHandler)?;
-    let mut hangup = signals.hangup.listen().map_err(StartupError::SignalHandler)?;
+    let mut terminate = signals
+        .terminate
+        .listen()
+        .map_err(StartupError::SignalHandler)?;
+    let mut hangup = signals
+        .hangup
+        .listen()
+        .map_err(StartupError::SignalHandler)?;
     let start = async { startup::start(config::load().await?).await };
     let gateway = tokio::select! {
         started = start => started?,
--- a/src/bin/quota-gateway/metrics/family.rs
+++ b/src/bin/quota-gateway/metrics/family.rs
@@ -29,8 +29,14 @@
         let family = family.expect("the name of a metric is valid, as a test shows");
         // It fails for a name that is there already, and the counters then count unseen.
         let _ = registry.register(Box::new(family.clone()));
-        let counters = L::ALL.iter().map(|value| family.with_label_values(&[value.text()])).collect();
-        CounterFamily { counters, label: PhantomData }
+        let counters = L::ALL
+            .iter()
+            .map(|value| family.with_label_values(&[value.text()]))
+            .collect();
+        CounterFamily {
+            counters,
+            label: PhantomData,
+        }
     }
 
     /// The sum over all values.
--- a/src/bin/quota-gateway/metrics/mod.rs
+++ b/src/bin/quota-gateway/metrics/mod.rs
@@ -46,7 +46,11 @@
         let counter = |name: &str, help: &str| register_counter(&registry, name, help);
         Rc::new(Metrics {
             requests: CounterFamily::register(&registry, "requests", "Final responses to clients"),
-            attempts: CounterFamily::register(&registry, "attempts", "Attempts on endpoints that ended"),
+            attempts: CounterFamily::register(
+                &registry,
+                "attempts",
+                "Attempts on endpoints that ended",
+            ),
             attempt_refusals: CounterFamily::register(
                 &registry,
                 "attempt_refusals",
@@ -58,7 +62,10 @@
                 "Connections of clients that ended",
             ),
             violations: CounterFamily::register(&registry, "rule_violations", "Rules broken"),
-            connections_accepted: counter("client_connections_accepted", "Connections of clients accepted"),
+            connections_accepted: counter(
+                "client_connections_accepted",
+                "Connections of clients accepted",
+            ),
             accept_errors: counter("accept_errors", "Failures to accept a client"),
             list_updates: counter("endpoint_list_updates", "Updates of the endpoint list"),
             reloads: counter("reloads", "Configurations taken over at SIGHUP"),
@@ -70,7 +77,9 @@
     /// The counters in the text format.
     pub fn encode(&self) -> String {
         // It fails on families without a name or a value only; each has both.
-        TextEncoder::new().encode_to_string(&self.registry.gather()).unwrap_or_default()
+        TextEncoder::new()
+            .encode_to_string(&self.registry.gather())
+            .unwrap_or_default()
     }
 }
 
--- a/src/bin/quota-gateway/rate_limited_warning.rs
+++ b/src/bin/quota-gateway/rate_limited_warning.rs
@@ -16,7 +16,11 @@
 impl RateLimitedWarning {
     /// Logs what happened and why, unless the last such warning is too recent.
     pub fn warn(&self, what: &str, why: impl Display) {
-        if self.last_logged_at.get().is_none_or(|at| at.elapsed() > MIN_INTERVAL) {
+        if self
+            .last_logged_at
+            .get()
+            .is_none_or(|at| at.elapsed() > MIN_INTERVAL)
+        {
             self.last_logged_at.set(Some(Instant::now()));
             tracing::warn!("{what}: {why}");
         }
--- a/src/bin/quota-gateway/server/accept.rs
+++ b/src/bin/quota-gateway/server/accept.rs
@@ -34,7 +34,10 @@
 
 impl AcceptQueue {
     fn new(listener: TcpListener) -> Self {
-        AcceptQueue { listener, held_up_since: None }
+        AcceptQueue {
+            listener,
+            held_up_since: None,
+        }
     }
 
     /// The next connection.
@@ -56,7 +59,8 @@
 
     /// When what a connection has sent by now may have come, if it had to wait in the queue.
     fn first_arrival(&self, socket: &Socket) -> Option<Instant> {
-        self.held_up_since.filter(|_| socket.unread() == Unread::Bytes)
+        self.held_up_since
+            .filter(|_| socket.unread() == Unread::Bytes)
     }
 }
 
@@ -102,7 +106,10 @@
             let Some(slot) = self.acquire_slot().await else {
                 // A broken connection needs no response.
                 let _ = stream.write_at_once(self.no_slot_response.as_bytes());
-                self.driver.metrics().connections_ended.increment(ConnectionEnd::NoSlot);
+                self.driver
+                    .metrics()
+                    .connections_ended
+                    .increment(ConnectionEnd::NoSlot);
                 continue;
             };
             let client = Rc::new(Client::new(queue.first_arrival(&stream)));
@@ -147,8 +154,12 @@
     /// none.
     fn evict_idle_client(&self) -> bool {
         let clients = self.clients.borrow();
-        let evictable = clients.values().filter(|client| client.is_evictable(NEW_CLIENT_GRACE));
-        let Some(oldest) = evictable.min_by_key(|client| client.eviction_order()) else { return false };
+        let evictable = clients
+            .values()
+            .filter(|client| client.is_evictable(NEW_CLIENT_GRACE));
+        let Some(oldest) = evictable.min_by_key(|client| client.eviction_order()) else {
+            return false;
+        };
         oldest.evict();
         true
     }
--- a/src/bin/quota-gateway/server/client.rs
+++ b/src/bin/quota-gateway/server/client.rs
@@ -120,14 +120,17 @@
 
     /// True if another request may have come, whole or in part, behind the one that is being served.
     pub fn may_have_sent_more(&self) -> bool {
-        self.head_ends.count() > self.requests.get() || self.sent_ahead.get() > 0 || self.has_begun_head()
+        self.head_ends.count() > self.requests.get()
+            || self.sent_ahead.get() > 0
+            || self.has_begun_head()
     }
 
     /// The head of a request has come. Its last byte came no later than the bytes that were read last.
     pub fn request_started(&self) {
         self.requests.set(self.requests.get() + 1);
         let begun_at = self.head_begun_at.take().unwrap_or(self.last_arrival.get());
-        self.request_begun_at.set(begun_at.max(self.idle_since.get()));
+        self.request_begun_at
+            .set(begun_at.max(self.idle_since.get()));
         if self.phase.get() == Phase::New {
             self.request_begun_at.set(self.connected_at);
         }
--- a/src/bin/quota-gateway/server/client/tests.rs
+++ b/src/bin/quota-gateway/server/client/tests.rs
@@ -11,13 +11,22 @@
 async fn a_new_client_is_closed_within_three_seconds_of_connecting() {
     let connected_at = Instant::now();
     let client = Client::new(None);
-    assert_eq!(client.head_deadline(), Some(connected_at + Duration::from_millis(2300)));
+    assert_eq!(
+        client.head_deadline(),
+        Some(connected_at + Duration::from_millis(2300))
+    );
     advance(2 * SECOND).await;
     client.bytes_read(b"x", Instant::now());
-    assert_eq!(client.head_deadline(), Some(connected_at + Duration::from_millis(2800)));
+    assert_eq!(
+        client.head_deadline(),
+        Some(connected_at + Duration::from_millis(2800))
+    );
     client.request_started();
     assert_eq!(client.head_deadline(), None);
-    assert_eq!(client.request_deadline(), connected_at + Duration::from_millis(2800));
+    assert_eq!(
+        client.request_deadline(),
+        connected_at + Duration::from_millis(2800)
+    );
 }
 
 /// On a connection that has rested the time runs from the head's first byte.
@@ -30,17 +39,26 @@
     advance(SECOND).await;
     client.request_ended();
     let idle_since = Instant::now();
-    assert_eq!(client.head_deadline(), Some(idle_since + Duration::from_millis(2300)));
+    assert_eq!(
+        client.head_deadline(),
+        Some(idle_since + Duration::from_millis(2300))
+    );
     advance(2 * SECOND).await;
     let begun_at = Instant::now();
     client.bytes_read(b"x", begun_at);
     assert!(client.has_begun_head());
-    assert_eq!(client.head_deadline(), Some(begun_at + Duration::from_millis(2300)));
+    assert_eq!(
+        client.head_deadline(),
+        Some(begun_at + Duration::from_millis(2300))
+    );
     advance(SECOND).await;
     client.bytes_read(b"x", Instant::now());
     client.request_started();
     assert!(!client.has_begun_head());
-    assert_eq!(client.request_deadline(), begun_at + Duration::from_millis(2800));
+    assert_eq!(
+        client.request_deadline(),
+        begun_at + Duration::from_millis(2800)
+    );
 }
 
 /// What a client had sent before it was accepted may have come as long ago as the queue was held up.
@@ -92,7 +110,10 @@
     assert!(client.is_busy() && client.is_owed_response());
     client.request_complete();
     client.request_ended();
-    assert!(client.is_busy() && client.is_owed_response(), "the response is not written");
+    assert!(
+        client.is_busy() && client.is_owed_response(),
+        "the response is not written"
+    );
     assert!(!client.is_evictable(SECOND));
     client.responses_written();
     assert!(!client.is_busy() && client.is_evictable(SECOND));
--- a/src/bin/quota-gateway/server/connection.rs
+++ b/src/bin/quota-gateway/server/connection.rs
@@ -54,7 +54,9 @@
 
 impl HeadTimer {
     fn new(client: &Client) -> Self {
-        HeadTimer { timer: Box::pin(sleep_until(next_check(client))) }
+        HeadTimer {
+            timer: Box::pin(sleep_until(next_check(client))),
+        }
     }
 
     /// Ready once the client's time is over. The timer may go off earlier: it is set anew only then, as setting it for
@@ -71,11 +73,15 @@
 }
 
 fn next_check(client: &Client) -> Instant {
-    client.head_deadline().unwrap_or_else(|| Instant::now() + DEADLINE_CHECK_INTERVAL)
+    client
+        .head_deadline()
+        .unwrap_or_else(|| Instant::now() + DEADLINE_CHECK_INTERVAL)
 }
 
 fn is_expired(client: &Client) -> bool {
-    client.head_deadline().is_some_and(|deadline| deadline <= Instant::now())
+    client
+        .head_deadline()
+        .is_some_and(|deadline| deadline <= Instant::now())
 }
 
 impl Server {
@@ -109,7 +115,9 @@
     /// No connection may be closed under a complete request without a response, unless its client has gone.
     fn check_end(&self, client: &Client, stream: &ClientStream) {
         if client.is_being_served() && !stream.has_ended() {
-            self.driver.guard().report(Rule::CloseUnanswered, "the connection ended first");
+            self.driver
+                .guard()
+                .report(Rule::CloseUnanswered, "the connection ended first");
         }
     }
 
@@ -128,7 +136,9 @@
         let socket = stream.socket().downgrade();
         let service = service_fn(|request| {
             let socket = socket.clone();
-            Box::pin(async move { Ok::<_, Infallible>(self.respond(request, client, socket).await) })
+            Box::pin(
+                async move { Ok::<_, Infallible>(self.respond(request, client, socket).await) },
+            )
         });
         let mut connection = http1::Builder::new()
             .max_buf_size(MAX_HEAD_BYTES)
@@ -174,7 +184,10 @@
             }
             Ended::Incomplete => {
                 // A broken connection needs no response.
-                let _ = stream.socket().write_all(response::incomplete_at_shutdown().as_bytes()).await;
+                let _ = stream
+                    .socket()
+                    .write_all(response::incomplete_at_shutdown().as_bytes())
+                    .await;
                 Some(stream)
             }
             // Closed unread: a request that crosses the close may be sent again.
@@ -229,7 +242,9 @@
     if is_incomplete(phase, client) {
         return Poll::Ready(Ended::Incomplete);
     }
-    head_timer.poll_expired(client, cx).map(|()| Ended::TimedOut)
+    head_timer
+        .poll_expired(client, cx)
+        .map(|()| Ended::TimedOut)
 }
 
 /// Closes the sending side, then reads and drops what the client still sends, up to a bound.
--- a/src/bin/quota-gateway/server/disconnect.rs
+++ b/src/bin/quota-gateway/server/disconnect.rs
@@ -109,7 +109,10 @@
         let now = Instant::now();
         match self.read_ahead.back_mut() {
             Some(last) if now - last.at < ARRIVAL_RESOLUTION => last.bytes.extend_from_slice(bytes),
-            _ => self.read_ahead.push_back(Arrival { at: now, bytes: BytesMut::from(bytes) }),
+            _ => self.read_ahead.push_back(Arrival {
+                at: now,
+                bytes: BytesMut::from(bytes),
+            }),
         }
         self.read_ahead_bytes += bytes.len();
         self.client.set_sent_ahead(self.read_ahead_bytes);
@@ -153,7 +156,9 @@
 
     /// Hands on bytes sent ahead that came together.
     fn take_read_ahead(&mut self, buf: &mut ReadBuf<'_>) {
-        let Some(first) = self.read_ahead.front_mut() else { return };
+        let Some(first) = self.read_ahead.front_mut() else {
+            return;
+        };
         let bytes = first.bytes.len().min(buf.remaining());
         let taken = first.bytes.split_to(bytes);
         buf.put_slice(&taken);
@@ -180,7 +185,9 @@
             dropped: 0,
             ended: false,
         };
-        ClientStream { inner: Rc::new(RefCell::new(inner)) }
+        ClientStream {
+            inner: Rc::new(RefCell::new(inner)),
+        }
     }
 
     /// Ready once the client has closed its side or the connection broke. What it sent before is kept, up to a bound.
@@ -209,7 +216,11 @@
 }
 
 impl AsyncRead for ClientStream {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         let inner = &mut *self.inner.borrow_mut();
         if !inner.read_ahead.is_empty() {
             inner.take_read_ahead(buf);
@@ -219,7 +230,8 @@
             return Poll::Ready(Ok(()));
         }
         let before = buf.filled().len();
-        ready!(Pin::new(&mut inner.socket).poll_read(cx, buf)).inspect_err(|_| inner.ended = true)?;
+        ready!(Pin::new(&mut inner.socket).poll_read(cx, buf))
+            .inspect_err(|_| inner.ended = true)?;
         let bytes = &buf.filled()[before..];
         if !bytes.is_empty() {
             inner.client.bytes_read(bytes, Instant::now());
@@ -231,7 +243,11 @@
 }
 
 impl AsyncWrite for ClientStream {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.inner.borrow_mut().socket).poll_write(cx, buf)
     }
 
--- a/src/bin/quota-gateway/server/disconnect/tests.rs
+++ b/src/bin/quota-gateway/server/disconnect/tests.rs
@@ -32,14 +32,21 @@
         let (mut client, stream, budget) = connect_without_room();
         client.write_all(b"GET /look").unwrap();
         let client_gone = || poll_fn(|cx| stream.poll_client_gone(cx));
-        assert!(timeout(20 * POLL_INTERVAL, client_gone()).await.is_err(), "it has not gone");
+        assert!(
+            timeout(20 * POLL_INTERVAL, client_gone()).await.is_err(),
+            "it has not gone"
+        );
         if reset {
-            socket2::SockRef::from(&client).set_linger(Some(Duration::ZERO)).unwrap();
+            socket2::SockRef::from(&client)
+                .set_linger(Some(Duration::ZERO))
+                .unwrap();
             drop(client);
         } else {
             client.shutdown(Shutdown::Write).unwrap();
         }
-        timeout(3 * POLL_INTERVAL, client_gone()).await.expect("it has gone");
+        timeout(3 * POLL_INTERVAL, client_gone())
+            .await
+            .expect("it has gone");
         assert_eq!(budget.used(), MAX_READ_AHEAD_TOTAL, "nothing was read");
     }
 }
@@ -50,7 +57,9 @@
     let (mut client, stream, budget) = connect_without_room();
     let sending = std::thread::spawn(move || client.write_all(&vec![b'x'; 4 << 20]));
     let client_gone = poll_fn(|cx| stream.poll_client_gone(cx));
-    timeout(Duration::from_secs(10), client_gone).await.expect("it has gone");
+    timeout(Duration::from_secs(10), client_gone)
+        .await
+        .expect("it has gone");
     assert!(sending.join().unwrap().is_ok(), "all of it was read");
     assert_eq!(budget.used(), MAX_READ_AHEAD_TOTAL, "nothing was kept");
 }
--- a/src/bin/quota-gateway/server/forward.rs
+++ b/src/bin/quota-gateway/server/forward.rs
@@ -21,11 +21,16 @@
     let method = class.method.as_str();
     // Writing to a Vec can't fail.
     let _ = write!(head, "{method} {target} HTTP/1.1\r\n");
-    let host = headers.get(HOST).map_or(&b"localhost"[..], HeaderValue::as_bytes);
+    let host = headers
+        .get(HOST)
+        .map_or(&b"localhost"[..], HeaderValue::as_bytes);
     push_header(&mut head, "Host", host);
     for (name, value) in [
         ("X-Txn", headers.get(header_names::TRANSACTION_ID)),
-        ("Idempotency-Key", headers.get(header_names::IDEMPOTENCY_KEY)),
+        (
+            "Idempotency-Key",
+            headers.get(header_names::IDEMPOTENCY_KEY),
+        ),
         ("X-Lane", headers.get(header_names::CLASS)),
         ("X-Plan", headers.get(header_names::PLAN)),
         ("Content-Type", headers.get(CONTENT_TYPE)),
@@ -35,9 +40,17 @@
         }
     }
     if class.method == Method::POST || !body.is_empty() {
-        push_header(&mut head, CONTENT_LENGTH.as_str(), body.len().to_string().as_bytes());
+        push_header(
+            &mut head,
+            CONTENT_LENGTH.as_str(),
+            body.len().to_string().as_bytes(),
+        );
+    }
+    ForwardedRequest {
+        head,
+        body: [b"\r\n", body].concat(),
+        must_not_repeat: class.must_not_repeat,
     }
-    ForwardedRequest { head, body: [b"\r\n", body].concat(), must_not_repeat: class.must_not_repeat }
 }
 
 fn push_header(head: &mut Vec<u8>, name: &str, value: &[u8]) {
--- a/src/bin/quota-gateway/server/handler.rs
+++ b/src/bin/quota-gateway/server/handler.rs
@@ -37,12 +37,23 @@
 impl<'a> RequestInProgress<'a> {
     fn new(server: &'a Server, client: &'a Client) -> Self {
         client.request_started();
-        RequestInProgress { server, client, transaction_id: None, driver_id: None, end: None }
+        RequestInProgress {
+            server,
+            client,
+            transaction_id: None,
+            driver_id: None,
+            end: None,
+        }
     }
 
     /// Guards against a second copy of an open request. The open one is not touched.
     fn claim_transaction_id(&mut self, transaction_id: u64) -> Result<(), RequestError> {
-        if !self.server.open_transactions.borrow_mut().insert(transaction_id) {
+        if !self
+            .server
+            .open_transactions
+            .borrow_mut()
+            .insert(transaction_id)
+        {
             return Err(RequestError::DuplicateTransaction);
         }
         self.transaction_id = Some(transaction_id);
@@ -56,7 +67,10 @@
         let end = self.end.unwrap_or(RequestEnd::Disconnected);
         self.server.driver.metrics().requests.increment(end);
         if let Some(transaction_id) = self.transaction_id {
-            self.server.open_transactions.borrow_mut().remove(&transaction_id);
+            self.server
+                .open_transactions
+                .borrow_mut()
+                .remove(&transaction_id);
         }
         if let Some(id) = self.driver_id {
             self.server.driver.cancel_request(id);
@@ -75,7 +89,10 @@
         let mut in_progress = RequestInProgress::new(self, client);
         let complete_by = client.request_deadline();
         let has_body = !request.body().is_end_stream();
-        let mut response = match self.handle(request, client_socket, &mut in_progress, complete_by).await {
+        let mut response = match self
+            .handle(request, client_socket, &mut in_progress, complete_by)
+            .await
+        {
             Ok(response) => response,
             Err(error) => {
                 tracing::debug!(%error, "request not accepted");
@@ -111,7 +128,8 @@
             return Ok(response);
         }
         let ParsedRequest { incoming, class } =
-            self.parser.parse(&parts.method, &parts.uri, &parts.headers, received_at)?;
+            self.parser
+                .parse(&parts.method, &parts.uri, &parts.headers, received_at)?;
         if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
             return Err(RequestError::BodyTooLarge);
         }
@@ -125,7 +143,9 @@
             return Ok(refuse_unread(&incoming, in_progress));
         };
         let forwarded = forwarded_request(class, &parts.uri, &parts.headers, &body);
-        let final_response = self.forward(&incoming, forwarded, client_socket, in_progress).await;
+        let final_response = self
+            .forward(&incoming, forwarded, client_socket, in_progress)
+            .await;
         in_progress.end = Some(request_end(&final_response));
         Ok(response::final_response(final_response))
     }
@@ -151,13 +171,20 @@
     fn health_response(&self, path: &str) -> Option<Response> {
         let healthy = match path {
             "/health/metrics" => {
-                return Some(response::plain(StatusCode::OK, self.driver.metrics().encode()));
+                return Some(response::plain(
+                    StatusCode::OK,
+                    self.driver.metrics().encode(),
+                ));
             }
             "/health/ready" => self.driver.is_ready() && !self.lifecycle.is_shutting_down(),
             "/health/live" => true,
             _ => return None,
         };
-        let status = if healthy { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+        let status = if healthy {
+            StatusCode::OK
+        } else {
+            StatusCode::SERVICE_UNAVAILABLE
+        };
         Some(response::plain(status, ""))
     }
 
@@ -173,11 +200,15 @@
             log_refusal(incoming);
             return FinalResponse::ShuttingDown;
         }
-        let started = self.driver.start_request(incoming, forwarded, client_socket);
+        let started = self
+            .driver
+            .start_request(incoming, forwarded, client_socket);
         in_progress.driver_id = Some(started.id);
         in_progress.client.request_complete();
         let response = timeout_at(started.deadline + DEADLINE_GRACE, started.response).await;
-        let Ok(response) = response else { return self.driver.give_up(started.id) };
+        let Ok(response) = response else {
+            return self.driver.give_up(started.id);
+        };
         response.unwrap_or(FinalResponse::Failed)
     }
 }
--- a/src/bin/quota-gateway/server/mod.rs
+++ b/src/bin/quota-gateway/server/mod.rs
@@ -76,7 +76,11 @@
 
     /// How many clients have begun a request or have not all of their response.
     pub fn busy_count(&self) -> usize {
-        self.clients.borrow().values().filter(|client| client.is_busy()).count()
+        self.clients
+            .borrow()
+            .values()
+            .filter(|client| client.is_busy())
+            .count()
     }
 
     /// The transaction ids of the requests without a response.
--- a/src/bin/quota-gateway/server/request.rs
+++ b/src/bin/quota-gateway/server/request.rs
@@ -120,10 +120,20 @@
 
 impl ClassRoute {
     fn new(name: String, class: &Class) -> Self {
-        let method = if class.idempotency == Idempotency::Idempotent { Method::GET } else { Method::POST };
+        let method = if class.idempotency == Idempotency::Idempotent {
+            Method::GET
+        } else {
+            Method::POST
+        };
         let needs_key = matches!(class.idempotency, Idempotency::WithKey { .. });
         let must_not_repeat = class.idempotency == Idempotency::NotIdempotent;
-        ClassRoute { name, method, must_not_repeat, needs_key, deadline_ms: class.deadline_ms }
+        ClassRoute {
+            name,
+            method,
+            must_not_repeat,
+            needs_key,
+            deadline_ms: class.deadline_ms,
+        }
     }
 }
 
@@ -154,7 +164,9 @@
     pub fn new(settings: &Settings, classes: Vec<String>, plans: Vec<String>) -> Self {
         let classes = classes.into_iter().zip(&settings.classes);
         RequestParser {
-            classes: classes.map(|(name, class)| ClassRoute::new(name, class)).collect(),
+            classes: classes
+                .map(|(name, class)| ClassRoute::new(name, class))
+                .collect(),
             plans,
             max_units: settings.max_units,
             gateway_count: settings.gateway_count.into(),
@@ -169,17 +181,27 @@
         headers: &HeaderMap,
         received_at: Instant,
     ) -> Result<ParsedRequest<'_>, RequestError> {
-        let class_name = uri.path().strip_prefix('/').and_then(|path| path.split('/').next()).unwrap_or("");
-        let class_index = self.classes.iter().position(|class| class.name == class_name);
+        let class_name = uri
+            .path()
+            .strip_prefix('/')
+            .and_then(|path| path.split('/').next())
+            .unwrap_or("");
+        let class_index = self
+            .classes
+            .iter()
+            .position(|class| class.name == class_name);
         let class_index = class_index.ok_or(RequestError::UnknownClass)?;
         let class = &self.classes[class_index];
         if *method != class.method {
-            return Err(RequestError::MethodNotAllowed { allowed: class.method.clone() });
+            return Err(RequestError::MethodNotAllowed {
+                allowed: class.method.clone(),
+            });
         }
         if single_header(headers, header_names::CLASS) != Some(class_name) {
             return Err(RequestError::ClassMismatch);
         }
-        let transaction_id = single_header(headers, header_names::TRANSACTION_ID).and_then(parse_hex_id);
+        let transaction_id =
+            single_header(headers, header_names::TRANSACTION_ID).and_then(parse_hex_id);
         let transaction_id = transaction_id.ok_or(RequestError::InvalidTransactionId)?;
         check_idempotency_key(headers, class)?;
         let plan = self.parse_plan(headers)?;
@@ -202,14 +224,20 @@
 
     fn parse_plan(&self, headers: &HeaderMap) -> Result<u32, RequestError> {
         let name = single_header(headers, header_names::PLAN).ok_or(RequestError::UnknownPlan)?;
-        let index = self.plans.iter().position(|plan| plan == name).ok_or(RequestError::UnknownPlan)?;
+        let index = self
+            .plans
+            .iter()
+            .position(|plan| plan == name)
+            .ok_or(RequestError::UnknownPlan)?;
         Ok(index as u32)
     }
 
     fn parse_quota(&self, headers: &HeaderMap) -> Result<Quota, RequestError> {
         let text = single_header(headers, header_names::QUOTA).unwrap_or("");
         let whole_number = |name| quota_field(text, name).and_then(parse_whole_number);
-        let units = quota_field(text, "units").and_then(parse_decimal).ok_or(RequestError::InvalidQuota)?;
+        let units = quota_field(text, "units")
+            .and_then(parse_decimal)
+            .ok_or(RequestError::InvalidQuota)?;
         let gateway_set_size = whole_number("spread").ok_or(RequestError::InvalidQuota)?;
         let first_gateway = whole_number("first").ok_or(RequestError::InvalidQuota)?;
         let in_range = units > 0.0
@@ -219,7 +247,10 @@
         if !in_range {
             return Err(RequestError::InvalidQuota);
         }
-        Ok(Quota { units, gateway_set_size })
+        Ok(Quota {
+            units,
+            gateway_set_size,
+        })
     }
 }
 
@@ -250,15 +281,23 @@
 }
 
 fn parse_remaining_ms(headers: &HeaderMap) -> Result<u64, RequestError> {
-    let remaining_ms = single_header(headers, header_names::REMAINING_MS).and_then(parse_whole_number);
-    remaining_ms.filter(|ms| *ms <= MAX_REMAINING_MS).ok_or(RequestError::InvalidRemainingTime)
+    let remaining_ms =
+        single_header(headers, header_names::REMAINING_MS).and_then(parse_whole_number);
+    remaining_ms
+        .filter(|ms| *ms <= MAX_REMAINING_MS)
+        .ok_or(RequestError::InvalidRemainingTime)
 }
 
 /// The customer's number, from the `account` parameter of the query, which must come once.
 fn parse_customer(uri: &Uri) -> Result<u64, RequestError> {
     let query = uri.query().unwrap_or("");
-    let mut accounts = query.split('&').filter_map(|parameter| parameter.strip_prefix("account="));
-    let account = accounts.next().and_then(parse_hex_id).ok_or(RequestError::InvalidAccount)?;
+    let mut accounts = query
+        .split('&')
+        .filter_map(|parameter| parameter.strip_prefix("account="));
+    let account = accounts
+        .next()
+        .and_then(parse_hex_id)
+        .ok_or(RequestError::InvalidAccount)?;
     if accounts.next().is_some() || account >= CUSTOMERS {
         return Err(RequestError::InvalidAccount);
     }
@@ -293,7 +332,10 @@
 
 /// A decimal number without a sign or an exponent.
 fn parse_decimal(text: &str) -> Option<f64> {
-    if !text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.') {
+    if !text
+        .bytes()
+        .all(|byte| byte.is_ascii_digit() || byte == b'.')
+    {
         return None;
     }
     text.parse().ok()
--- a/src/bin/quota-gateway/server/request/tests.rs
+++ b/src/bin/quota-gateway/server/request/tests.rs
@@ -16,8 +16,15 @@
 const TARGET: &str = "/look?account=0000000000000007";
 
 fn parser() -> RequestParser {
-    let class = |idempotency| Class { idempotency, deadline_ms: 2000.0, ..Class::default() };
-    let keyed = Idempotency::WithKey { scope: KeyScope::All, window_ms: 1000.0 };
+    let class = |idempotency| Class {
+        idempotency,
+        deadline_ms: 2000.0,
+        ..Class::default()
+    };
+    let keyed = Idempotency::WithKey {
+        scope: KeyScope::All,
+        window_ms: 1000.0,
+    };
     let settings = Settings {
         classes: vec![class(Idempotency::Idempotent), class(keyed)],
         max_units: 4.0,
@@ -25,17 +32,27 @@
         ..Settings::default()
     };
     let names = |names: [&str; 2]| names.map(str::to_owned).to_vec();
-    RequestParser::new(&settings, names(["look", "order"]), names(["small", "large"]))
+    RequestParser::new(
+        &settings,
+        names(["look", "order"]),
+        names(["small", "large"]),
+    )
 }
 
 /// Parses a head in order, but for these headers.
-fn parse(method: Method, target: &str, changes: &[(&str, &str)]) -> Result<IncomingRequest, RequestError> {
+fn parse(
+    method: Method,
+    target: &str,
+    changes: &[(&str, &str)],
+) -> Result<IncomingRequest, RequestError> {
     let mut request = Request::builder().method(method).uri(target);
     for (name, value) in HEADERS {
         let replacement = changes.iter().find(|(changed, _)| *changed == name);
         request = request.header(name, replacement.map_or(value, |(_, value)| value));
     }
-    for (name, value) in changes.iter().filter(|(changed, _)| HEADERS.iter().all(|(name, _)| name != changed))
+    for (name, value) in changes
+        .iter()
+        .filter(|(changed, _)| HEADERS.iter().all(|(name, _)| name != changed))
     {
         request = request.header(*name, *value);
     }
@@ -43,8 +60,14 @@
     parse_parts(&parts.method, &parts.uri, &parts.headers)
 }
 
-fn parse_parts(method: &Method, uri: &Uri, headers: &HeaderMap) -> Result<IncomingRequest, RequestError> {
-    parser().parse(method, uri, headers, Instant::now()).map(|parsed| parsed.incoming)
+fn parse_parts(
+    method: &Method,
+    uri: &Uri,
+    headers: &HeaderMap,
+) -> Result<IncomingRequest, RequestError> {
+    parser()
+        .parse(method, uri, headers, Instant::now())
+        .map(|parsed| parsed.incoming)
 }
 
 #[test]
@@ -57,32 +80,72 @@
     assert_eq!(incoming.units, 1.5);
     assert_eq!(incoming.gateway_set_size, 2.0);
     assert!(incoming.is_retry);
-    assert_eq!(incoming.remaining_ms, 2000.0, "no longer than the class's deadline");
+    assert_eq!(
+        incoming.remaining_ms, 2000.0,
+        "no longer than the class's deadline"
+    );
 }
 
 #[test]
 fn a_class_with_keys_needs_one() {
     let target = "/order?account=0000000000000007";
-    let key = |key| parse(Method::POST, target, &[("x-lane", "order"), ("idempotency-key", key)]);
+    let key = |key| {
+        parse(
+            Method::POST,
+            target,
+            &[("x-lane", "order"), ("idempotency-key", key)],
+        )
+    };
     assert!(key("a-1_2.3:4").is_ok());
-    assert!(matches!(key("a key"), Err(RequestError::InvalidIdempotencyKey)));
+    assert!(matches!(
+        key("a key"),
+        Err(RequestError::InvalidIdempotencyKey)
+    ));
     let without = parse(Method::POST, target, &[("x-lane", "order")]);
     assert!(matches!(without, Err(RequestError::InvalidIdempotencyKey)));
 }
 
 #[test]
 fn each_fault_of_a_head_has_its_error() {
-    let error = |target, changes: &[(&str, &str)]| parse(Method::GET, target, changes).err().unwrap();
+    let error =
+        |target, changes: &[(&str, &str)]| parse(Method::GET, target, changes).err().unwrap();
     assert!(matches!(error("/else", &[]), RequestError::UnknownClass));
     let wrong_method = parse(Method::POST, TARGET, &[]);
-    assert!(matches!(wrong_method, Err(RequestError::MethodNotAllowed { allowed: Method::GET })));
-    assert!(matches!(error(TARGET, &[("x-lane", "order")]), RequestError::ClassMismatch));
-    assert!(matches!(error(TARGET, &[("x-txn", "9b1f")]), RequestError::InvalidTransactionId));
-    assert!(matches!(error(TARGET, &[("idempotency-key", "")]), RequestError::InvalidIdempotencyKey));
-    assert!(matches!(error(TARGET, &[("x-plan", "none")]), RequestError::UnknownPlan));
-    assert!(matches!(error(TARGET, &[("x-remaining-ms", "+1")]), RequestError::InvalidRemainingTime));
-    for target in ["/look", "/look?account=7", "/look?account=0000000000000007&account=0000000000000007"] {
-        assert!(matches!(error(target, &[]), RequestError::InvalidAccount), "{target}");
+    assert!(matches!(
+        wrong_method,
+        Err(RequestError::MethodNotAllowed {
+            allowed: Method::GET
+        })
+    ));
+    assert!(matches!(
+        error(TARGET, &[("x-lane", "order")]),
+        RequestError::ClassMismatch
+    ));
+    assert!(matches!(
+        error(TARGET, &[("x-txn", "9b1f")]),
+        RequestError::InvalidTransactionId
+    ));
+    assert!(matches!(
+        error(TARGET, &[("idempotency-key", "")]),
+        RequestError::InvalidIdempotencyKey
+    ));
+    assert!(matches!(
+        error(TARGET, &[("x-plan", "none")]),
+        RequestError::UnknownPlan
+    ));
+    assert!(matches!(
+        error(TARGET, &[("x-remaining-ms", "+1")]),
+        RequestError::InvalidRemainingTime
+    ));
+    for target in [
+        "/look",
+        "/look?account=7",
+        "/look?account=0000000000000007&account=0000000000000007",
+    ] {
+        assert!(
+            matches!(error(target, &[]), RequestError::InvalidAccount),
+            "{target}"
+        );
     }
     for quota in [
         "units=1,spread=1",
@@ -93,6 +156,12 @@
         "units=1,units=1,spread=1,first=0",
         "units=1e0,spread=1,first=0",
     ] {
-        assert!(matches!(error(TARGET, &[("x-quota", quota)]), RequestError::InvalidQuota), "{quota}");
+        assert!(
+            matches!(
+                error(TARGET, &[("x-quota", quota)]),
+                RequestError::InvalidQuota
+            ),
+            "{quota}"
+        );
     }
 }
--- a/src/bin/quota-gateway/server/response.rs
+++ b/src/bin/quota-gateway/server/response.rs
@@ -24,7 +24,9 @@
 
 /// Asks the client to close the connection.
 pub fn ask_to_close(response: &mut Response) {
-    response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+    response
+        .headers_mut()
+        .insert(CONNECTION, HeaderValue::from_static("close"));
 }
 
 /// The response to a request that is wrong. A body that was not read is not waited for, and never taken for a
@@ -48,9 +50,10 @@
         FinalResponse::Success { content_type, body } => success(content_type, body),
         FinalResponse::Rejected { retry_after_ms } => rejected(retry_after_ms),
         FinalResponse::Failed => plain(StatusCode::BAD_GATEWAY, "failed; it may have run\n"),
-        FinalResponse::ShuttingDown => {
-            plain(StatusCode::SERVICE_UNAVAILABLE, "shutting down; trying again is harmless\n")
-        }
+        FinalResponse::ShuttingDown => plain(
+            StatusCode::SERVICE_UNAVAILABLE,
+            "shutting down; trying again is harmless\n",
+        ),
     }
 }
 
@@ -64,7 +67,10 @@
 }
 
 fn rejected(retry_after_ms: f64) -> Response {
-    let mut response = plain(StatusCode::TOO_MANY_REQUESTS, "refused; trying again is harmless\n");
+    let mut response = plain(
+        StatusCode::TOO_MANY_REQUESTS,
+        "refused; trying again is harmless\n",
+    );
     if retry_after_ms > 0.0 {
         if let Ok(seconds) = HeaderValue::try_from(retry_after_seconds(retry_after_ms)) {
             response.headers_mut().insert(RETRY_AFTER, seconds);
--- a/src/bin/quota-gateway/shutdown.rs
+++ b/src/bin/quota-gateway/shutdown.rs
@@ -78,7 +78,10 @@
 
     /// Waits until all connections have ended, for as long as there is time.
     async fn wait_for_connections(&mut self) {
-        if timeout(CLOSING_TIME, self.all_connections_ended()).await.is_err() {
+        if timeout(CLOSING_TIME, self.all_connections_ended())
+            .await
+            .is_err()
+        {
             let _ = timeout(LAST_READ_TIME, self.all_connections_ended()).await;
         }
     }
@@ -102,7 +105,11 @@
     let mut idle_checks = 0;
     while idle_checks < IDLE_CHECKS {
         sleep(BUSY_CHECK_INTERVAL).await;
-        idle_checks = if server.busy_count() > 0 { 0 } else { idle_checks + 1 };
+        idle_checks = if server.busy_count() > 0 {
+            0
+        } else {
+            idle_checks + 1
+        };
     }
 }
 
@@ -114,7 +121,9 @@
 
 impl Acceptor {
     pub fn spawn(server: Rc<Server>, listener: TcpListener) -> Self {
-        Acceptor { task: Some(tokio::task::spawn_local(server.accept(listener))) }
+        Acceptor {
+            task: Some(tokio::task::spawn_local(server.accept(listener))),
+        }
     }
 
     async fn ended(&mut self) {
@@ -133,7 +142,10 @@
 
 impl ClientSlots {
     pub fn new(total: u32) -> Self {
-        ClientSlots { semaphore: Arc::new(Semaphore::new(total as usize)), total }
+        ClientSlots {
+            semaphore: Arc::new(Semaphore::new(total as usize)),
+            total,
+        }
     }
 
     pub fn semaphore(&self) -> Arc<Semaphore> {
--- a/src/bin/quota-gateway/signals.rs
+++ b/src/bin/quota-gateway/signals.rs
@@ -35,7 +35,10 @@
     ///
     /// Fails if the system refuses a handler or a pipe.
     pub fn register() -> io::Result<Self> {
-        Ok(Signals { terminate: RegisteredSignal::new(SIGTERM)?, hangup: RegisteredSignal::new(SIGHUP)? })
+        Ok(Signals {
+            terminate: RegisteredSignal::new(SIGTERM)?,
+            hangup: RegisteredSignal::new(SIGHUP)?,
+        })
     }
 }
 
@@ -61,7 +64,10 @@
     ///
     /// Fails if the runtime can't watch the pipe.
     pub fn listen(self) -> io::Result<SignalStream> {
-        Ok(SignalStream { received: self.received, pipe: UnixStream::from_std(self.pipe)? })
+        Ok(SignalStream {
+            received: self.received,
+            pipe: UnixStream::from_std(self.pipe)?,
+        })
     }
 }
 
--- a/src/bin/quota-gateway/signals/tests.rs
+++ b/src/bin/quota-gateway/signals/tests.rs
@@ -17,7 +17,10 @@
     for set_after in [0, 3, 60, 130, 470] {
         let received = Arc::new(AtomicBool::new(false));
         let (pipe, _handler_end) = UnixStream::pair().unwrap();
-        let mut signal = SignalStream { received: received.clone(), pipe };
+        let mut signal = SignalStream {
+            received: received.clone(),
+            pipe,
+        };
         let started_at = Instant::now();
         let set_after = Duration::from_millis(set_after);
         let handler = async {
@@ -26,6 +29,9 @@
         };
         tokio::join!(signal.recv(), handler);
         let delay = started_at.elapsed().saturating_sub(set_after);
-        assert!(delay <= MAX_DELAY, "set after {set_after:?}, noticed {delay:?} later");
+        assert!(
+            delay <= MAX_DELAY,
+            "set after {set_after:?}, noticed {delay:?} later"
+        );
     }
 }
--- a/src/bin/quota-gateway/socket.rs
+++ b/src/bin/quota-gateway/socket.rs
@@ -38,7 +38,9 @@
     pub fn new(stream: TcpStream) -> Self {
         // It fails on a connection that is already broken, as the next read or write shows.
         let _ = stream.set_nodelay(true);
-        Socket { stream: Rc::new(stream) }
+        Socket {
+            stream: Rc::new(stream),
+        }
     }
 
     /// Connects. A failure that says nothing of the peer is tried again a few times.
@@ -75,8 +77,13 @@
     /// `WouldBlock` if it takes nothing now; else the connection is broken.
     pub fn try_write(&self, bytes: &[u8]) -> io::Result<usize> {
         let written = self.stream.try_write(bytes);
-        written
-            .map_err(|error| if may_pass_for_transfer(&error) { ErrorKind::WouldBlock.into() } else { error })
+        written.map_err(|error| {
+            if may_pass_for_transfer(&error) {
+                ErrorKind::WouldBlock.into()
+            } else {
+                error
+            }
+        })
     }
 
     /// Writes a short message to a socket that has room for it, without waiting.
@@ -91,7 +98,9 @@
             match self.try_write(&message[written..]) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
                 Ok(bytes) => written += bytes,
-                Err(error) if error.kind() == ErrorKind::WouldBlock && failures < MAX_LOOKS => failures += 1,
+                Err(error) if error.kind() == ErrorKind::WouldBlock && failures < MAX_LOOKS => {
+                    failures += 1;
+                }
                 Err(error) => return Err(error),
             }
         }
@@ -116,7 +125,9 @@
     /// True if at least this many bytes lie unread.
     pub fn has_unread_bytes(&self, count: usize) -> bool {
         let mut space = vec![MaybeUninit::uninit(); count];
-        SockRef::from(&*self.stream).peek(&mut space).is_ok_and(|bytes| bytes >= count)
+        SockRef::from(&*self.stream)
+            .peek(&mut space)
+            .is_ok_and(|bytes| bytes >= count)
     }
 
     /// Whether the system knows that the peer has closed its side or that the connection broke, though unread bytes may
@@ -137,7 +148,9 @@
 
     /// A handle that does not keep the socket open.
     pub fn downgrade(&self) -> WeakSocket {
-        WeakSocket { stream: Rc::downgrade(&self.stream) }
+        WeakSocket {
+            stream: Rc::downgrade(&self.stream),
+        }
     }
 }
 
@@ -151,7 +164,9 @@
     /// What lies unread in the socket; its end if the peer has closed its side, whatever lies before that, and once it
     /// is closed here.
     pub fn unread(&self) -> Unread {
-        let Some(stream) = self.stream.upgrade() else { return Unread::End };
+        let Some(stream) = self.stream.upgrade() else {
+            return Unread::End;
+        };
         let socket = Socket { stream };
         match socket.unread() {
             Unread::Bytes if socket.peer_has_closed() => Unread::End,
@@ -172,7 +187,11 @@
 }
 
 impl AsyncRead for Socket {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         loop {
             ready!(self.stream.poll_read_ready(cx))?;
             match self.stream.try_read_buf(buf) {
@@ -184,7 +203,11 @@
 }
 
 impl AsyncWrite for Socket {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.stream.poll_write_ready(cx))?;
             match self.stream.try_write(buf) {
--- a/src/bin/quota-gateway/startup.rs
+++ b/src/bin/quota-gateway/startup.rs
@@ -45,7 +45,6 @@
     let gossip_socket = bind_gossip(config.gossip, &config.settings).await?;
     let budget = DescriptorBudget::new(config.max_sockets);
     let client_slots = ClientSlots::new(budget.clients);
-    let pool = ConnectionPool::new(budget.endpoints, config.connect_timeout_ms, config.idle_timeout_ms);
     let mut settings = config.settings;
     settings.limits.max_connections = budget.endpoints.try_into().unwrap_or(u32::MAX);
 
@@ -53,12 +52,28 @@
     let metrics = Metrics::new();
     let addresses = ReloadableAddresses::new(config.discovery, counter_addr, metrics.clone());
     let (counter_client, counter_queues) = CounterClient::new();
-    let names = TopologyNames { zones: config.zone_names, kinds: config.kind_names };
-    let transports =
-        Transports { pool, counter: counter_addr.map(|_| counter_client), gossip: gossip_socket.clone() };
+    let names = TopologyNames {
+        zones: config.zone_names,
+        kinds: config.kind_names,
+    };
+    let transports = Transports {
+        pool: ConnectionPool::new(
+            budget.endpoints,
+            config.connect_timeout_ms,
+            config.idle_timeout_ms,
+        ),
+        counter: counter_addr.map(|_| counter_client),
+        gossip: gossip_socket.clone(),
+    };
     let lifecycle = Lifecycle::new();
-    let driver =
-        Driver::new(settings.clone(), config.seed, names, transports, lifecycle.clone(), metrics.clone());
+    let driver = Driver::new(
+        settings.clone(),
+        config.seed,
+        names,
+        transports,
+        lifecycle.clone(),
+        metrics.clone(),
+    );
 
     spawn_counter(&addresses, &settings, counter_queues, &driver);
     let watch_policy = WatchPolicy::new(&settings, config.seed);
@@ -75,9 +90,17 @@
         client_slots.semaphore(),
     );
     let acceptor = accept_clients(listener, &server)?;
-    let longest_deadline = longest_deadline(&settings);
-    let shutdown = Shutdown { lifecycle, server, driver, acceptor, client_slots, longest_deadline };
-    Ok(RunningGateway { addresses, shutdown })
+    Ok(RunningGateway {
+        addresses,
+        shutdown: Shutdown {
+            longest_deadline: longest_deadline(&settings),
+            lifecycle,
+            server,
+            driver,
+            acceptor,
+            client_slots,
+        },
+    })
 }
 
 /// Starts the tasks that call the counter, where there is one.
@@ -88,12 +111,21 @@
     driver: &Rc<Driver>,
 ) {
     if let (Some(addr), Some(counter)) = (&addresses.counter, settings.counter) {
-        counter::spawn(queues, &addr.subscribe(), counter.timeout_ms, driver.clone());
+        counter::spawn(
+            queues,
+            &addr.subscribe(),
+            counter.timeout_ms,
+            driver.clone(),
+        );
     }
 }
 
 /// Starts to receive messages of other gateways, where they may be sent.
-fn spawn_gossip(socket: Option<Rc<GossipSocket>>, max_messages_per_second: f64, driver: &Rc<Driver>) {
+fn spawn_gossip(
+    socket: Option<Rc<GossipSocket>>,
+    max_messages_per_second: f64,
+    driver: &Rc<Driver>,
+) {
     if let Some(socket) = socket {
         tokio::task::spawn_local(gossip::run(socket, max_messages_per_second, driver.clone()));
     }
@@ -107,12 +139,19 @@
 }
 
 async fn listen(addr: SocketAddr) -> Result<TcpListener, StartupError> {
-    let listener = retry(BIND_PATIENCE, may_pass_for_address, || async { open_listener(addr) }).await;
+    let listener = retry(BIND_PATIENCE, may_pass_for_address, || async {
+        open_listener(addr)
+    })
+    .await;
     listener.map_err(|source| StartupError::Listen { addr, source })
 }
 
 fn open_listener(addr: SocketAddr) -> io::Result<TcpListener> {
-    let socket = if addr.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+    let socket = if addr.is_ipv4() {
+        TcpSocket::new_v4()?
+    } else {
+        TcpSocket::new_v6()?
+    };
     // A restart finds the address free, though connections of the former process linger.
     socket.set_reuseaddr(true)?;
     socket.bind(addr)?;
--- a/src/bin/quota-gateway/transient_errors.rs
+++ b/src/bin/quota-gateway/transient_errors.rs
@@ -41,5 +41,7 @@
 }
 
 fn is_one_of(error: &io::Error, codes: &[i32]) -> bool {
-    error.raw_os_error().is_some_and(|code| codes.contains(&code))
+    error
+        .raw_os_error()
+        .is_some_and(|code| codes.contains(&code))
 }
--- a/src/bin/quota-gateway/upstream/attempt.rs
+++ b/src/bin/quota-gateway/upstream/attempt.rs
@@ -27,7 +27,10 @@
 impl AttemptResult {
     /// An attempt that ended without a response.
     pub fn without_response(outcome: Outcome) -> Self {
-        AttemptResult { outcome, response: None }
+        AttemptResult {
+            outcome,
+            response: None,
+        }
     }
 }
 
@@ -47,16 +50,20 @@
             Err(outcome) => return AttemptResult::without_response(outcome),
         };
         request.on_written();
-        let (head, body) = match timeout_at(deadline, connection.reader.read_response(MAX_BODY_BYTES)).await {
-            Ok(Ok(response)) => response,
-            Ok(Err(_)) => return AttemptResult::without_response(Outcome::ConnectionReset),
-            Err(_) => return AttemptResult::without_response(Outcome::Timeout),
-        };
+        let (head, body) =
+            match timeout_at(deadline, connection.reader.read_response(MAX_BODY_BYTES)).await {
+                Ok(Ok(response)) => response,
+                Ok(Err(_)) => return AttemptResult::without_response(Outcome::ConnectionReset),
+                Err(_) => return AttemptResult::without_response(Outcome::Timeout),
+            };
         // Bytes behind the response belong to no request.
         if head.keep_alive && !connection.reader.has_unread_bytes() {
             self.put_back(target, connection);
         }
-        AttemptResult { outcome: outcome_of(&head), response: Some(CompleteResponse { head, body }) }
+        AttemptResult {
+            outcome: outcome_of(&head),
+            response: Some(CompleteResponse { head, body }),
+        }
     }
 
     /// Writes the request, on an idle connection if there is one. The error is the outcome of an attempt that got no
@@ -72,7 +79,10 @@
             let is_reused = reused.is_some();
             let connection = match reused {
                 Some(connection) => connection,
-                None => self.connect(target.addr, deadline).await.map_err(connect_outcome)?,
+                None => self
+                    .connect(target.addr, deadline)
+                    .await
+                    .map_err(connect_outcome)?,
             };
             match timeout_at(deadline, connection.write(request)).await {
                 Ok(Ok(Written::Complete)) => return Ok(connection),
--- a/src/bin/quota-gateway/upstream/connection.rs
+++ b/src/bin/quota-gateway/upstream/connection.rs
@@ -62,7 +62,11 @@
 impl Connection {
     /// A connection that has just come up.
     pub fn new(socket: Socket, permit: ConnectionPermit) -> Self {
-        Connection { reader: Reader::new(socket), idle_since: Instant::now(), _permit: permit }
+        Connection {
+            reader: Reader::new(socket),
+            idle_since: Instant::now(),
+            _permit: permit,
+        }
     }
 
     /// Guards against sending on a connection that its endpoint closed or broke while it was idle: the request
--- a/src/bin/quota-gateway/upstream/connection/tests.rs
+++ b/src/bin/quota-gateway/upstream/connection/tests.rs
@@ -37,11 +37,19 @@
 #[tokio::test]
 async fn nothing_is_written_on_a_connection_that_was_closed_while_something_was_waited_for() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let stream = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+    let stream = TcpStream::connect(listener.local_addr().unwrap())
+        .await
+        .unwrap();
     let (endpoint, _) = listener.accept().unwrap();
     let socket = Socket::new(stream);
     let connection = Connection::new(socket.clone(), OpenConnections::default().acquire());
-    let request = CrossedRequest { endpoint: RefCell::new(Some(endpoint)), connection: socket };
+    let request = CrossedRequest {
+        endpoint: RefCell::new(Some(endpoint)),
+        connection: socket,
+    };
     let written = connection.write(&request).await;
-    assert!(!matches!(written, Ok(Written::Complete)), "written on a closed connection");
+    assert!(
+        !matches!(written, Ok(Written::Complete)),
+        "written on a closed connection"
+    );
 }
--- a/src/bin/quota-gateway/upstream/pool.rs
+++ b/src/bin/quota-gateway/upstream/pool.rs
@@ -38,7 +38,10 @@
 
 impl EndpointConnections {
     fn new(addr: SocketAddr) -> Self {
-        EndpointConnections { addr, idle: Vec::new() }
+        EndpointConnections {
+            addr,
+            idle: Vec::new(),
+        }
     }
 }
 
@@ -72,13 +75,18 @@
 
     /// Where an endpoint is, if it is listed.
     pub fn address(&self, endpoint: EndpointId) -> Option<SocketAddr> {
-        self.endpoints.borrow().get(&endpoint).map(|connections| connections.addr)
+        self.endpoints
+            .borrow()
+            .get(&endpoint)
+            .map(|connections| connections.addr)
     }
 
     /// An endpoint is listed at this address. Its idle connections to another one are closed.
     pub fn set_address(&self, endpoint: EndpointId, addr: SocketAddr) {
         let mut endpoints = self.endpoints.borrow_mut();
-        let connections = endpoints.entry(endpoint).or_insert_with(|| EndpointConnections::new(addr));
+        let connections = endpoints
+            .entry(endpoint)
+            .or_insert_with(|| EndpointConnections::new(addr));
         if connections.addr != addr {
             *connections = EndpointConnections::new(addr);
         }
@@ -92,7 +100,9 @@
     /// Closes what has been idle for too long or broke meanwhile.
     pub fn close_expired(&self) {
         for connections in self.endpoints.borrow_mut().values_mut() {
-            connections.idle.retain(|connection| self.is_reusable(connection));
+            connections
+                .idle
+                .retain(|connection| self.is_reusable(connection));
         }
     }
 
@@ -117,7 +127,9 @@
         connection.idle_since = Instant::now();
         let mut endpoints = self.endpoints.borrow_mut();
         match endpoints.get_mut(&target.endpoint) {
-            Some(connections) if connections.addr == target.addr => connections.idle.push(connection),
+            Some(connections) if connections.addr == target.addr => {
+                connections.idle.push(connection);
+            }
             _ => {}
         }
     }
@@ -152,8 +164,12 @@
 
     fn close_longest_idle(&self) {
         let mut endpoints = self.endpoints.borrow_mut();
-        let idle = endpoints.values_mut().map(|connections| &mut connections.idle);
-        let longest_idle = idle.filter(|idle| !idle.is_empty()).min_by_key(|idle| idle[0].idle_since);
+        let idle = endpoints
+            .values_mut()
+            .map(|connections| &mut connections.idle);
+        let longest_idle = idle
+            .filter(|idle| !idle.is_empty())
+            .min_by_key(|idle| idle[0].idle_since);
         if let Some(idle) = longest_idle {
             idle.remove(0);
         }
--- a/src/bin/quota-gateway/upstream/pool/tests.rs
+++ b/src/bin/quota-gateway/upstream/pool/tests.rs
@@ -13,10 +13,16 @@
     pool.set_address(1, addr);
     let stream = std::net::TcpStream::connect(addr).unwrap();
     stream.set_nonblocking(true).unwrap();
-    let connection = Connection::new(Socket::new(TcpStream::from_std(stream).unwrap()), pool.open.acquire());
+    let connection = Connection::new(
+        Socket::new(TcpStream::from_std(stream).unwrap()),
+        pool.open.acquire(),
+    );
     pool.put_back(Target { endpoint: 1, addr }, connection);
     tokio::time::advance(Duration::from_millis(8)).await;
-    assert!(pool.take_idle(1).is_none(), "a second response may still be on its way");
+    assert!(
+        pool.take_idle(1).is_none(),
+        "a second response may still be on its way"
+    );
     tokio::time::advance(Duration::from_millis(4)).await;
     assert!(pool.take_idle(1).is_some());
 }
--- a/src/bin/simulator-adapter/actions.rs
+++ b/src/bin/simulator-adapter/actions.rs
@@ -24,11 +24,23 @@
 pub fn encode(action: &Action, instance: u32, reply: &mut Reply) {
     match action {
         // The simulator sends at once.
-        Action::SendAttempt { id, endpoint, timeout_ms, .. } => {
-            reply.record(code::ISSUE, instance).u64(*id).f64(*timeout_ms).u32(*endpoint);
+        Action::SendAttempt {
+            id,
+            endpoint,
+            timeout_ms,
+            ..
+        } => {
+            reply
+                .record(code::ISSUE, instance)
+                .u64(*id)
+                .f64(*timeout_ms)
+                .u32(*endpoint);
         }
         Action::Reject { id, retry_after_ms } => {
-            reply.record(code::BUSY, instance).u64(*id).f64(*retry_after_ms);
+            reply
+                .record(code::BUSY, instance)
+                .u64(*id)
+                .f64(*retry_after_ms);
         }
         Action::Fail { id } => {
             reply.record(code::GIVE_UP, instance).u64(*id);
@@ -37,7 +49,10 @@
             reply.record(code::REVOKE, instance).u64(*id).u8(*attempt);
         }
         Action::SetTimer { token, after_ms } => {
-            reply.record(code::REMIND, instance).u64(*token).f64(*after_ms);
+            reply
+                .record(code::REMIND, instance)
+                .u64(*token)
+                .f64(*after_ms);
         }
         Action::CheckHealth { endpoint } => {
             reply.record(code::SAMPLE, instance).u32(*endpoint);
@@ -46,13 +61,23 @@
             reply.record(code::NOTIFY, instance).u32(*to).tail(body);
         }
         Action::Log { message } => {
-            reply.record(code::REMARK, instance).tail(message.as_bytes());
+            reply
+                .record(code::REMARK, instance)
+                .tail(message.as_bytes());
         }
         Action::WatchEndpoints => {
             reply.record(code::TAIL, instance).u8(SUBSCRIBE);
         }
-        Action::AddToCounter { key, amount, ttl_ms } => {
-            reply.record(code::ADD_AND_GET, instance).u64(*key).f32(*amount as f32).f64(*ttl_ms);
+        Action::AddToCounter {
+            key,
+            amount,
+            ttl_ms,
+        } => {
+            reply
+                .record(code::ADD_AND_GET, instance)
+                .u64(*key)
+                .f32(*amount as f32)
+                .f64(*ttl_ms);
         }
     }
 }
--- a/src/bin/simulator-adapter/adapter.rs
+++ b/src/bin/simulator-adapter/adapter.rs
@@ -40,12 +40,20 @@
         let mut reply = Reply::default();
         for mut record in batch.events() {
             self.handle_record(batch.now, &mut record, &mut reply)
-                .map_err(|error| AdapterError::Record { batch: batch.number, error })?;
+                .map_err(|error| AdapterError::Record {
+                    batch: batch.number,
+                    error,
+                })?;
         }
         Ok(reply)
     }
 
-    fn handle_record(&mut self, now: f64, fields: &mut Fields, reply: &mut Reply) -> Result<(), RecordError> {
+    fn handle_record(
+        &mut self,
+        now: f64,
+        fields: &mut Fields,
+        reply: &mut Reply,
+    ) -> Result<(), RecordError> {
         let code = fields.u8()?;
         if code == code::DEFINE_LIST {
             let list = fields.u32()?;
@@ -70,7 +78,13 @@
             .map_err(|error| RecordError::SettingsNotText { record, error })?;
         let setup = setup::read(text)?;
         let gateway = Gateway::new(setup.settings, seed, now);
-        self.instances.insert(instance, Instance { gateway, load_fields: setup.load_fields });
+        self.instances.insert(
+            instance,
+            Instance {
+                gateway,
+                load_fields: setup.load_fields,
+            },
+        );
         Ok(())
     }
 
@@ -84,7 +98,10 @@
     ) -> Result<(), RecordError> {
         let record = fields.position();
         let Some(instance) = self.instances.get_mut(&number) else {
-            return Err(RecordError::UnknownInstance { record, instance: number });
+            return Err(RecordError::UnknownInstance {
+                record,
+                instance: number,
+            });
         };
         let event = events::decode(code, fields, &self.lists, &instance.load_fields)?;
         instance.gateway.handle(now, event, &mut self.actions);
--- a/src/bin/simulator-adapter/events.rs
+++ b/src/bin/simulator-adapter/events.rs
@@ -95,19 +95,29 @@
         code::ABORTED => Ok(Event::ClientDisconnected { id: fields.u64()? }),
         code::COUNTER_REPLY => counter_reply(fields),
         code::PEER => peer(fields),
-        code::ESTABLISHED => Ok(Event::ResponseStarted { id: fields.u64()?, attempt: fields.u8()? }),
+        code::ESTABLISHED => Ok(Event::ResponseStarted {
+            id: fields.u64()?,
+            attempt: fields.u8()?,
+        }),
         code::FLEET => fleet(fields, lists),
-        code::BELL => Ok(Event::TimerFired { token: fields.u64()? }),
+        code::BELL => Ok(Event::TimerFired {
+            token: fields.u64()?,
+        }),
         code::FINISHED => finished(fields, load_fields),
         code::INCOMING => incoming(fields),
-        code => Err(RecordError::UnknownCode { record: fields.position(), code }),
+        code => Err(RecordError::UnknownCode {
+            record: fields.position(),
+            code,
+        }),
     }
 }
 
 /// Decodes the entries of a `DEFINE_LIST` record, after the number of the list.
 pub fn decode_list(fields: &mut Fields) -> Result<Vec<Endpoint>, RecordError> {
     let entries = fields.tail(ENTRY_BYTES)?.chunks_exact(ENTRY_BYTES);
-    entries.map(|entry| list_entry(&mut Fields::new(entry, &[], fields.position()))).collect()
+    entries
+        .map(|entry| list_entry(&mut Fields::new(entry, &[], fields.position())))
+        .collect()
 }
 
 fn list_entry(fields: &mut Fields) -> Result<Endpoint, RecordError> {
@@ -119,11 +129,25 @@
         state_code::GONE => EndpointState::Removed,
         state_code::READY => EndpointState::Ready,
         state_code::DRAINING => EndpointState::Draining,
-        state => return Err(RecordError::UnknownState { record: fields.position(), state }),
+        state => {
+            return Err(RecordError::UnknownState {
+                record: fields.position(),
+                state,
+            })
+        }
     };
     let weight = fields.f32()?;
     let started_at = fields.f64()?;
-    Ok(Endpoint { id, hash_key: id.into(), zone, kind, cell, state, weight, started_at })
+    Ok(Endpoint {
+        id,
+        hash_key: id.into(),
+        zone,
+        kind,
+        cell,
+        state,
+        weight,
+        started_at,
+    })
 }
 
 fn health(fields: &mut Fields, load_fields: &[LoadField]) -> Result<Event, RecordError> {
@@ -131,7 +155,12 @@
     let endpoint = fields.u32()?;
     let elapsed_ms = fields.f64()?;
     let load = load_report(fields, load_fields)?;
-    Ok(Event::HealthCheckEnded { endpoint, outcome, elapsed_ms, load })
+    Ok(Event::HealthCheckEnded {
+        endpoint,
+        outcome,
+        elapsed_ms,
+        load,
+    })
 }
 
 fn counter_reply(fields: &mut Fields) -> Result<Event, RecordError> {
@@ -139,7 +168,12 @@
     let key = fields.u64()?;
     let total = fields.f32()?;
     let elapsed_ms = fields.f64()?;
-    Ok(Event::CounterReply { key, outcome, total, elapsed_ms })
+    Ok(Event::CounterReply {
+        key,
+        outcome,
+        total,
+        elapsed_ms,
+    })
 }
 
 fn peer(fields: &mut Fields) -> Result<Event, RecordError> {
@@ -159,8 +193,14 @@
         scope::FAILED => return Ok(Event::EndpointPollFailed),
         scope => return Err(RecordError::UnknownScope { record, scope }),
     };
-    let endpoints = lists.get(&list).cloned().ok_or(RecordError::UnknownList { record, list })?;
-    Ok(Event::EndpointUpdate { complete, endpoints })
+    let endpoints = lists
+        .get(&list)
+        .cloned()
+        .ok_or(RecordError::UnknownList { record, list })?;
+    Ok(Event::EndpointUpdate {
+        complete,
+        endpoints,
+    })
 }
 
 fn finished(fields: &mut Fields, load_fields: &[LoadField]) -> Result<Event, RecordError> {
@@ -195,7 +235,16 @@
     let class = u32::from(fields.u8()?);
     let timeout_ms = fields.f64()?;
     let plan = u32::from(fields.u16()?);
-    Ok(Event::Request(Request { id, customer, plan, class, units, timeout_ms, gateway_set_size, is_retry }))
+    Ok(Event::Request(Request {
+        id,
+        customer,
+        plan,
+        class,
+        units,
+        timeout_ms,
+        gateway_set_size,
+        is_retry,
+    }))
 }
 
 fn outcome(fields: &mut Fields) -> Result<Outcome, RecordError> {
@@ -208,7 +257,10 @@
         outcome_code::CONNECT_FAILED => Ok(Outcome::ConnectFailed),
         outcome_code::NOT_SENT => Ok(Outcome::NotSent),
         outcome_code::CANCELLED => Ok(Outcome::Cancelled),
-        outcome => Err(RecordError::UnknownOutcome { record: fields.position(), outcome }),
+        outcome => Err(RecordError::UnknownOutcome {
+            record: fields.position(),
+            outcome,
+        }),
     }
 }
 
--- a/src/bin/simulator-adapter/frame.rs
+++ b/src/bin/simulator-adapter/frame.rs
@@ -30,7 +30,11 @@
     #[error("batch {batch}: the clock at byte 8 is not a finite number")]
     BadClock { batch: u32 },
     #[error("batch {batch}: {records} records do not fit; there is room for {capacity}")]
-    RecordsDoNotFit { batch: u32, records: usize, capacity: usize },
+    RecordsDoNotFit {
+        batch: u32,
+        records: usize,
+        capacity: usize,
+    },
 }
 
 /// A field that cannot be read.
@@ -39,7 +43,12 @@
     #[error("record at byte {record} ends before its field at {at}")]
     RecordEnds { record: usize, at: usize },
     #[error("record at byte {record}: {count} items from {offset} lie outside the tail of {length} bytes")]
-    OutsideTail { record: usize, offset: usize, count: usize, length: usize },
+    OutsideTail {
+        record: usize,
+        offset: usize,
+        count: usize,
+        length: usize,
+    },
 }
 
 /// A batch of event records.
@@ -55,13 +64,18 @@
 impl Batch {
     /// Reads the next batch; none at a clean end of the input.
     pub fn read(input: &mut impl Read) -> Result<Option<Batch>, FrameError> {
-        let Some(length) = read_length(input)? else { return Ok(None) };
+        let Some(length) = read_length(input)? else {
+            return Ok(None);
+        };
         if length > MAX_FRAME_BYTES {
             return Err(FrameError::TooLong { length });
         }
         let bytes = read_up_to(input, u64::from(length))?;
         if bytes.len() < length as usize {
-            return Err(FrameError::FrameEnds { found: bytes.len(), length });
+            return Err(FrameError::FrameEnds {
+                found: bytes.len(),
+                length,
+            });
         }
         Batch::new(bytes, length).map(Some)
     }
@@ -77,17 +91,33 @@
         }
         let capacity = (bytes.len() - HEADER_BYTES) / EVENT_BYTES;
         if records > capacity {
-            return Err(FrameError::RecordsDoNotFit { batch: number, records, capacity });
+            return Err(FrameError::RecordsDoNotFit {
+                batch: number,
+                records,
+                capacity,
+            });
         }
-        Ok(Batch { bytes, records, now, number })
+        Ok(Batch {
+            bytes,
+            records,
+            now,
+            number,
+        })
     }
 
     /// The event records, in order.
     pub fn events(&self) -> impl Iterator<Item = Fields<'_>> {
         let (records, tail) = self.bytes[HEADER_BYTES..].split_at(self.records * EVENT_BYTES);
-        records.chunks_exact(EVENT_BYTES).enumerate().map(move |(index, record)| {
-            Fields::new(record, tail, LENGTH_BYTES + HEADER_BYTES + index * EVENT_BYTES)
-        })
+        records
+            .chunks_exact(EVENT_BYTES)
+            .enumerate()
+            .map(move |(index, record)| {
+                Fields::new(
+                    record,
+                    tail,
+                    LENGTH_BYTES + HEADER_BYTES + index * EVENT_BYTES,
+                )
+            })
     }
 }
 
@@ -105,7 +135,10 @@
 
 fn read_up_to(input: &mut impl Read, max: u64) -> Result<Vec<u8>, FrameError> {
     let mut bytes = Vec::new();
-    input.take(max).read_to_end(&mut bytes).map_err(FrameError::Read)?;
+    input
+        .take(max)
+        .read_to_end(&mut bytes)
+        .map_err(FrameError::Read)?;
     Ok(bytes)
 }
 
@@ -122,7 +155,12 @@
 impl<'a> Fields<'a> {
     /// The record found at `position` of a frame with this tail.
     pub fn new(record: &'a [u8], tail: &'a [u8], position: usize) -> Self {
-        Fields { record, tail, position, next: 0 }
+        Fields {
+            record,
+            tail,
+            position,
+            next: 0,
+        }
     }
 
     /// Where the record starts in the frame.
@@ -147,7 +185,8 @@
     }
 
     pub fn f32(&mut self) -> Result<f64, FieldError> {
-        self.take().map(|bytes| f64::from(f32::from_le_bytes(bytes)))
+        self.take()
+            .map(|bytes| f64::from(f32::from_le_bytes(bytes)))
     }
 
     pub fn f64(&mut self) -> Result<f64, FieldError> {
@@ -158,20 +197,29 @@
     pub fn tail(&mut self, item_bytes: usize) -> Result<&'a [u8], FieldError> {
         let offset = self.u32()? as usize;
         let count = self.u32()? as usize;
-        let end = count.checked_mul(item_bytes).and_then(|length| offset.checked_add(length));
-        end.and_then(|end| self.tail.get(offset..end)).ok_or(FieldError::OutsideTail {
-            record: self.position,
-            offset,
-            count,
-            length: self.tail.len(),
-        })
+        let end = count
+            .checked_mul(item_bytes)
+            .and_then(|length| offset.checked_add(length));
+        end.and_then(|end| self.tail.get(offset..end))
+            .ok_or(FieldError::OutsideTail {
+                record: self.position,
+                offset,
+                count,
+                length: self.tail.len(),
+            })
     }
 
     fn take<const N: usize>(&mut self) -> Result<[u8; N], FieldError> {
         let at = self.next;
         self.next += N;
-        let bytes = self.record.get(at..at + N).and_then(|bytes| bytes.try_into().ok());
-        bytes.ok_or(FieldError::RecordEnds { record: self.position, at })
+        let bytes = self
+            .record
+            .get(at..at + N)
+            .and_then(|bytes| bytes.try_into().ok());
+        bytes.ok_or(FieldError::RecordEnds {
+            record: self.position,
+            at,
+        })
     }
 }
 
@@ -193,7 +241,8 @@
     /// The complete frame, in answer to the batch of this number.
     pub fn frame(&self, batch: u32) -> Vec<u8> {
         let records = (self.records.len() / ACTION_BYTES) as u32;
-        let length = size_of_val(&records) + size_of_val(&batch) + self.records.len() + self.tail.len();
+        let length =
+            size_of_val(&records) + size_of_val(&batch) + self.records.len() + self.tail.len();
         let mut frame = Vec::with_capacity(LENGTH_BYTES + length);
         frame.extend((length as u32).to_le_bytes());
         frame.extend(records.to_le_bytes());
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -34,7 +34,10 @@
         output
             .write_all(&frame)
             .and_then(|()| output.flush())
-            .map_err(|error| AdapterError::Write { batch: batch.number, error })?;
+            .map_err(|error| AdapterError::Write {
+                batch: batch.number,
+                error,
+            })?;
     }
     Ok(())
 }
--- a/src/bin/simulator-adapter/setup.rs
+++ b/src/bin/simulator-adapter/setup.rs
@@ -1,7 +1,8 @@
 //! The settings text, one path=value a line, translated to the library's settings.
 
 use quota_gateway::{
-    Class, CounterSettings, Idempotency, KeyScope, Limits, LoadReporting, Plan, Prices, Rules, Settings,
+    Class, CounterSettings, Idempotency, KeyScope, Limits, LoadReporting, Plan, Prices, Rules,
+    Settings,
 };
 use std::collections::HashMap;
 use thiserror::Error;
@@ -60,8 +61,9 @@
 /// Reads the settings text.
 pub fn read(text: &str) -> Result<Setup, SettingsError> {
     let text = SettingsText::new(text);
-    let classes =
-        (0..text.integer("categories.count")?).map(|index| class(&text, index)).collect::<Result<_, _>>()?;
+    let classes = (0..text.integer("categories.count")?)
+        .map(|index| class(&text, index))
+        .collect::<Result<_, _>>()?;
     let plans = (0..text.integer("tiers-of-service.count")?)
         .map(|index| plan(&text, index))
         .collect::<Result<_, _>>()?;
@@ -83,7 +85,10 @@
         load_reporting: load_reporting(&text)?,
         endpoints_polled: endpoints_polled(&text)?,
     };
-    Ok(Setup { settings, load_fields: load_fields(&text) })
+    Ok(Setup {
+        settings,
+        load_fields: load_fields(&text),
+    })
 }
 
 fn counter(text: &SettingsText) -> Result<Option<CounterSettings>, SettingsError> {
@@ -154,7 +159,10 @@
 
 fn load_fields(text: &SettingsText) -> Vec<LoadField> {
     let names = text.raw("report.names").unwrap_or("").split(',');
-    names.filter(|name| !name.is_empty()).map(LoadField::from_name).collect()
+    names
+        .filter(|name| !name.is_empty())
+        .map(LoadField::from_name)
+        .collect()
 }
 
 fn endpoints_polled(text: &SettingsText) -> Result<bool, SettingsError> {
@@ -222,11 +230,20 @@
 
 impl<'a> SettingsText<'a> {
     fn new(text: &'a str) -> Self {
-        SettingsText(text.lines().filter_map(|line| line.split_once('=')).collect())
+        SettingsText(
+            text.lines()
+                .filter_map(|line| line.split_once('='))
+                .collect(),
+        )
     }
 
     fn raw(&self, path: &str) -> Result<&'a str, SettingsError> {
-        self.0.get(path).copied().ok_or_else(|| SettingsError::Missing { path: path.to_owned() })
+        self.0
+            .get(path)
+            .copied()
+            .ok_or_else(|| SettingsError::Missing {
+                path: path.to_owned(),
+            })
     }
 
     /// A finite number of 0 or more.
@@ -234,21 +251,33 @@
         let text = self.raw(path)?;
         match text.parse::<f64>() {
             Ok(number) if number.is_finite() && number >= 0.0 => Ok(number),
-            _ => Err(SettingsError::NotANumber { path: path.to_owned(), text: text.to_owned() }),
+            _ => Err(SettingsError::NotANumber {
+                path: path.to_owned(),
+                text: text.to_owned(),
+            }),
         }
     }
 
     fn integer(&self, path: &str) -> Result<u32, SettingsError> {
         let text = self.raw(path)?;
-        text.parse().map_err(|_| SettingsError::NotAnInteger { path: path.to_owned(), text: text.to_owned() })
+        text.parse().map_err(|_| SettingsError::NotAnInteger {
+            path: path.to_owned(),
+            text: text.to_owned(),
+        })
     }
 
     fn boolean(&self, path: &str) -> Result<bool, SettingsError> {
         let text = self.raw(path)?;
-        text.parse().map_err(|_| SettingsError::NotABoolean { path: path.to_owned(), text: text.to_owned() })
+        text.parse().map_err(|_| SettingsError::NotABoolean {
+            path: path.to_owned(),
+            text: text.to_owned(),
+        })
     }
 }
 
 fn unknown_value(path: &str, text: &str) -> SettingsError {
-    SettingsError::UnknownValue { path: path.to_owned(), text: text.to_owned() }
+    SettingsError::UnknownValue {
+        path: path.to_owned(),
+        text: text.to_owned(),
+    }
 }
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -44,15 +44,25 @@
 
     /// Takes in one event and appends what is to be done.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
-        let cx = &mut Context { now, settings: &self.settings, rng: &mut self.rng, actions };
+        let cx = &mut Context {
+            now,
+            settings: &self.settings,
+            rng: &mut self.rng,
+            actions,
+        };
         let forwarder = &mut self.forwarder;
         let requests = &mut self.requests;
         if !std::mem::replace(&mut self.started, true) {
             start(cx);
         }
         match event {
-            Event::EndpointUpdate { complete, endpoints } => {
-                forwarder.load_balancer.update_endpoints(cx, complete, endpoints);
+            Event::EndpointUpdate {
+                complete,
+                endpoints,
+            } => {
+                forwarder
+                    .load_balancer
+                    .update_endpoints(cx, complete, endpoints);
             }
             Event::EndpointPollFailed => self.poll_retry.poll_failed(now, cx.rng),
             Event::Request(request) if requests.contains(request.id) => {}
@@ -76,8 +86,18 @@
                 Timer::Gossip => forwarder.quota.gossip.send(cx),
             },
             Event::HealthCheckEnded { .. } => {}
-            Event::CounterReply { key, outcome, total, elapsed_ms } => {
-                let reply = CounterReply { key, outcome, total, elapsed_ms };
+            Event::CounterReply {
+                key,
+                outcome,
+                total,
+                elapsed_ms,
+            } => {
+                let reply = CounterReply {
+                    key,
+                    outcome,
+                    total,
+                    elapsed_ms,
+                };
                 if let Some(id) = forwarder.quota.counter_replied(cx, &reply) {
                     requests.update(id, |open| forwarder.counter_replied(cx, open));
                 }
--- a/src/gossip/exchange.rs
+++ b/src/gossip/exchange.rs
@@ -46,8 +46,15 @@
         self.timer_set = false;
         let usages = self.unsent.take_for_message();
         let counter_short = is_recent(cx.now, self.local_shortage_at);
-        let body = Message { counter_short, usages }.encode();
-        cx.actions.push(Action::Gossip { to: ALL_GATEWAYS, body });
+        let body = Message {
+            counter_short,
+            usages,
+        }
+        .encode();
+        cx.actions.push(Action::Gossip {
+            to: ALL_GATEWAYS,
+            body,
+        });
         self.set_timer(cx);
     }
 
@@ -57,7 +64,9 @@
         if !known || !cx.settings.limits.gossip {
             return Vec::new();
         }
-        let Ok(message) = Message::decode(body) else { return Vec::new() };
+        let Ok(message) = Message::decode(body) else {
+            return Vec::new();
+        };
         if message.counter_short {
             self.fleet_shortage_at = Some(cx.now);
         }
@@ -66,7 +75,10 @@
 
     fn set_timer(&mut self, cx: &mut Context) {
         if !self.unsent.is_empty() && !std::mem::replace(&mut self.timer_set, true) {
-            cx.set_timer(Timer::Gossip, INTERVAL_PER_GATEWAY_MS * f64::from(cx.settings.gateway_count - 1));
+            cx.set_timer(
+                Timer::Gossip,
+                INTERVAL_PER_GATEWAY_MS * f64::from(cx.settings.gateway_count - 1),
+            );
         }
     }
 }
--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -62,7 +62,8 @@
     }
 
     pub(crate) fn decode(body: &[u8]) -> Result<Message, DecodeError> {
-        let (&[version, counter_short], entries) = body.split_first_chunk().ok_or(DecodeError::Truncated)?;
+        let (&[version, counter_short], entries) =
+            body.split_first_chunk().ok_or(DecodeError::Truncated)?;
         if version != VERSION {
             return Err(DecodeError::UnknownVersion(version));
         }
@@ -72,8 +73,14 @@
         if entries.len() % USAGE_BYTES != 0 || entries.len() > MAX_USAGES * USAGE_BYTES {
             return Err(DecodeError::InvalidLength(entries.len()));
         }
-        let usages = entries.chunks_exact(USAGE_BYTES).map(decode_usage).collect::<Result<_, _>>()?;
-        Ok(Message { counter_short: counter_short == 1, usages })
+        let usages = entries
+            .chunks_exact(USAGE_BYTES)
+            .map(decode_usage)
+            .collect::<Result<_, _>>()?;
+        Ok(Message {
+            counter_short: counter_short == 1,
+            usages,
+        })
     }
 }
 
@@ -86,7 +93,11 @@
         return Err(DecodeError::InvalidCustomer(customer));
     }
     let hundredths = i16::from_le_bytes([entry[6], entry[7]]);
-    Ok(Usage { customer, plan: entry[5], units: f64::from(hundredths) / HUNDREDTHS })
+    Ok(Usage {
+        customer,
+        plan: entry[5],
+        units: f64::from(hundredths) / HUNDREDTHS,
+    })
 }
 
 /// Usage that has not been sent to the other gateways yet, summed by customer.
@@ -95,7 +106,14 @@
 
 impl UnsentUsage {
     pub(crate) fn add(&mut self, customer: CustomerId, plan: u8, units: f64) {
-        self.0.entry(customer).or_insert(Usage { customer, plan, units: 0.0 }).units += units;
+        self.0
+            .entry(customer)
+            .or_insert(Usage {
+                customer,
+                plan,
+                units: 0.0,
+            })
+            .units += units;
     }
 
     pub(crate) fn is_empty(&self) -> bool {
@@ -104,7 +122,10 @@
 
     /// Takes out as much as fits into one message.
     pub(crate) fn take_for_message(&mut self) -> Vec<Usage> {
-        std::iter::from_fn(|| self.0.pop_first()).take(MAX_USAGES).map(|(_, usage)| usage).collect()
+        std::iter::from_fn(|| self.0.pop_first())
+            .take(MAX_USAGES)
+            .map(|(_, usage)| usage)
+            .collect()
     }
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -59,7 +59,14 @@
 //! assert!(actions.iter().any(|action| matches!(action, Action::Reject { id: 2, .. })));
 //! ```
 // Tests fail by panicking, and the figures that they compare are exact.
-#![cfg_attr(test, allow(clippy::unwrap_used, clippy::float_cmp, clippy::unchecked_time_subtraction))]
+#![cfg_attr(
+    test,
+    allow(
+        clippy::unwrap_used,
+        clippy::float_cmp,
+        clippy::unchecked_time_subtraction
+    )
+)]
 
 pub mod api;
 mod gateway;
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -14,10 +14,17 @@
 
 impl Forwarder {
     /// A request has come in. One with an unknown class or plan, or no time left, is rejected at once.
-    pub(crate) fn request_arrived(&mut self, cx: &mut Context, request: Request) -> Option<OpenRequest> {
+    pub(crate) fn request_arrived(
+        &mut self,
+        cx: &mut Context,
+        request: Request,
+    ) -> Option<OpenRequest> {
         let id = request.id;
         let Some(mut open) = OpenRequest::new(request, cx.settings, cx.now) else {
-            cx.actions.push(Action::Reject { id, retry_after_ms: 0.0 });
+            cx.actions.push(Action::Reject {
+                id,
+                retry_after_ms: 0.0,
+            });
             return None;
         };
         self.admit(cx, &mut open);
@@ -27,10 +34,13 @@
     /// Forwards the request, rejects it, or has it wait for the counter.
     fn admit(&mut self, cx: &mut Context, open: &mut OpenRequest) {
         let plan = cx.plan(open.account());
-        let baseline_ms = self.load_balancer.baseline_latency(open.request.class as usize);
+        let baseline_ms = self
+            .load_balancer
+            .baseline_latency(open.request.class as usize);
         let over_quota = self.quota.available_units(cx, open) < open.request.units;
         let in_flight = self.quota.concurrent_attempts(open, baseline_ms);
-        let over_concurrency = plan.max_concurrency > 0 && in_flight >= f64::from(plan.max_concurrency);
+        let over_concurrency =
+            plan.max_concurrency > 0 && in_flight >= f64::from(plan.max_concurrency);
         if plan.rate > 0.0 && over_quota || over_concurrency {
             self.quota.query_total(cx, open);
             return self.reject_over_quota(cx, open);
@@ -42,7 +52,10 @@
             return self.forward_within_quota(cx, open);
         }
         self.quota.customers.reserve(open);
-        cx.set_timer(Timer::CounterWait(open.request.id), self.quota.max_wait(open));
+        cx.set_timer(
+            Timer::CounterWait(open.request.id),
+            self.quota.max_wait(open),
+        );
     }
 
     /// The call to the counter that was made for the request has ended.
@@ -68,7 +81,8 @@
         if within_quota {
             self.forward_within_quota(cx, open);
         } else {
-            self.quota.settle_later(cx, open.account(), -open.request.units);
+            self.quota
+                .settle_later(cx, open.account(), -open.request.units);
             self.reject_over_quota(cx, open);
         }
         within_quota
@@ -77,7 +91,8 @@
     /// Rejects a request over its quota, unless it earns more than it costs and the fleet has capacity.
     fn reject_over_quota(&mut self, cx: &mut Context, open: &mut OpenRequest) {
         let expected_ms = self.expected_latency(cx, open);
-        let max_expected_ms = MAX_EXPECTED_SHARE_OVER_QUOTA * cx.class(&open.request).latency_objective_ms;
+        let max_expected_ms =
+            MAX_EXPECTED_SHARE_OVER_QUOTA * cx.class(&open.request).latency_objective_ms;
         let plan = cx.plan(open.account());
         if plan.over_quota_weight > plan.over_quota_cost && expected_ms < max_expected_ms {
             // Nothing is charged for it, so nothing is settled later.
--- a/src/policy/call_limiter.rs
+++ b/src/policy/call_limiter.rs
@@ -91,8 +91,14 @@
             self.rate = self.rate.max(before / 2.0);
         }
         self.consecutive_failures = 0;
-        let is_near = self.rate_before_failures.is_some_and(|before| self.rate > before * NEAR_SHARE);
-        let increase = if is_near { SLOW_INCREASE } else { FAST_INCREASE };
+        let is_near = self
+            .rate_before_failures
+            .is_some_and(|before| self.rate > before * NEAR_SHARE);
+        let increase = if is_near {
+            SLOW_INCREASE
+        } else {
+            FAST_INCREASE
+        };
         self.rate = (self.rate * (1.0 + increase) + ADDITIVE_INCREASE).min(MAX_RATE);
     }
 
--- a/src/policy/call_limiter/tests.rs
+++ b/src/policy/call_limiter/tests.rs
@@ -2,7 +2,9 @@
 
 /// Calls of this priority that are permitted now.
 fn acquired(limiter: &mut CallLimiter, now: f64, priority: CallPriority) -> usize {
-    (0..1000).take_while(|_| limiter.try_acquire(now, priority)).count()
+    (0..1000)
+        .take_while(|_| limiter.try_acquire(now, priority))
+        .count()
 }
 
 #[test]
@@ -37,5 +39,8 @@
     assert!(limiter.is_down());
     limiter.on_success();
     assert!(!limiter.is_down());
-    assert_eq!(limiter.rate, INITIAL_RATE / 2.0 * (1.0 + FAST_INCREASE) + ADDITIVE_INCREASE);
+    assert_eq!(
+        limiter.rate,
+        INITIAL_RATE / 2.0 * (1.0 + FAST_INCREASE) + ADDITIVE_INCREASE
+    );
 }
--- a/src/policy/candidate.rs
+++ b/src/policy/candidate.rs
@@ -39,15 +39,25 @@
 impl DeduplicationScope {
     /// The scope of a request that `first_executor` may have executed.
     pub(crate) fn new(idempotency: Idempotency, first_executor: Option<&Endpoint>) -> Self {
-        let Some(first) = first_executor else { return DeduplicationScope::All };
+        let Some(first) = first_executor else {
+            return DeduplicationScope::All;
+        };
         match idempotency {
-            Idempotency::WithKey { scope: KeyScope::Zone, .. } => {
-                DeduplicationScope::Zone { zone: first.zone }
+            Idempotency::WithKey {
+                scope: KeyScope::Zone,
+                ..
+            } => DeduplicationScope::Zone { zone: first.zone },
+            Idempotency::WithKey {
+                scope: KeyScope::Cell,
+                ..
+            } => DeduplicationScope::Cell {
+                zone: first.zone,
+                cell: first.cell,
+            },
+            Idempotency::WithKey {
+                scope: KeyScope::All,
+                ..
             }
-            Idempotency::WithKey { scope: KeyScope::Cell, .. } => {
-                DeduplicationScope::Cell { zone: first.zone, cell: first.cell }
-            }
-            Idempotency::WithKey { scope: KeyScope::All, .. }
             | Idempotency::Idempotent
             | Idempotency::NotIdempotent => DeduplicationScope::All,
         }
@@ -57,7 +67,9 @@
         match *self {
             DeduplicationScope::All => true,
             DeduplicationScope::Zone { zone } => endpoint.zone == zone,
-            DeduplicationScope::Cell { zone, cell } => endpoint.zone == zone && endpoint.cell == cell,
+            DeduplicationScope::Cell { zone, cell } => {
+                endpoint.zone == zone && endpoint.cell == cell
+            }
         }
     }
 }
--- a/src/policy/candidate/tests.rs
+++ b/src/policy/candidate/tests.rs
@@ -2,7 +2,11 @@
 use crate::api::EndpointState;
 
 fn candidate(preference: Preference, cost_ms: f64) -> Candidate {
-    Candidate { preference, cost_ms, endpoint: 1 }
+    Candidate {
+        preference,
+        cost_ms,
+        endpoint: 1,
+    }
 }
 
 #[test]
@@ -38,7 +42,10 @@
 #[test]
 fn repeats_with_a_key_are_bound_to_the_scope_of_the_first_executor() {
     let scope = |scope| {
-        let keyed = Idempotency::WithKey { scope, window_ms: 1000.0 };
+        let keyed = Idempotency::WithKey {
+            scope,
+            window_ms: 1000.0,
+        };
         DeduplicationScope::new(keyed, Some(&endpoint(1, 10)))
     };
     assert!(scope(KeyScope::All).contains(&endpoint(2, 20)));
@@ -51,6 +58,9 @@
 
 #[test]
 fn without_a_first_executor_any_endpoint_will_do() {
-    let keyed = Idempotency::WithKey { scope: KeyScope::Cell, window_ms: 1000.0 };
+    let keyed = Idempotency::WithKey {
+        scope: KeyScope::Cell,
+        window_ms: 1000.0,
+    };
     assert!(DeduplicationScope::new(keyed, None).contains(&endpoint(2, 20)));
 }
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -26,7 +26,12 @@
 }
 
 /// Takes in entries of the list.
-pub(super) fn update(cx: &mut Context, table: &mut EndpointTable, ring: &mut RingArc, list: Vec<Endpoint>) {
+pub(super) fn update(
+    cx: &mut Context,
+    table: &mut EndpointTable,
+    ring: &mut RingArc,
+    list: Vec<Endpoint>,
+) {
     let is_first = table.is_empty();
     table.begin_update();
     for entry in list {
--- a/src/policy/forwarding.rs
+++ b/src/policy/forwarding.rs
@@ -1,6 +1,8 @@
 //! What becomes of an admitted request: its attempts, retries, and its final answer.
 
-use crate::api::{Action, AttemptEnd, EndpointId, Idempotency, KeyScope, Millis, Outcome, Settings};
+use crate::api::{
+    Action, AttemptEnd, EndpointId, Idempotency, KeyScope, Millis, Outcome, Settings,
+};
 use crate::policy::load_balancer::LoadBalancer;
 use crate::policy::quota::QuotaLedger;
 use crate::primitives::load_estimate::{LoadEstimate, LoadParameters};
@@ -56,7 +58,8 @@
 
     /// Forwards a request within its quota.
     pub(crate) fn forward_within_quota(&mut self, cx: &mut Context, open: &mut OpenRequest) {
-        self.quota.record_usage(cx, open.account(), open.request.units);
+        self.quota
+            .record_usage(cx, open.account(), open.request.units);
         self.forward(cx, open);
     }
 
@@ -91,24 +94,44 @@
         let first = open.attempts.is_empty();
         let endpoint_in_flight = self.load_balancer.attempt_started(cx.now, endpoint, first);
         self.quota.customers.attempt_started(&open.request, first);
-        open.attempts.push(Attempt { endpoint, started_at: cx.now, endpoint_in_flight, in_flight: true });
+        open.attempts.push(Attempt {
+            endpoint,
+            started_at: cx.now,
+            endpoint_in_flight,
+            in_flight: true,
+        });
         let timeout_ms = attempt_timeout(cx, open);
         let start_within_ms = repeat_time_left(cx, open);
-        cx.actions.push(Action::SendAttempt { id: open.request.id, endpoint, timeout_ms, start_within_ms });
+        cx.actions.push(Action::SendAttempt {
+            id: open.request.id,
+            endpoint,
+            timeout_ms,
+            start_within_ms,
+        });
         self.load.request_started(cx.now);
         if first {
-            self.retry_budget.refill(RETRIES_PER_REQUEST, MAX_SAVED_RETRIES);
+            self.retry_budget
+                .refill(RETRIES_PER_REQUEST, MAX_SAVED_RETRIES);
         }
     }
 
     /// An attempt has ended: its request is settled, and retried unless it has its answer.
-    pub(crate) fn attempt_ended(&mut self, cx: &mut Context, open: &mut OpenRequest, ended: &AttemptEnd) {
-        let Some(attempt) = open.end_attempt(ended) else { return };
+    pub(crate) fn attempt_ended(
+        &mut self,
+        cx: &mut Context,
+        open: &mut OpenRequest,
+        ended: &AttemptEnd,
+    ) {
+        let Some(attempt) = open.end_attempt(ended) else {
+            return;
+        };
         let latency_ms = cx.now - attempt.started_at;
         self.settle_attempt(cx, open, ended.actual_units);
-        self.load.request_ended(cx.now, ended.outcome == Outcome::Success);
+        self.load
+            .request_ended(cx.now, ended.outcome == Outcome::Success);
         if matches!(ended.outcome, Outcome::Success | Outcome::Timeout) {
-            self.load.record_latency(latency_ms, cx.class(&open.request).latency_objective_ms);
+            self.load
+                .record_latency(latency_ms, cx.class(&open.request).latency_objective_ms);
         }
         self.load_balancer.attempt_ended(cx, open, ended);
         if ended.request_answered || open.closed {
@@ -119,12 +142,18 @@
     }
 
     /// Settles the request's units: the difference to the actual ones, or all of them if it was never sent.
-    fn settle_attempt(&mut self, cx: &mut Context, open: &mut OpenRequest, actual_units: Option<f64>) {
+    fn settle_attempt(
+        &mut self,
+        cx: &mut Context,
+        open: &mut OpenRequest,
+        actual_units: Option<f64>,
+    ) {
         self.quota.customers.attempt_ended(&open.request);
         match actual_units.filter(|units| units.is_finite()) {
             Some(units) if cx.settings.settles_units && open.within_quota => {
                 open.within_quota = false;
-                self.quota.settle(cx, open.account(), units - open.request.units);
+                self.quota
+                    .settle(cx, open.account(), units - open.request.units);
             }
             _ if open.was_never_sent() => self.refund(cx, open),
             _ => {}
@@ -153,7 +182,9 @@
             return false;
         }
         let class = cx.class(&open.request);
-        let baseline_ms = self.load_balancer.baseline_latency(open.request.class as usize);
+        let baseline_ms = self
+            .load_balancer
+            .baseline_latency(open.request.class as usize);
         // After the latency objective a response may earn nothing.
         if class.late_weight <= 0.0 && cx.now + baseline_ms >= open.objective_deadline {
             return false;
@@ -169,10 +200,19 @@
     }
 
     /// Ends the request: rejected if the client may safely repeat it, failed if it may have been executed.
-    pub(crate) fn finish(&mut self, cx: &mut Context, open: &mut OpenRequest, retry_after_ms: Millis) {
+    pub(crate) fn finish(
+        &mut self,
+        cx: &mut Context,
+        open: &mut OpenRequest,
+        retry_after_ms: Millis,
+    ) {
         let id = open.request.id;
         let safe_to_repeat = match cx.class(&open.request).idempotency {
-            Idempotency::Idempotent | Idempotency::WithKey { scope: KeyScope::All, .. } => true,
+            Idempotency::Idempotent
+            | Idempotency::WithKey {
+                scope: KeyScope::All,
+                ..
+            } => true,
             _ => open.first_execution.is_none() && !open.has_attempt_in_flight(),
         };
         if safe_to_repeat {
@@ -189,7 +229,8 @@
     /// The client has left. What its request was charged while it waited is refunded with the next charge.
     pub(crate) fn client_disconnected(&mut self, cx: &mut Context, open: &mut OpenRequest) {
         if open.awaiting_counter {
-            self.quota.settle_later(cx, open.account(), -open.request.units);
+            self.quota
+                .settle_later(cx, open.account(), -open.request.units);
         }
         self.close(cx, open);
     }
@@ -198,7 +239,10 @@
     fn close(&mut self, cx: &mut Context, open: &mut OpenRequest) {
         self.quota.customers.release(open);
         if !std::mem::replace(&mut open.closed, true) && cx.settings.limits.cancellation {
-            let cancel = |attempt| Action::CancelAttempt { id: open.request.id, attempt };
+            let cancel = |attempt| Action::CancelAttempt {
+                id: open.request.id,
+                attempt,
+            };
             cx.actions.extend(open.attempts_in_flight().map(cancel));
         }
     }
--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -33,16 +33,26 @@
 
 impl TrackedEndpoint {
     /// Takes in the latency that a successful attempt would have had at an idle endpoint.
-    pub(super) fn record_latency(&mut self, now: Millis, idle_ms: Millis, baseline: &mut RunningMean) {
+    pub(super) fn record_latency(
+        &mut self,
+        now: Millis,
+        idle_ms: Millis,
+        baseline: &mut RunningMean,
+    ) {
         let sample = (idle_ms / baseline.value().max(MIN_DIVISOR)).min(MAX_RELATIVE_LATENCY);
-        let relative = self.relative_latency.current(now, RELATIVE_LATENCY_MEMORY_MS);
-        self.relative_latency.record(now, relative, sample, RELATIVE_LATENCY_WEIGHT);
+        let relative = self
+            .relative_latency
+            .current(now, RELATIVE_LATENCY_MEMORY_MS);
+        self.relative_latency
+            .record(now, relative, sample, RELATIVE_LATENCY_WEIGHT);
         baseline.record(idle_ms / relative.max(MIN_DIVISOR), BASELINE_WEIGHT);
     }
 
     /// Time that one more attempt is expected to take, in ms.
     pub(super) fn expected_latency(&self, now: Millis, baseline_ms: Millis) -> Millis {
-        let mut relative = self.relative_latency.current(now, RELATIVE_LATENCY_MEMORY_MS);
+        let mut relative = self
+            .relative_latency
+            .current(now, RELATIVE_LATENCY_MEMORY_MS);
         if self.in_flight > 0 {
             let silent_ms = now - self.last_response_at;
             relative = relative.max(silent_ms / (baseline_ms * MAX_SILENT_BASELINES));
--- a/src/policy/load_balancer.rs
+++ b/src/policy/load_balancer.rs
@@ -5,7 +5,9 @@
 use crate::policy::{connections, endpoints, latency, outlier, slow_start, subset};
 use crate::primitives::mean::{EventRate, RunningMean};
 use crate::primitives::ring::RingArc;
-use crate::state::{Context, EndpointTable, OpenRequest, SubsetLoad, TrackedEndpoint, WarmingMembers};
+use crate::state::{
+    Context, EndpointTable, OpenRequest, SubsetLoad, TrackedEndpoint, WarmingMembers,
+};
 use fastrand::Rng;
 
 /// Random part of a cost, in baseline latencies: gateways that know equally little choose differently.
@@ -47,7 +49,11 @@
             warming_members: WarmingMembers::default(),
             connected_members: Vec::new(),
             outliers: outlier::OutlierDetector::default(),
-            baselines: settings.classes.iter().map(|class| RunningMean::new(baseline(class))).collect(),
+            baselines: settings
+                .classes
+                .iter()
+                .map(|class| RunningMean::new(baseline(class)))
+                .collect(),
             request_rate: EventRate::new(now, REQUEST_RATE_MEMORY_MS),
         }
     }
@@ -76,8 +82,10 @@
         if subset::is_partial(&self.subset) {
             self.subset();
             let members = self.endpoints.select(self.subset.members());
-            self.subset_load.unhealthy_members =
-                members.clone().filter(|e| !e.health.is_healthy(cx.now)).count();
+            self.subset_load.unhealthy_members = members
+                .clone()
+                .filter(|e| !e.health.is_healthy(cx.now))
+                .count();
             let connected = members.filter(|e| e.has_free_connection(cx.now));
             self.connected_members = connected.map(|e| e.endpoint.id).collect();
             subset::resize(&mut self.subset, cx.settings, &self.subset_load);
@@ -85,7 +93,12 @@
     }
 
     /// Takes in the complete endpoint list, or the entries that changed.
-    pub(crate) fn update_endpoints(&mut self, cx: &mut Context, complete: bool, entries: Vec<Endpoint>) {
+    pub(crate) fn update_endpoints(
+        &mut self,
+        cx: &mut Context,
+        complete: bool,
+        entries: Vec<Endpoint>,
+    ) {
         endpoints::update(cx, &mut self.endpoints, &mut self.subset, entries);
         if complete {
             endpoints::remove_unlisted(&mut self.endpoints, &mut self.subset);
@@ -103,33 +116,55 @@
         let mut best = None;
         if subset::is_partial(&self.subset) {
             let sample = self.sample(cx, &mut rng);
-            best = choice.best(sample.iter().copied(), &mut rng).filter(Candidate::is_preferred);
+            best = choice
+                .best(sample.iter().copied(), &mut rng)
+                .filter(Candidate::is_preferred);
             let members = self.endpoints.select(self.subset.members());
-            best = best.or_else(|| choice.best(members, &mut rng).filter(Candidate::is_preferred));
+            best = best.or_else(|| {
+                choice
+                    .best(members, &mut rng)
+                    .filter(Candidate::is_preferred)
+            });
         }
-        best.or_else(|| choice.best(self.endpoints.all(), &mut rng)).map(|candidate| candidate.endpoint)
+        best.or_else(|| choice.best(self.endpoints.all(), &mut rng))
+            .map(|candidate| candidate.endpoint)
     }
 
     fn refill_warming_members(&mut self, cx: &Context) {
         self.subset();
-        let capacity = self.warming_members.update(cx.now, &self.endpoints, self.subset.members());
+        let capacity = self
+            .warming_members
+            .update(cx.now, &self.endpoints, self.subset.members());
         let request_rate = self.request_rate.per_second();
         let rate = slow_start::rate_per_endpoint(&cx.settings.rules, request_rate, capacity);
-        self.warming_members.refill(cx.now, &mut self.endpoints, rate);
+        self.warming_members
+            .refill(cx.now, &mut self.endpoints, rate);
     }
 
     /// The members that are warming up and may be sent an attempt, and a few random ones.
     fn sample(&self, cx: &Context, rng: &mut Rng) -> Vec<&TrackedEndpoint> {
         let request_rate = self.request_rate.per_second();
         let mut members = self.subset.members();
-        if connections::keeps_to_connected(&cx.settings.limits, request_rate, self.connected_members.len()) {
+        if connections::keeps_to_connected(
+            &cx.settings.limits,
+            request_rate,
+            self.connected_members.len(),
+        ) {
             members = &self.connected_members;
         }
         let warming = self.endpoints.select(&self.warming_members.ids);
-        let mut sample: Vec<_> = warming.filter(|endpoint| endpoint.warm_up.has_token()).collect();
+        let mut sample: Vec<_> = warming
+            .filter(|endpoint| endpoint.warm_up.has_token())
+            .collect();
         let random = std::iter::repeat_with(|| members.get(rng.usize(..members.len().max(1))));
-        let random = random.take(MAX_SAMPLE_DRAWS).filter_map(|id| self.endpoints.get(*id?));
-        sample.extend(random.filter(|endpoint| endpoint.is_available(cx.now)).take(SAMPLE_SIZE));
+        let random = random
+            .take(MAX_SAMPLE_DRAWS)
+            .filter_map(|id| self.endpoints.get(*id?));
+        sample.extend(
+            random
+                .filter(|endpoint| endpoint.is_available(cx.now))
+                .take(SAMPLE_SIZE),
+        );
         sample
     }
 
@@ -138,15 +173,21 @@
         if first {
             self.request_rate.record(now, 1.0);
         }
-        let Some(endpoint) = self.endpoints.get_mut(id) else { return 1.0 };
+        let Some(endpoint) = self.endpoints.get_mut(id) else {
+            return 1.0;
+        };
         endpoint.attempt_started(now);
         f64::from(endpoint.in_flight)
     }
 
     /// An attempt of the request has ended.
     pub(crate) fn attempt_ended(&mut self, cx: &mut Context, open: &OpenRequest, end: &AttemptEnd) {
-        let Some(attempt) = open.attempts.get(usize::from(end.attempt)) else { return };
-        let Some(endpoint) = self.endpoints.get_mut(end.endpoint) else { return };
+        let Some(attempt) = open.attempts.get(usize::from(end.attempt)) else {
+            return;
+        };
+        let Some(endpoint) = self.endpoints.get_mut(end.endpoint) else {
+            return;
+        };
         self.outliers.record(cx, end, endpoint);
         endpoint.attempt_ended(cx.now, end.outcome);
         let plan = open.request.plan as usize;
@@ -177,11 +218,20 @@
 impl<'a> Choice<'a> {
     fn new(cx: &Context, open: &'a OpenRequest, balancer: &LoadBalancer) -> Self {
         let class = cx.class(&open.request);
-        let first_executor = open.first_execution.and_then(|first| balancer.endpoints.get(first.endpoint));
+        let first_executor = open
+            .first_execution
+            .and_then(|first| balancer.endpoints.get(first.endpoint));
         let scope = DeduplicationScope::new(class.idempotency, first_executor.map(|e| &e.endpoint));
         let baseline_ms = balancer.baseline_latency(open.request.class as usize);
-        let handshake_cost_ms = HANDSHAKE_FACTOR * cx.settings.prices.handshake * class.latency_objective_ms;
-        Choice { now: cx.now, open, scope, baseline_ms, handshake_cost_ms }
+        let handshake_cost_ms =
+            HANDSHAKE_FACTOR * cx.settings.prices.handshake * class.latency_objective_ms;
+        Choice {
+            now: cx.now,
+            open,
+            scope,
+            baseline_ms,
+            handshake_cost_ms,
+        }
     }
 
     fn best<'e>(
@@ -193,11 +243,17 @@
         let mut best: Option<Candidate> = None;
         for endpoint in endpoints.filter(|endpoint| endpoint.is_ready()) {
             let is_warming = endpoint.warm_up.capacity_share(self.now).is_some();
-            if !self.scope.contains(&endpoint.endpoint) || is_warming && !endpoint.warm_up.has_token() {
+            if !self.scope.contains(&endpoint.endpoint)
+                || is_warming && !endpoint.warm_up.has_token()
+            {
                 continue;
             }
             // A token is meant for its endpoint: by cost, or by chance among many, it might not be used.
-            let latency_ms = if is_warming { 0.0 } else { self.latency_with_jitter(endpoint, rng) };
+            let latency_ms = if is_warming {
+                0.0
+            } else {
+                self.latency_with_jitter(endpoint, rng)
+            };
             let candidate = self.candidate(endpoint, latency_ms, ignore_ejections);
             if best.is_none_or(|best| candidate.is_better_than(best)) {
                 best = Some(candidate);
@@ -207,16 +263,40 @@
     }
 
     fn latency_with_jitter(&self, endpoint: &TrackedEndpoint, rng: &mut Rng) -> Millis {
-        endpoint.expected_latency(self.now, self.baseline_ms) + self.baseline_ms * COST_JITTER * rng.f64()
+        endpoint.expected_latency(self.now, self.baseline_ms)
+            + self.baseline_ms * COST_JITTER * rng.f64()
     }
 
-    fn candidate(&self, endpoint: &TrackedEndpoint, latency_ms: Millis, ignore_ejections: bool) -> Candidate {
+    fn candidate(
+        &self,
+        endpoint: &TrackedEndpoint,
+        latency_ms: Millis,
+        ignore_ejections: bool,
+    ) -> Candidate {
         let id = endpoint.endpoint.id;
-        let is_avoided = self.open.attempts.iter().any(|attempt| attempt.endpoint == id)
-            || endpoint.health.is_rejecting(self.now, self.open.request.plan as usize)
+        let is_avoided = self
+            .open
+            .attempts
+            .iter()
+            .any(|attempt| attempt.endpoint == id)
+            || endpoint
+                .health
+                .is_rejecting(self.now, self.open.request.plan as usize)
             || !(ignore_ejections || endpoint.is_admitted(self.now));
-        let preference = if is_avoided { Preference::LastResort } else { Preference::Preferred };
-        let handshake_ms = if endpoint.has_free_connection(self.now) { 0.0 } else { self.handshake_cost_ms };
-        Candidate { preference, cost_ms: latency_ms + handshake_ms, endpoint: id }
+        let preference = if is_avoided {
+            Preference::LastResort
+        } else {
+            Preference::Preferred
+        };
+        let handshake_ms = if endpoint.has_free_connection(self.now) {
+            0.0
+        } else {
+            self.handshake_cost_ms
+        };
+        Candidate {
+            preference,
+            cost_ms: latency_ms + handshake_ms,
+            endpoint: id,
+        }
     }
 }
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -7,8 +7,12 @@
 /// The first ejection time, in ms.
 const BASE_EJECTION_MS: f64 = 500.0;
 /// One failure alone may be chance; the longest ejection, 16 s, lets tests cost next to nothing.
-const EJECTION: EjectionParameters =
-    EjectionParameters { failures: 2, base_ms: BASE_EJECTION_MS, max_doublings: 5, jitter: 0.2 };
+const EJECTION: EjectionParameters = EjectionParameters {
+    failures: 2,
+    base_ms: BASE_EJECTION_MS,
+    max_doublings: 5,
+    jitter: 0.2,
+};
 /// Weight of one response in the rate of invalid responses of its endpoint, and of the fleet.
 const INVALID_RATE_WEIGHT: f64 = 0.2;
 const FLEET_INVALID_RATE_WEIGHT: f64 = 0.02;
@@ -28,12 +32,20 @@
 
 impl OutlierDetector {
     /// To be called before the endpoint's `last_response_at` takes in this outcome.
-    pub(super) fn record(&mut self, cx: &mut Context, end: &AttemptEnd, endpoint: &mut TrackedEndpoint) {
+    pub(super) fn record(
+        &mut self,
+        cx: &mut Context,
+        end: &AttemptEnd,
+        endpoint: &mut TrackedEndpoint,
+    ) {
         self.record_validity(end.outcome, &mut endpoint.health);
         if end.outcome == Outcome::Success {
             endpoint.health.ejection.record_success();
         } else if self.is_failure(cx.now, end, endpoint) {
-            endpoint.health.ejection.record_failure(cx.now, &EJECTION, cx.rng);
+            endpoint
+                .health
+                .ejection
+                .record_failure(cx.now, &EJECTION, cx.rng);
         }
     }
 
@@ -49,7 +61,8 @@
 
     fn is_failure(&self, now: Millis, end: &AttemptEnd, endpoint: &TrackedEndpoint) -> bool {
         let has_responded_since = endpoint.last_response_at > now - end.elapsed_ms;
-        let is_often_invalid = endpoint.health.invalid_rate >= self.fleet_invalid_rate + INVALID_RATE_MARGIN;
+        let is_often_invalid =
+            endpoint.health.invalid_rate >= self.fleet_invalid_rate + INVALID_RATE_MARGIN;
         match end.outcome {
             Outcome::ConnectFailed => true,
             // If the endpoint has responded to others meanwhile, it was the request that took long.
--- a/src/policy/overload.rs
+++ b/src/policy/overload.rs
@@ -21,7 +21,10 @@
         if self.load.in_flight() < (ready * ALWAYS_ADMITTED_PER_ENDPOINT / gateways).max(1.0) {
             return 0.0;
         }
-        let baseline_ms = self.load_balancer.baseline_latency(open.request.class as usize);
-        self.load.expected_latency(baseline_ms, cx.class(&open.request).latency_objective_ms)
+        let baseline_ms = self
+            .load_balancer
+            .baseline_latency(open.request.class as usize);
+        self.load
+            .expected_latency(baseline_ms, cx.class(&open.request).latency_objective_ms)
     }
 }
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -5,7 +5,9 @@
 use crate::policy::call_limiter::CallPriority;
 use crate::policy::counter_calls::CounterCalls;
 use crate::primitives::mean::ExponentialMean;
-use crate::primitives::shared_bucket::{BucketLimits, RemoteUsage, SharedBucket, SharedBucketParameters};
+use crate::primitives::shared_bucket::{
+    BucketLimits, RemoteUsage, SharedBucket, SharedBucketParameters,
+};
 use crate::primitives::token_bucket::TokenBucket;
 use crate::state::{counter_key, CounterCall, CounterReply, OpenRequest, PendingCounterCalls};
 use crate::state::{Account, Context, Customer, Customers};
@@ -67,7 +69,11 @@
         let gossip_active = self.gossip.is_active(cx);
         let customer = self.refresh(cx, open.account(), open.request.gateway_set_size);
         let level = customer.quota.level().min(cx.plan(open.account()).burst);
-        let level = if gossip_active { customer.gossip_level } else { level };
+        let level = if gossip_active {
+            customer.gossip_level
+        } else {
+            level
+        };
         level - customer.reserved_units
     }
 
@@ -86,14 +92,17 @@
     pub(crate) fn concurrent_attempts(&self, open: &OpenRequest, baseline_ms: Millis) -> f64 {
         let mean_units = self.mean_units.value().max(MIN_MEAN_UNITS);
         let customer = self.customers.get(open.request.customer);
-        customer.map_or(0.0, |customer| customer.concurrent_attempts(mean_units, baseline_ms))
+        customer.map_or(0.0, |customer| {
+            customer.concurrent_attempts(mean_units, baseline_ms)
+        })
     }
 
     /// Refills what the customer may use, up to now; a customer that is not known yet is added. It comes
     /// through `gateway_set_size` gateways.
     fn refresh(&mut self, cx: &Context, account: Account, gateway_set_size: f64) -> &mut Customer {
         let plan = cx.plan(account);
-        let ceiling_share = 1.0 / gateway_set_size.clamp(1.0, f64::from(cx.settings.gateway_count.max(1)));
+        let ceiling_share =
+            1.0 / gateway_set_size.clamp(1.0, f64::from(cx.settings.gateway_count.max(1)));
         let ceiling_capacity = plan.ceiling_burst * ceiling_share;
         let uptime_s = (cx.now - self.started_at).max(0.0) / 1000.0;
         let customer = self.customers.get_or_insert_with(account.customer, || {
@@ -103,9 +112,16 @@
             Customer::new(cx.now, quota, TokenBucket::new(ceiling))
         });
         let exhausted = self.counter.limiter.is_exhausted();
-        let remote_usage = if exhausted { RemoteUsage::Projected } else { RemoteUsage::Ignored };
+        let remote_usage = if exhausted {
+            RemoteUsage::Projected
+        } else {
+            RemoteUsage::Ignored
+        };
         let elapsed_s = customer.refill(cx.now, bucket_limits(cx, account), remote_usage);
-        customer.ceiling.refill(elapsed_s * plan.ceiling_rate * ceiling_share, ceiling_capacity);
+        customer.ceiling.refill(
+            elapsed_s * plan.ceiling_rate * ceiling_share,
+            ceiling_capacity,
+        );
         customer.last_seen_at = cx.now;
         customer
     }
@@ -119,7 +135,9 @@
     /// Units that the customer's next charge carries to the counter, or refunds if negative.
     pub(crate) fn settle_later(&mut self, cx: &Context, account: Account, units: f64) {
         if let Some(customer) = self.customers.get_mut(account.customer) {
-            customer.quota.settle_later(cx.now, units, bucket_limits(cx, account));
+            customer
+                .quota
+                .settle_later(cx.now, units, bucket_limits(cx, account));
         }
     }
 
@@ -135,7 +153,10 @@
         if plan.rate <= 0.0 {
             return cx.class(&open.request).latency_objective_ms;
         }
-        let level = self.customers.get(open.request.customer).map_or(0.0, |customer| customer.quota.level());
+        let level = self
+            .customers
+            .get(open.request.customer)
+            .map_or(0.0, |customer| customer.quota.level());
         let missing = open.request.units.min(plan.burst) - level;
         (missing / plan.rate * RETRY_AFTER_MS_PER_REFILL_SECOND).max(0.0)
     }
@@ -146,7 +167,11 @@
             return false;
         }
         // A counter that fails is still called, less often; what is not charged now is with the next call.
-        if !self.counter.limiter.try_acquire(cx.now, CallPriority::Required) {
+        if !self
+            .counter
+            .limiter
+            .try_acquire(cx.now, CallPriority::Required)
+        {
             self.gossip.record_shortage(cx.now);
             self.settle_later(cx, open.account(), open.request.units);
             return false;
@@ -163,7 +188,8 @@
     /// Asks the counter for the customer's total now and then, while requests are rejected without a charge.
     pub(crate) fn query_total(&mut self, cx: &mut Context, open: &OpenRequest) {
         let customer = self.customers.get(open.request.customer);
-        let due = customer.is_some_and(|known| cx.now - known.last_call_at > MIN_TOTAL_QUERY_INTERVAL_MS);
+        let due =
+            customer.is_some_and(|known| cx.now - known.last_call_at > MIN_TOTAL_QUERY_INTERVAL_MS);
         if due && is_counted(cx, open) {
             self.settle_now(cx, open);
         }
@@ -171,7 +197,11 @@
 
     /// Calls the counter with the units not settled yet, if it is well.
     pub(crate) fn settle_now(&mut self, cx: &mut Context, open: &OpenRequest) {
-        if self.counter.limiter.try_acquire(cx.now, CallPriority::Optional) {
+        if self
+            .counter
+            .limiter
+            .try_acquire(cx.now, CallPriority::Optional)
+        {
             self.call_counter(cx, open, 0.0);
         }
     }
@@ -179,18 +209,38 @@
     /// Adds the units, and those not settled yet, to the customer's count.
     fn call_counter(&mut self, cx: &mut Context, open: &OpenRequest, units: f64) {
         let account = open.account();
-        let Some(customer) = self.customers.get_mut(account.customer) else { return };
-        let charge = customer.quota.charge(cx.now, units, bucket_limits(cx, account));
+        let Some(customer) = self.customers.get_mut(account.customer) else {
+            return;
+        };
+        let charge = customer
+            .quota
+            .charge(cx.now, units, bucket_limits(cx, account));
         customer.pending_calls += 1;
         customer.last_call_at = cx.now;
         let key = counter_key(account.customer, charge.window);
-        let ttl_ms = (charge.remaining_ms + MAX_KEY_TTL_MS - QUOTA_COUNT.max_window_ms).min(MAX_KEY_TTL_MS);
-        cx.actions.push(Action::AddToCounter { key, amount: charge.amount, ttl_ms });
-        self.pending_calls.push(key, CounterCall { account, request: open.request.id, charge });
+        let ttl_ms =
+            (charge.remaining_ms + MAX_KEY_TTL_MS - QUOTA_COUNT.max_window_ms).min(MAX_KEY_TTL_MS);
+        cx.actions.push(Action::AddToCounter {
+            key,
+            amount: charge.amount,
+            ttl_ms,
+        });
+        self.pending_calls.push(
+            key,
+            CounterCall {
+                account,
+                request: open.request.id,
+                charge,
+            },
+        );
     }
 
     /// The counter has answered a call, or the call has failed. Returns the request that it was made for.
-    pub(crate) fn counter_replied(&mut self, cx: &Context, reply: &CounterReply) -> Option<RequestId> {
+    pub(crate) fn counter_replied(
+        &mut self,
+        cx: &Context,
+        reply: &CounterReply,
+    ) -> Option<RequestId> {
         let call = self.pending_calls.pop(reply.key)?;
         if self.counter.record_reply(cx, reply) {
             self.gossip.record_shortage(cx.now);
@@ -201,27 +251,38 @@
 
     /// Rebuilds the customer's quota from the reply to a call.
     fn apply_reply(&mut self, cx: &Context, call: &CounterCall, reply: &CounterReply) {
-        let Some(customer) = self.customers.get_mut(call.account.customer) else { return };
+        let Some(customer) = self.customers.get_mut(call.account.customer) else {
+            return;
+        };
         let limits = bucket_limits(cx, call.account);
         customer.pending_calls = customer.pending_calls.saturating_sub(1);
         if let Some(total) = reply.valid_total() {
             customer.refill(cx.now, limits, RemoteUsage::Ignored);
-            let applied = customer.quota.apply_total(cx.now, call.charge, total, limits);
+            let applied = customer
+                .quota
+                .apply_total(cx.now, call.charge, total, limits);
             // All usage is on the count unless gateways exchange it.
             if applied && !self.gossip.is_active(cx) {
                 customer.gossip_level = customer.quota.level();
             }
         } else if reply.outcome.never_executed() {
             // A call that timed out may have been counted, and is not repeated.
-            customer.quota.settle_later(cx.now, call.charge.tokens, limits);
+            customer
+                .quota
+                .settle_later(cx.now, call.charge.tokens, limits);
         }
     }
 
     /// Subtracts what customers used at another gateway, as its message says.
     pub(crate) fn receive_gossip(&mut self, cx: &Context, from: u32, body: &[u8]) {
         for usage in self.gossip.receive(cx, from, body) {
-            let account = Account { customer: usage.customer, plan: usize::from(usage.plan) };
-            let Some(plan) = cx.settings.plans.get(account.plan) else { continue };
+            let account = Account {
+                customer: usage.customer,
+                plan: usize::from(usage.plan),
+            };
+            let Some(plan) = cx.settings.plans.get(account.plan) else {
+                continue;
+            };
             // The number of its gateways is unknown: the least share of a ceiling, as nothing is sent here.
             let customer = self.refresh(cx, account, f64::INFINITY);
             if customer.gossip_level >= usage.units {
@@ -234,18 +295,27 @@
     pub(crate) fn forget_idle(&mut self, now: Millis, settings: &Settings) {
         let refill_s = |burst: f64, rate: f64| if rate > 0.0 { burst / rate } else { 0.0 };
         let idle_ms = settings.plans.iter().map(|plan| {
-            let decay_ms = refill_s(plan.burst, plan.rate) * QUOTA_COUNT.decay_bursts * IDLE_DECAYS * 1000.0;
+            let decay_ms =
+                refill_s(plan.burst, plan.rate) * QUOTA_COUNT.decay_bursts * IDLE_DECAYS * 1000.0;
             decay_ms.max(refill_s(plan.ceiling_burst, plan.ceiling_rate) * 1000.0)
         });
         let longest_ms = idle_ms.fold(MIN_IDLE_MS, f64::max);
-        self.customers.forget_idle(|last_seen_at| now - last_seen_at >= longest_ms);
+        self.customers
+            .forget_idle(|last_seen_at| now - last_seen_at >= longest_ms);
     }
 }
 
 fn bucket_limits(cx: &Context, account: Account) -> BucketLimits {
     let plan = cx.plan(account);
-    let max_deficit = cx.settings.max_units.max(plan.burst * MAX_DEFICIT_PER_BURST);
-    BucketLimits { rate: plan.rate, burst: plan.burst, max_deficit }
+    let max_deficit = cx
+        .settings
+        .max_units
+        .max(plan.burst * MAX_DEFICIT_PER_BURST);
+    BucketLimits {
+        rate: plan.rate,
+        burst: plan.burst,
+        max_deficit,
+    }
 }
 
 /// Whether the counter holds the customer's usage.
--- a/src/policy/slow_start/tests.rs
+++ b/src/policy/slow_start/tests.rs
@@ -34,8 +34,17 @@
 fn a_start_that_lies_ahead_is_taken_for_now() {
     for ahead_ms in [1.0, 5000.0, HOUR_MS] {
         let ramp = ramp(NOW, &rules(), &entry(NOW + ahead_ms), false).expect("it is cold");
-        assert_eq!((ramp.start, ramp.duration_ms), (NOW, 15_000.0), "{ahead_ms} ms ahead");
+        assert_eq!(
+            (ramp.start, ramp.duration_ms),
+            (NOW, 15_000.0),
+            "{ahead_ms} ms ahead"
+        );
     }
-    assert_eq!(ramp(NOW, &rules(), &entry(NOW - 1000.0), false).expect("it is cold").start, NOW - 1000.0);
+    assert_eq!(
+        ramp(NOW, &rules(), &entry(NOW - 1000.0), false)
+            .expect("it is cold")
+            .start,
+        NOW - 1000.0
+    );
     assert!(ramp(NOW, &rules(), &entry(NOW - 15_000.0), false).is_none());
 }
