--- a/src/primitives/adaptive_timeout.rs
+++ b/src/primitives/adaptive_timeout.rs
@@ -24,20 +24,28 @@
 
 impl AdaptiveTimeout {
     pub(crate) fn new(parameters: &'static TimeoutParameters) -> Self {
-        AdaptiveTimeout { parameters, baseline: None }
+        AdaptiveTimeout {
+            parameters,
+            baseline: None,
+        }
     }
 
     /// The time-out where this is the caller's objective.
     pub(crate) fn timeout(&self, objective_ms: f64) -> f64 {
         let baseline_ms = self.baseline.as_ref().map_or(0.0, ExponentialMean::value);
         let timeout_ms = baseline_ms * self.parameters.multiple;
-        timeout_ms.clamp(objective_ms * self.parameters.min_share, objective_ms * self.parameters.max_share)
+        timeout_ms.clamp(
+            objective_ms * self.parameters.min_share,
+            objective_ms * self.parameters.max_share,
+        )
     }
 
     /// A reply took this long.
     pub(crate) fn record_reply(&mut self, elapsed_ms: f64) {
         let gain = self.parameters.gain;
-        let baseline = self.baseline.get_or_insert_with(|| ExponentialMean::new(elapsed_ms, gain));
+        let baseline = self
+            .baseline
+            .get_or_insert_with(|| ExponentialMean::new(elapsed_ms, gain));
         // A single slow reply must not move it far.
         let capped = elapsed_ms.min(baseline.value() * self.parameters.multiple);
         baseline.update(capped);
--- a/src/primitives/adaptive_timeout/tests.rs
+++ b/src/primitives/adaptive_timeout/tests.rs
@@ -1,7 +1,11 @@
 use super::*;
 
-const PARAMETERS: TimeoutParameters =
-    TimeoutParameters { multiple: 3.0, min_share: 0.1, max_share: 0.5, gain: 0.05 };
+const PARAMETERS: TimeoutParameters = TimeoutParameters {
+    multiple: 3.0,
+    min_share: 0.1,
+    max_share: 0.5,
+    gain: 0.05,
+};
 
 #[test]
 fn without_replies_it_is_the_shortest() {
--- a/src/primitives/decay.rs
+++ b/src/primitives/decay.rs
@@ -13,7 +13,10 @@
 
 impl DecayingRatio {
     pub(crate) fn new(now: f64) -> Self {
-        DecayingRatio { value: 1.0, updated_at: now }
+        DecayingRatio {
+            value: 1.0,
+            updated_at: now,
+        }
     }
 
     pub(crate) fn current(&self, now: f64, time_constant_ms: f64) -> f64 {
--- a/src/primitives/ejection.rs
+++ b/src/primitives/ejection.rs
@@ -38,10 +38,16 @@
         *self = Ejection::default();
     }
 
-    pub(crate) fn record_failure(&mut self, now: f64, parameters: &EjectionParameters, rng: &mut Rng) {
+    pub(crate) fn record_failure(
+        &mut self,
+        now: f64,
+        parameters: &EjectionParameters,
+        rng: &mut Rng,
+    ) {
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         if self.consecutive_failures >= parameters.failures {
-            let doublings = (self.consecutive_failures - parameters.failures).min(parameters.max_doublings);
+            let doublings =
+                (self.consecutive_failures - parameters.failures).min(parameters.max_doublings);
             let ejection_ms = parameters.base_ms * f64::from(1u32 << doublings);
             self.is_ejected = true;
             self.until = now + ejection_ms * (1.0 + parameters.jitter * rng.f64());
--- a/src/primitives/ejection/tests.rs
+++ b/src/primitives/ejection/tests.rs
@@ -1,7 +1,11 @@
 use super::*;
 
-const PARAMETERS: EjectionParameters =
-    EjectionParameters { failures: 2, base_ms: 100.0, max_doublings: 2, jitter: 0.0 };
+const PARAMETERS: EjectionParameters = EjectionParameters {
+    failures: 2,
+    base_ms: 100.0,
+    max_doublings: 2,
+    jitter: 0.0,
+};
 
 fn after_failures(count: u32) -> Ejection {
     let mut ejection = Ejection::default();
@@ -23,7 +27,10 @@
 fn the_ejection_time_doubles_up_to_a_limit() {
     for (failures, ejection_ms) in [(2, 100.0), (3, 200.0), (4, 400.0), (5, 400.0), (100, 400.0)] {
         let ejection = after_failures(failures);
-        assert!(!ejection.admits(ejection_ms - 1.0, true), "{failures} failures");
+        assert!(
+            !ejection.admits(ejection_ms - 1.0, true),
+            "{failures} failures"
+        );
         assert!(ejection.admits(ejection_ms, true), "{failures} failures");
     }
 }
--- a/src/primitives/load_estimate/tests.rs
+++ b/src/primitives/load_estimate/tests.rs
@@ -35,7 +35,10 @@
 fn under_steady_load_it_is_near_the_latency() {
     for latency_ms in [50.0, 400.0] {
         let expected_ms = under_steady_load(latency_ms).expected_latency(50.0, 500.0);
-        assert!((expected_ms - latency_ms).abs() < latency_ms * 0.1, "{expected_ms} for {latency_ms}");
+        assert!(
+            (expected_ms - latency_ms).abs() < latency_ms * 0.1,
+            "{expected_ms} for {latency_ms}"
+        );
     }
 }
 
--- a/src/primitives/mean.rs
+++ b/src/primitives/mean.rs
@@ -11,7 +11,10 @@
 impl ExponentialMean {
     /// A mean that stands at `initial`; each sample moves it by the share `gain` of the difference.
     pub(crate) fn new(initial: f64, gain: f64) -> Self {
-        ExponentialMean { value: initial, gain }
+        ExponentialMean {
+            value: initial,
+            gain,
+        }
     }
 
     pub(crate) fn update(&mut self, sample: f64) {
@@ -33,7 +36,10 @@
 impl RunningMean {
     /// `initial` stands in until the first sample.
     pub(crate) fn new(initial: f64) -> Self {
-        RunningMean { value: initial, samples: 0.0 }
+        RunningMean {
+            value: initial,
+            samples: 0.0,
+        }
     }
 
     pub(crate) fn value(&self) -> f64 {
@@ -57,7 +63,11 @@
 impl TimeAverage {
     /// An average of 0; after `time_constant_ms` a past value counts 1/e.
     pub(crate) fn new(now: f64, time_constant_ms: f64) -> Self {
-        TimeAverage { value: 0.0, updated_at: now, time_constant_ms }
+        TimeAverage {
+            value: 0.0,
+            updated_at: now,
+            time_constant_ms,
+        }
     }
 
     /// The quantity has had the value `current` since the last update.
@@ -82,7 +92,11 @@
 impl EventRate {
     /// A rate of 0; after `time_constant_ms` an event counts 1/e.
     pub(crate) fn new(now: f64, time_constant_ms: f64) -> Self {
-        EventRate { per_second: 0.0, updated_at: now, time_constant_ms }
+        EventRate {
+            per_second: 0.0,
+            updated_at: now,
+            time_constant_ms,
+        }
     }
 
     /// `events` have happened now; 0 lets the rate decay.
--- a/src/primitives/mean/tests.rs
+++ b/src/primitives/mean/tests.rs
@@ -26,9 +26,17 @@
     for event in 1..=1000 {
         rate.record(f64::from(event) * 20.0, 1.0);
     }
-    assert!((rate.per_second() - 50.0).abs() < 1.0, "{}", rate.per_second());
+    assert!(
+        (rate.per_second() - 50.0).abs() < 1.0,
+        "{}",
+        rate.per_second()
+    );
     rate.record(21_000.0, 0.0);
-    assert!((rate.per_second() - 50.0 / std::f64::consts::E).abs() < 1.0, "{}", rate.per_second());
+    assert!(
+        (rate.per_second() - 50.0 / std::f64::consts::E).abs() < 1.0,
+        "{}",
+        rate.per_second()
+    );
 }
 
 #[test]
@@ -64,5 +72,9 @@
     for event in 0..10_000 {
         rate.record(f64::from(event) * 10.0, 1.0);
     }
-    assert!((rate.per_second() - 100.0).abs() < 1.0, "{}", rate.per_second());
+    assert!(
+        (rate.per_second() - 100.0).abs() < 1.0,
+        "{}",
+        rate.per_second()
+    );
 }
--- a/src/primitives/ramp.rs
+++ b/src/primitives/ramp.rs
@@ -31,7 +31,11 @@
 impl WarmUp {
     /// Without a ramp the server is warm.
     pub(crate) fn new(ramp: Option<LinearRamp>, tokens: f64, now: f64) -> Self {
-        WarmUp { ramp: ramp.map(Box::new), tokens, refilled_at: now }
+        WarmUp {
+            ramp: ramp.map(Box::new),
+            tokens,
+            refilled_at: now,
+        }
     }
 
     /// Whether the server had a ramp, though it may have come to its end.
--- a/src/primitives/ramp/tests.rs
+++ b/src/primitives/ramp/tests.rs
@@ -1,7 +1,11 @@
 use super::*;
 
 fn warm_up(tokens: f64) -> WarmUp {
-    let ramp = LinearRamp { start: 1000.0, duration_ms: 100.0, initial_share: 0.2 };
+    let ramp = LinearRamp {
+        start: 1000.0,
+        duration_ms: 100.0,
+        initial_share: 0.2,
+    };
     WarmUp::new(Some(ramp), tokens, 1000.0)
 }
 
--- a/src/primitives/ring.rs
+++ b/src/primitives/ring.rs
@@ -36,7 +36,11 @@
 impl RingArc {
     /// An arc of no length.
     pub(crate) fn new(start: u64, min_per_zone: usize) -> Self {
-        RingArc { start, min_per_zone, ..RingArc::default() }
+        RingArc {
+            start,
+            min_per_zone,
+            ..RingArc::default()
+        }
     }
 
     /// Number of nodes on all rings.
@@ -70,7 +74,9 @@
 
     fn remove(&mut self, node: Node) {
         let position = position_of_key(node.key);
-        let Some(ring) = self.zones.get_mut(&node.zone) else { return };
+        let Some(ring) = self.zones.get_mut(&node.zone) else {
+            return;
+        };
         if ring.remove(&(position, node.id)) {
             self.node_count -= 1;
             let zone_len = ring.len();
@@ -140,7 +146,10 @@
     // A step without a common divisor visits each position once.
     let ideal_step = ((count as f64 * GOLDEN_RATIO) as u64).max(1);
     let candidates = ideal_step..=ideal_step + count;
-    let step = candidates.into_iter().find(|step| greatest_common_divisor(*step, count) == 1).unwrap_or(1);
+    let step = candidates
+        .into_iter()
+        .find(|step| greatest_common_divisor(*step, count) == 1)
+        .unwrap_or(1);
     arc_length((u64::from(index) * step % count) as f64 / count as f64)
 }
 
--- a/src/primitives/ring/tests.rs
+++ b/src/primitives/ring/tests.rs
@@ -1,7 +1,11 @@
 use super::*;
 
 fn node(id: NodeId) -> Node {
-    Node { id, zone: id % 4, key: u64::from(id) }
+    Node {
+        id,
+        zone: id % 4,
+        key: u64::from(id),
+    }
 }
 
 fn arc_of(nodes: NodeId, share: f64) -> RingArc {
@@ -24,7 +28,11 @@
 #[test]
 fn an_arc_has_about_its_share_of_the_nodes_and_the_least_number_of_each_zone() {
     let quarter = arc_of(1000, 0.25);
-    assert!((200..=300).contains(&quarter.members().len()), "{}", quarter.members().len());
+    assert!(
+        (200..=300).contains(&quarter.members().len()),
+        "{}",
+        quarter.members().len()
+    );
     let empty = arc_of(1000, 0.0);
     assert_eq!(empty.members().len(), 4 * 2);
 }
@@ -57,7 +65,9 @@
 #[test]
 fn each_process_has_a_position_of_its_own() {
     for count in [1, 2, 3, 10, 90, 720] {
-        let mut positions: Vec<_> = (0..count).map(|index| evenly_spaced_position(index, count)).collect();
+        let mut positions: Vec<_> = (0..count)
+            .map(|index| evenly_spaced_position(index, count))
+            .collect();
         positions.sort_unstable();
         positions.dedup();
         assert_eq!(positions.len(), count as usize);
--- a/src/primitives/shared_bucket.rs
+++ b/src/primitives/shared_bucket.rs
@@ -82,7 +82,12 @@
 
 impl SharedBucket {
     /// A full bucket that was not counted before.
-    pub(crate) fn new(parameters: &'static SharedBucketParameters, key: u64, now: f64, burst: f64) -> Self {
+    pub(crate) fn new(
+        parameters: &'static SharedBucketParameters,
+        key: u64,
+        now: f64,
+        burst: f64,
+    ) -> Self {
         SharedBucket {
             parameters,
             key,
@@ -117,7 +122,12 @@
 
     /// Adds the tokens that came in since the last refill; that time in seconds. The level is not capped
     /// before the next total is known: usage in the gap may have come before the refill.
-    pub(crate) fn refill(&mut self, now: f64, limits: BucketLimits, remote_usage: RemoteUsage) -> f64 {
+    pub(crate) fn refill(
+        &mut self,
+        now: f64,
+        limits: BucketLimits,
+        remote_usage: RemoteUsage,
+    ) -> f64 {
         let elapsed_s = (now - self.refilled_at).max(0.0) / 1000.0;
         self.level += elapsed_s * limits.rate;
         if remote_usage == RemoteUsage::Projected && self.last_total.is_some() {
@@ -153,7 +163,12 @@
         let unsettled = self.unsettled * self.remaining_share(now - self.unsettled_at, limits);
         let amount = (tokens + unsettled) * self.remaining_share(window.remaining_ms, limits);
         self.unsettled = 0.0;
-        Charge { window: window.number, remaining_ms: window.remaining_ms, amount, tokens }
+        Charge {
+            window: window.number,
+            remaining_ms: window.remaining_ms,
+            amount,
+            tokens,
+        }
     }
 
     /// Starts to count in a new window. Usage at the end of the old one went unseen: the other parties are
@@ -175,7 +190,13 @@
 
     /// Rebuilds the level from the total after a charge: what it rose by beyond the charge, the other parties
     /// used. Whether the charge was in the present window; the totals of earlier ones tell nothing.
-    pub(crate) fn apply_total(&mut self, now: f64, charge: Charge, total: f64, limits: BucketLimits) -> bool {
+    pub(crate) fn apply_total(
+        &mut self,
+        now: f64,
+        charge: Charge,
+        total: f64,
+        limits: BucketLimits,
+    ) -> bool {
         let window = self.window_at(now, limits);
         if window.number != charge.window {
             return false;
@@ -183,7 +204,8 @@
         let since_start_ms = now - window.start;
         // The weight of a usage of now in the count.
         let weight = self.remaining_share(self.window_length_ms(limits) - since_start_ms, limits);
-        let usage = total / weight + self.carried_over * self.remaining_share(since_start_ms, limits);
+        let usage =
+            total / weight + self.carried_over * self.remaining_share(since_start_ms, limits);
         self.local_contribution += charge.amount;
         // The level as the count alone tells it to a party that has not called for long.
         let level_by_count = limits.burst * self.parameters.decay_bursts - (usage - charge.tokens);
@@ -204,8 +226,8 @@
                 // The longer ago the last total, the more the count alone tells.
                 let least_level = limits.burst - (usage - charge.tokens);
                 let count_weight = (1.0 - kept).powi(2);
-                self.level =
-                    (1.0 - count_weight) * self.level.max(least_level) + count_weight * level_by_count;
+                self.level = (1.0 - count_weight) * self.level.max(least_level)
+                    + count_weight * level_by_count;
                 self.update_remote_rate(remote_usage, elapsed_ms);
             }
         }
@@ -224,13 +246,16 @@
 
     /// The share of a usage that still counts after `elapsed_ms`.
     fn remaining_share(&self, elapsed_ms: f64, limits: BucketLimits) -> f64 {
-        (-elapsed_ms.max(0.0) * limits.rate / (self.parameters.decay_bursts * limits.burst * 1000.0)).exp()
+        (-elapsed_ms.max(0.0) * limits.rate
+            / (self.parameters.decay_bursts * limits.burst * 1000.0))
+            .exp()
     }
 
     fn window_length_ms(&self, limits: BucketLimits) -> f64 {
         let parameters = self.parameters;
-        let length_ms =
-            parameters.window_decays * parameters.decay_bursts * limits.burst / limits.rate * 1000.0;
+        let length_ms = parameters.window_decays * parameters.decay_bursts * limits.burst
+            / limits.rate
+            * 1000.0;
         length_ms.clamp(parameters.min_window_ms, parameters.max_window_ms)
     }
 
--- a/src/primitives/shared_bucket/tests.rs
+++ b/src/primitives/shared_bucket/tests.rs
@@ -10,7 +10,11 @@
     remote_rate_ms: 2000.0,
     projection_ms: 10_000.0,
 };
-const LIMITS: BucketLimits = BucketLimits { rate: 2.0, burst: 10.0, max_deficit: 4.0 };
+const LIMITS: BucketLimits = BucketLimits {
+    rate: 2.0,
+    burst: 10.0,
+    max_deficit: 4.0,
+};
 /// A time in the middle of a window of the key 0.
 const START: f64 = 25_000.0;
 
@@ -31,7 +35,11 @@
     use_tokens(&mut first, &mut total, START, 6.0);
     use_tokens(&mut second, &mut total, START, 1.0);
     // The limit of the count is 1.25 times the burst.
-    assert!((second.level() - (12.5 - 7.0)).abs() < 1e-6, "{}", second.level());
+    assert!(
+        (second.level() - (12.5 - 7.0)).abs() < 1e-6,
+        "{}",
+        second.level()
+    );
 }
 
 #[test]
@@ -42,7 +50,11 @@
     use_tokens(&mut first, &mut total, START, 0.0);
     use_tokens(&mut second, &mut total, START + 500.0, 3.0);
     use_tokens(&mut first, &mut total, START + 1000.0, 0.0);
-    assert!(first.level() > 8.0 && first.level() < 10.0, "{}", first.level());
+    assert!(
+        first.level() > 8.0 && first.level() < 10.0,
+        "{}",
+        first.level()
+    );
     assert!(first.remote_rate() > 0.5, "{}", first.remote_rate());
 }
 
@@ -82,8 +94,15 @@
     use_tokens(&mut projected, &mut total, START + 1000.0, 0.0);
     let level = projected.level();
     projected.refill(START + 2000.0, LIMITS, RemoteUsage::Projected);
-    assert!(projected.level() < level + LIMITS.rate, "the others are taken to go on");
+    assert!(
+        projected.level() < level + LIMITS.rate,
+        "the others are taken to go on"
+    );
     // They did not.
     use_tokens(&mut projected, &mut total, START + 2000.0, 0.0);
-    assert!((projected.level() - level - LIMITS.rate).abs() < 0.2, "{} {level}", projected.level());
+    assert!(
+        (projected.level() - level - LIMITS.rate).abs() < 0.2,
+        "{} {level}",
+        projected.level()
+    );
 }
--- a/src/primitives/window.rs
+++ b/src/primitives/window.rs
@@ -21,6 +21,10 @@
         let offset = hash as f64 / (1u64 << OFFSET_BITS) as f64;
         let position = now / length_ms + offset;
         let remaining_ms = (position.floor() + 1.0 - position) * length_ms;
-        Window { number: position.max(0.0) as u64, start: now - length_ms + remaining_ms, remaining_ms }
+        Window {
+            number: position.max(0.0) as u64,
+            start: now - length_ms + remaining_ms,
+            remaining_ms,
+        }
     }
 }
--- a/src/state/connections.rs
+++ b/src/state/connections.rs
@@ -16,7 +16,12 @@
 impl ConnectionEstimate {
     pub(crate) fn new(limits: &Limits, usable_idle_ms: f64, now: Millis) -> Self {
         let attempts_per_connection = limits.requests_per_connection.max(1);
-        ConnectionEstimate { usable_idle_ms, attempts_per_connection, open: 0, used_at: now }
+        ConnectionEstimate {
+            usable_idle_ms,
+            attempts_per_connection,
+            open: 0,
+            used_at: now,
+        }
     }
 
     /// Whether the connections were used recently enough to be open still.
@@ -32,7 +37,11 @@
     /// An attempt has been sent; `in_flight` includes it.
     pub(crate) fn attempt_started(&mut self, now: Millis, in_flight: u32) {
         let needed = in_flight.div_ceil(self.attempts_per_connection);
-        self.open = if self.are_usable(now) { self.open.max(needed) } else { needed };
+        self.open = if self.are_usable(now) {
+            self.open.max(needed)
+        } else {
+            needed
+        };
     }
 
     pub(crate) fn attempt_ended(&mut self, now: Millis, outcome: Outcome) {
--- a/src/state/connections/tests.rs
+++ b/src/state/connections/tests.rs
@@ -3,7 +3,14 @@
 const IDLE_MS: f64 = 100.0;
 
 fn connections(requests_per_connection: u32) -> ConnectionEstimate {
-    ConnectionEstimate::new(&Limits { requests_per_connection, ..Limits::default() }, IDLE_MS, 0.0)
+    ConnectionEstimate::new(
+        &Limits {
+            requests_per_connection,
+            ..Limits::default()
+        },
+        IDLE_MS,
+        0.0,
+    )
 }
 
 #[test]
@@ -29,7 +36,12 @@
 
 #[test]
 fn a_connection_that_carries_one_attempt_is_closed_with_it() {
-    for outcome in [Outcome::Timeout, Outcome::ConnectionReset, Outcome::Cancelled, Outcome::ConnectFailed] {
+    for outcome in [
+        Outcome::Timeout,
+        Outcome::ConnectionReset,
+        Outcome::Cancelled,
+        Outcome::ConnectFailed,
+    ] {
         let mut connections = connections(1);
         connections.attempt_started(0.0, 1);
         connections.attempt_ended(10.0, outcome);
--- a/src/state/context.rs
+++ b/src/state/context.rs
@@ -24,6 +24,9 @@
     }
 
     pub(crate) fn set_timer(&mut self, timer: Timer, after_ms: Millis) {
-        self.actions.push(Action::SetTimer { token: timer.token(), after_ms });
+        self.actions.push(Action::SetTimer {
+            token: timer.token(),
+            after_ms,
+        });
     }
 }
--- a/src/state/counter_call.rs
+++ b/src/state/counter_call.rs
@@ -15,7 +15,10 @@
 impl Account {
     /// The account that a request is charged to.
     pub(crate) fn of(request: &Request) -> Self {
-        Account { customer: request.customer, plan: request.plan as usize }
+        Account {
+            customer: request.customer,
+            plan: request.plan as usize,
+        }
     }
 }
 
--- a/src/state/customer.rs
+++ b/src/state/customer.rs
@@ -40,7 +40,12 @@
     }
 
     /// Refills the levels up to now; the time since they were last refilled, in s.
-    pub(crate) fn refill(&mut self, now: Millis, limits: BucketLimits, remote_usage: RemoteUsage) -> f64 {
+    pub(crate) fn refill(
+        &mut self,
+        now: Millis,
+        limits: BucketLimits,
+        remote_usage: RemoteUsage,
+    ) -> f64 {
         let elapsed_s = self.quota.refill(now, limits, remote_usage);
         self.gossip_level = (self.gossip_level + elapsed_s * limits.rate).min(limits.burst);
         elapsed_s
@@ -100,12 +105,15 @@
 
     /// Whether this gateway's share of the hard ceiling has the request's units left.
     pub(crate) fn fits_ceiling(&self, request: &Request) -> bool {
-        self.get(request.customer).is_some_and(|customer| customer.ceiling.has(request.units))
+        self.get(request.customer)
+            .is_some_and(|customer| customer.ceiling.has(request.units))
     }
 
     /// An attempt is sent; the first one of a request counts against the hard ceiling.
     pub(crate) fn attempt_started(&mut self, request: &Request, first: bool) {
-        let Some(customer) = self.get_mut(request.customer) else { return };
+        let Some(customer) = self.get_mut(request.customer) else {
+            return;
+        };
         customer.in_flight += 1;
         if first {
             customer.ceiling.take(request.units);
@@ -136,7 +144,8 @@
 
     /// Forgets the idle customers whose time of last sight counts as expired.
     pub(crate) fn forget_idle(&mut self, is_expired: impl Fn(Millis) -> bool) {
-        self.0.retain(|_, customer| !customer.is_idle() || !is_expired(customer.last_seen_at));
+        self.0
+            .retain(|_, customer| !customer.is_idle() || !is_expired(customer.last_seen_at));
     }
 
     /// Forgets the half of the idle customers that were not seen for longest.
--- a/src/state/customer/tests.rs
+++ b/src/state/customer/tests.rs
@@ -2,7 +2,11 @@
 use crate::primitives::shared_bucket::tests::PARAMETERS;
 
 fn customer(id: CustomerId, now: Millis) -> Customer {
-    Customer::new(now, SharedBucket::new(&PARAMETERS, id, now, 10.0), TokenBucket::new(0.0))
+    Customer::new(
+        now,
+        SharedBucket::new(&PARAMETERS, id, now, 10.0),
+        TokenBucket::new(0.0),
+    )
 }
 
 #[test]
@@ -13,7 +17,11 @@
     }
     customers.get_mut(0).unwrap().in_flight = 1;
     customers.get_or_insert_with(u64::MAX, || customer(u64::MAX, 1e9));
-    assert!(customers.len() <= MAX_CUSTOMERS / 2 + 2, "{}", customers.len());
+    assert!(
+        customers.len() <= MAX_CUSTOMERS / 2 + 2,
+        "{}",
+        customers.len()
+    );
     assert!(customers.get(0).is_some(), "it is not idle");
     assert!(customers.get(1).is_none());
     assert!(customers.get(MAX_CUSTOMERS as u64 - 1).is_some());
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -50,7 +50,12 @@
 
     /// Its place among the ready endpoints.
     pub(crate) fn ring_node(&self) -> Option<Node> {
-        let Endpoint { id, zone, hash_key: key, .. } = self.endpoint;
+        let Endpoint {
+            id,
+            zone,
+            hash_key: key,
+            ..
+        } = self.endpoint;
         self.is_ready().then_some(Node { id, zone, key })
     }
 
@@ -113,7 +118,9 @@
     }
 
     pub(crate) fn is_rejecting(&self, now: Millis, plan: usize) -> bool {
-        self.rejecting_until.get(plan).is_some_and(|until| now < *until)
+        self.rejecting_until
+            .get(plan)
+            .is_some_and(|until| now < *until)
     }
 
     pub(crate) fn is_rejecting_any(&self, now: Millis) -> bool {
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -14,7 +14,9 @@
 
 pub(crate) use connections::ConnectionEstimate;
 pub(crate) use context::Context;
-pub(crate) use counter_call::{counter_key, Account, CounterCall, CounterReply, PendingCounterCalls};
+pub(crate) use counter_call::{
+    counter_key, Account, CounterCall, CounterReply, PendingCounterCalls,
+};
 pub(crate) use customer::{Customer, Customers};
 pub(crate) use endpoint::{EndpointHealth, TrackedEndpoint};
 pub(crate) use endpoint_table::EndpointTable;
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -81,7 +81,9 @@
     /// The numbers of the attempts in flight.
     pub(crate) fn attempts_in_flight(&self) -> impl Iterator<Item = u8> + '_ {
         let numbered = (0..=u8::MAX).zip(&self.attempts);
-        numbered.filter(|(_, attempt)| attempt.in_flight).map(|(number, _)| number)
+        numbered
+            .filter(|(_, attempt)| attempt.in_flight)
+            .map(|(number, _)| number)
     }
 
     /// Whether nothing more is to be sent, answered or awaited.
@@ -101,7 +103,10 @@
             return None;
         }
         if !ended.outcome.never_executed() && self.first_execution.is_none() {
-            let first = FirstExecution { started_at: attempt.started_at, endpoint: attempt.endpoint };
+            let first = FirstExecution {
+                started_at: attempt.started_at,
+                endpoint: attempt.endpoint,
+            };
             self.first_execution = Some(first);
         }
         if ended.outcome != Outcome::NotSent {
@@ -129,7 +134,9 @@
 
     /// Changes a request, if it is there, and forgets it once it has ended.
     pub(crate) fn update(&mut self, id: RequestId, change: impl FnOnce(&mut OpenRequest)) {
-        let Some(open) = self.0.get_mut(&id) else { return };
+        let Some(open) = self.0.get_mut(&id) else {
+            return;
+        };
         change(open);
         if open.has_ended() {
             self.0.remove(&id);
--- a/src/state/request/tests.rs
+++ b/src/state/request/tests.rs
@@ -15,14 +15,26 @@
 }
 
 fn open(request: Request) -> Option<OpenRequest> {
-    let classes = vec![Class { latency_objective_ms: 500.0, ..Class::default() }];
-    let settings = Settings { classes, plans: vec![Plan::default()], ..Settings::default() };
+    let classes = vec![Class {
+        latency_objective_ms: 500.0,
+        ..Class::default()
+    }];
+    let settings = Settings {
+        classes,
+        plans: vec![Plan::default()],
+        ..Settings::default()
+    };
     OpenRequest::new(request, &settings, 1000.0)
 }
 
 fn with_attempt() -> OpenRequest {
     let mut open = open(request(1)).unwrap();
-    open.attempts.push(Attempt { endpoint: 7, started_at: 1000.0, endpoint_in_flight: 1.0, in_flight: true });
+    open.attempts.push(Attempt {
+        endpoint: 7,
+        started_at: 1000.0,
+        endpoint_in_flight: 1.0,
+        in_flight: true,
+    });
     open
 }
 
@@ -42,11 +54,35 @@
 #[test]
 fn a_request_is_opened_only_if_its_class_and_plan_are_known_and_time_is_left() {
     let opened = open(request(1)).unwrap();
-    assert_eq!((opened.deadline, opened.objective_deadline), (1300.0, 1300.0));
-    assert!(open(Request { class: 1, ..request(1) }).is_none());
-    assert!(open(Request { plan: 1, ..request(1) }).is_none());
-    assert!(open(Request { timeout_ms: f64::NAN, ..request(1) }).is_none());
-    assert_eq!(open(Request { units: f64::INFINITY, ..request(1) }).unwrap().request.units, 0.0);
+    assert_eq!(
+        (opened.deadline, opened.objective_deadline),
+        (1300.0, 1300.0)
+    );
+    assert!(open(Request {
+        class: 1,
+        ..request(1)
+    })
+    .is_none());
+    assert!(open(Request {
+        plan: 1,
+        ..request(1)
+    })
+    .is_none());
+    assert!(open(Request {
+        timeout_ms: f64::NAN,
+        ..request(1)
+    })
+    .is_none());
+    assert_eq!(
+        open(Request {
+            units: f64::INFINITY,
+            ..request(1)
+        })
+        .unwrap()
+        .request
+        .units,
+        0.0
+    );
 }
 
 #[test]
@@ -54,7 +90,12 @@
     let mut open = with_attempt();
     assert!(open.end_attempt(&ended(Outcome::Timeout)).is_some());
     assert!(open.end_attempt(&ended(Outcome::Timeout)).is_none());
-    assert!(open.end_attempt(&AttemptEnd { attempt: 9, ..ended(Outcome::Timeout) }).is_none());
+    assert!(open
+        .end_attempt(&AttemptEnd {
+            attempt: 9,
+            ..ended(Outcome::Timeout)
+        })
+        .is_none());
     assert_eq!(open.first_execution.map(|first| first.endpoint), Some(7));
 }
 
--- a/src/state/timer/tests.rs
+++ b/src/state/timer/tests.rs
@@ -2,7 +2,12 @@
 
 #[test]
 fn a_token_gives_back_its_timer() {
-    for timer in [Timer::Housekeeping, Timer::CounterWait(0), Timer::CounterWait(99), Timer::Gossip] {
+    for timer in [
+        Timer::Housekeeping,
+        Timer::CounterWait(0),
+        Timer::CounterWait(99),
+        Timer::Gossip,
+    ] {
         assert_eq!(Timer::from_token(timer.token()), timer);
     }
 }
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -64,7 +64,10 @@
     let error = String::from_utf8(output.stderr).expect("text");
     assert!(!output.status.success(), "{error}");
     assert_eq!(error.lines().count(), 1, "{error}");
-    assert!(error.contains(words) && !error.contains("panicked"), "{error}");
+    assert!(
+        error.contains(words) && !error.contains("panicked"),
+        "{error}"
+    );
 }
 
 const SETTINGS: &str = "balancers=2\nposition=0\nlocality=0\nzones=a,b\ngranularity-ms=2\ncategories.count=1\n\
@@ -139,7 +142,11 @@
 fn a_request_is_sent_to_a_listed_endpoint() {
     let events = batch(&[define_list(), fleet(), incoming(42)], &list_entry(77));
     let output = run(&[provision(SETTINGS), events].concat());
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     let second_reply = &output.stdout[EMPTY_REPLY_BYTES..];
     let mut actions = second_reply[EMPTY_REPLY_BYTES..].chunks_exact(ACTION_BYTES);
     let issue = actions.find(|record| record[0] == ISSUE).expect("an ISSUE");
@@ -167,10 +174,16 @@
 
 #[test]
 fn bad_settings_are_reported_by_name() {
-    assert_fails_with(&provision(&SETTINGS.replace("balancers=2\n", "")), "setting balancers is missing");
+    assert_fails_with(
+        &provision(&SETTINGS.replace("balancers=2\n", "")),
+        "setting balancers is missing",
+    );
     assert_fails_with(
         &provision(&SETTINGS.replace("refill=2", "refill=many")),
         "setting tiers-of-service.0.refill",
     );
-    assert_fails_with(&provision(&SETTINGS.replace("read_like", "maybe")), "setting categories.0.effect");
+    assert_fails_with(
+        &provision(&SETTINGS.replace("read_like", "maybe")),
+        "setting categories.0.effect",
+    );
 }
--- a/tests/common.rs
+++ b/tests/common.rs
@@ -18,11 +18,18 @@
         idempotency,
         ..Class::default()
     };
-    let keyed = Idempotency::WithKey { scope: KeyScope::Zone, window_ms: 1500.0 };
+    let keyed = Idempotency::WithKey {
+        scope: KeyScope::Zone,
+        window_ms: 1500.0,
+    };
     Settings {
         gateway_count: 2,
         tick_ms: 1.0,
-        classes: vec![class(Idempotency::Idempotent), class(keyed), class(Idempotency::NotIdempotent)],
+        classes: vec![
+            class(Idempotency::Idempotent),
+            class(keyed),
+            class(Idempotency::NotIdempotent),
+        ],
         plans: vec![Plan {
             rate: 2.0,
             burst: 10.0,
@@ -30,7 +37,10 @@
             over_quota_cost: 1.0,
             ..Plan::default()
         }],
-        counter: Some(CounterSettings { timeout_ms: 80.0, call_price: 0.01 }),
+        counter: Some(CounterSettings {
+            timeout_ms: 80.0,
+            call_price: 0.01,
+        }),
         max_units: 4.0,
         settles_units: true,
         limits: Limits {
@@ -54,13 +64,25 @@
 }
 
 pub fn endpoint_entry(id: u32, zone: u32, state: EndpointState) -> Endpoint {
-    Endpoint { id, hash_key: id.into(), zone, kind: 0, cell: 0, state, weight: 1.0, started_at: 0.0 }
+    Endpoint {
+        id,
+        hash_key: id.into(),
+        zone,
+        kind: 0,
+        cell: 0,
+        state,
+        weight: 1.0,
+        started_at: 0.0,
+    }
 }
 
 impl TestGateway {
     /// A gateway that knows no endpoints yet.
     pub fn without_endpoints(settings: Settings, seed: u64, now: f64) -> TestGateway {
-        TestGateway { gateway: Gateway::new(settings, seed, now), now }
+        TestGateway {
+            gateway: Gateway::new(settings, seed, now),
+            now,
+        }
     }
 
     /// A gateway with three endpoints, 1 and 2 in zone 0, 3 in zone 1.
@@ -69,7 +91,10 @@
         let entries = [(1, 0), (2, 0), (3, 1)]
             .map(|(id, zone)| endpoint_entry(id, zone, EndpointState::Ready))
             .to_vec();
-        gateway.handle(Event::EndpointUpdate { complete: true, endpoints: entries });
+        gateway.handle(Event::EndpointUpdate {
+            complete: true,
+            endpoints: entries,
+        });
         gateway
     }
 
@@ -94,7 +119,12 @@
     }
 
     pub fn counter_reply(&mut self, key: u64, outcome: Outcome, total: f64) -> Vec<Action> {
-        self.handle(Event::CounterReply { key, outcome, total, elapsed_ms: 2.0 })
+        self.handle(Event::CounterReply {
+            key,
+            outcome,
+            total,
+            elapsed_ms: 2.0,
+        })
     }
 
     pub fn attempt_ended(
@@ -167,7 +197,11 @@
 
 impl SharedCounter {
     /// Answers the calls among the actions, and the calls that follow from the answers; returns all actions.
-    pub fn answer_calls(&mut self, gateway: &mut TestGateway, mut actions: Vec<Action>) -> Vec<Action> {
+    pub fn answer_calls(
+        &mut self,
+        gateway: &mut TestGateway,
+        mut actions: Vec<Action>,
+    ) -> Vec<Action> {
         let mut answered = 0;
         while answered < actions.len() {
             if let Action::AddToCounter { key, amount, .. } = actions[answered] {
--- a/tests/example_config.rs
+++ b/tests/example_config.rs
@@ -18,13 +18,20 @@
 #[test]
 fn the_example_configuration_starts_a_gateway() {
     let on_any_port = EXAMPLE.replace("127.0.0.1:9000", "127.0.0.1:0");
-    let path = std::env::temp_dir().join(format!("quota-gateway-example-{}.json", std::process::id()));
+    let path =
+        std::env::temp_dir().join(format!("quota-gateway-example-{}.json", std::process::id()));
     std::fs::write(&path, on_any_port).expect("the temporary folder can be written to");
     let program = env!("CARGO_BIN_EXE_quota-gateway");
-    let child = Command::new(program).env("RELAY_CONFIG", &path).stderr(Stdio::piped()).spawn();
+    let child = Command::new(program)
+        .env("RELAY_CONFIG", &path)
+        .stderr(Stdio::piped())
+        .spawn();
     let mut gateway = Gateway(child.expect("the gateway's program starts"));
     let log = BufReader::new(gateway.0.stderr.take().expect("its log is piped"));
-    let listens = log.lines().map_while(Result::ok).any(|line| line.contains("listening on "));
+    let listens = log
+        .lines()
+        .map_while(Result::ok)
+        .any(|line| line.contains("listening on "));
     std::fs::remove_file(&path).expect("the configuration was written");
     assert!(listens);
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -9,8 +9,14 @@
 use std::collections::BTreeMap;
 
 fn gateway_at(settings: &Settings, index: u32, now: f64) -> TestGateway {
-    let settings = Settings { gateway_index: index, ..settings.clone() };
-    TestGateway { gateway: Gateway::new(settings, u64::from(index) * 7919 + 1, now), now }
+    let settings = Settings {
+        gateway_index: index,
+        ..settings.clone()
+    };
+    TestGateway {
+        gateway: Gateway::new(settings, u64::from(index) * 7919 + 1, now),
+        now,
+    }
 }
 
 /// Attempts sent in a window of time, and how many are allowed then.
@@ -28,12 +34,18 @@
 /// The window of this length with the most attempts, compared to what is allowed at its start.
 fn worst_window(sent_at: &[f64], window_ms: f64, allowed: impl Fn(f64) -> f64) -> WindowLoad {
     let mut first = 0;
-    let mut worst = WindowLoad { sent: 0, allowed: f64::INFINITY };
+    let mut worst = WindowLoad {
+        sent: 0,
+        allowed: f64::INFINITY,
+    };
     for (last, at) in sent_at.iter().enumerate() {
         while sent_at[first] < at - window_ms {
             first += 1;
         }
-        let load = WindowLoad { sent: last + 1 - first, allowed: allowed(sent_at[first]) };
+        let load = WindowLoad {
+            sent: last + 1 - first,
+            allowed: allowed(sent_at[first]),
+        };
         if load.is_worse_than(&worst) {
             worst = load;
         }
@@ -98,14 +110,20 @@
             let overload = self.overload_multiple * capacity * self.overload_window_ms / 1000.0;
             overload + 2.0 * overload.sqrt() + 2.0
         };
-        let mut worst = WindowLoad { sent: 0, allowed: 1.0 };
+        let mut worst = WindowLoad {
+            sent: 0,
+            allowed: 1.0,
+        };
         for sent_at in &simulation.sent_to_new {
             let load = worst_window(sent_at, self.overload_window_ms, allowed);
             if load.is_worse_than(&worst) {
                 worst = load;
             }
         }
-        ReleaseLoad { worst, sent: simulation.sent_to_new.iter().map(Vec::len).sum() }
+        ReleaseLoad {
+            worst,
+            sent: simulation.sent_to_new.iter().map(Vec::len).sum(),
+        }
     }
 
     fn settings(&self) -> Settings {
@@ -121,29 +139,38 @@
     }
 
     fn endpoints_before(&self) -> Vec<Endpoint> {
-        (1..=2 * self.staying).map(|id| endpoint_entry(id, 0, EndpointState::Ready)).collect()
+        (1..=2 * self.staying)
+            .map(|id| endpoint_entry(id, 0, EndpointState::Ready))
+            .collect()
     }
 
     fn new_endpoints(&self) -> impl Iterator<Item = Endpoint> {
         let ids = 2 * self.staying + 1..=3 * self.staying;
-        ids.map(|id| Endpoint { started_at: RELEASE, ..endpoint_entry(id, 0, EndpointState::Ready) })
+        ids.map(|id| Endpoint {
+            started_at: RELEASE,
+            ..endpoint_entry(id, 0, EndpointState::Ready)
+        })
     }
 
     fn changed_entries(&self) -> Vec<Endpoint> {
-        let removed =
-            (self.staying + 1..=2 * self.staying).map(|id| endpoint_entry(id, 0, EndpointState::Removed));
+        let removed = (self.staying + 1..=2 * self.staying)
+            .map(|id| endpoint_entry(id, 0, EndpointState::Removed));
         removed.chain(self.new_endpoints()).collect()
     }
 
     fn endpoints_after(&self) -> Vec<Endpoint> {
-        let staying = self.endpoints_before().into_iter().take(self.staying as usize);
+        let staying = self
+            .endpoints_before()
+            .into_iter()
+            .take(self.staying as usize);
         staying.chain(self.new_endpoints()).collect()
     }
 }
 
 /// Share of its capacity that a new endpoint has.
 fn capacity_share(now: f64) -> f64 {
-    COLD_CAPACITY_SHARE + (1.0 - COLD_CAPACITY_SHARE) * ((now - RELEASE) / WARM_UP_MS).clamp(0.0, 1.0)
+    COLD_CAPACITY_SHARE
+        + (1.0 - COLD_CAPACITY_SHARE) * ((now - RELEASE) / WARM_UP_MS).clamp(0.0, 1.0)
 }
 
 enum Step {
@@ -177,10 +204,14 @@
     fn new(release: &'a Release) -> Self {
         let settings = release.settings();
         let endpoints = release.endpoints_before();
-        let mut gateways: Vec<_> =
-            (0..release.gateways).map(|index| gateway_at(&settings, index, START)).collect();
+        let mut gateways: Vec<_> = (0..release.gateways)
+            .map(|index| gateway_at(&settings, index, START))
+            .collect();
         for gateway in &mut gateways {
-            gateway.handle(Event::EndpointUpdate { complete: true, endpoints: endpoints.clone() });
+            gateway.handle(Event::EndpointUpdate {
+                complete: true,
+                endpoints: endpoints.clone(),
+            });
         }
         Simulation {
             release,
@@ -225,14 +256,20 @@
         let entries = self.release.changed_entries();
         for gateway in &mut self.gateways {
             gateway.now = self.now;
-            gateway.handle(Event::EndpointUpdate { complete: false, endpoints: entries.clone() });
+            gateway.handle(Event::EndpointUpdate {
+                complete: false,
+                endpoints: entries.clone(),
+            });
         }
     }
 
     fn restart_gateway(&mut self) {
         self.gateways[0] = gateway_at(&self.settings, 0, self.now);
         let endpoints = self.release.endpoints_after();
-        self.gateways[0].handle(Event::EndpointUpdate { complete: true, endpoints });
+        self.gateways[0].handle(Event::EndpointUpdate {
+            complete: true,
+            endpoints,
+        });
     }
 
     fn step(&mut self, step: Step) {
@@ -242,11 +279,20 @@
                 self.schedule(gap_ms, Step::Arrival);
                 let gateway = self.draw_gateway();
                 self.requests += 1;
-                self.handle(gateway, Event::Request(request(self.requests, self.requests)));
+                self.handle(
+                    gateway,
+                    Event::Request(request(self.requests, self.requests)),
+                );
             }
             Step::ClientRetry { id } => {
                 let gateway = self.rng.usize(..self.gateways.len());
-                self.handle(gateway, Event::Request(Request { is_retry: true, ..request(id, id) }));
+                self.handle(
+                    gateway,
+                    Event::Request(Request {
+                        is_retry: true,
+                        ..request(id, id)
+                    }),
+                );
             }
             Step::AttemptEnd { gateway, end } => self.handle(gateway, Event::AttemptEnded(end)),
         }
@@ -257,8 +303,11 @@
         let gateways = self.release.gateways;
         let busy = gateways.div_ceil(10);
         let drawn = self.rng.f64() * f64::from(gateways + 3 * busy);
-        let index =
-            if drawn < 4.0 * f64::from(busy) { drawn as u32 / 4 * 10 } else { self.rng.u32(..gateways) };
+        let index = if drawn < 4.0 * f64::from(busy) {
+            drawn as u32 / 4 * 10
+        } else {
+            self.rng.u32(..gateways)
+        };
         index as usize
     }
 
@@ -267,9 +316,16 @@
         let actions = self.gateways[gateway].handle(event);
         for action in actions {
             match action {
-                Action::SendAttempt { id, endpoint, .. } => self.send_attempt(gateway, id, endpoint),
+                Action::SendAttempt { id, endpoint, .. } => {
+                    self.send_attempt(gateway, id, endpoint);
+                }
                 Action::Reject { id, .. } if id < RETRY_MARK => {
-                    self.schedule(CLIENT_PAUSE_MS, Step::ClientRetry { id: id | RETRY_MARK });
+                    self.schedule(
+                        CLIENT_PAUSE_MS,
+                        Step::ClientRetry {
+                            id: id | RETRY_MARK,
+                        },
+                    );
                 }
                 _ => {}
             }
@@ -308,7 +364,11 @@
         }
         *free_at = self.now + queue_ms + 1000.0 / capacity;
         let fails = self.rng.f64() < ERROR_SHARE;
-        let outcome = if fails { Outcome::ErrorResponse } else { Outcome::Success };
+        let outcome = if fails {
+            Outcome::ErrorResponse
+        } else {
+            Outcome::Success
+        };
         (outcome, queue_ms + 1000.0 / capacity)
     }
 }
@@ -333,8 +393,14 @@
 
 fn assert_no_overload(release: &Release) {
     let rate = release.request_rate;
-    let ReleaseLoad { worst: WindowLoad { sent, allowed }, sent: all } = release.play();
-    assert!(sent as f64 <= allowed, "{rate} a second: {sent} sent where {allowed} are allowed");
+    let ReleaseLoad {
+        worst: WindowLoad { sent, allowed },
+        sent: all,
+    } = release.play();
+    assert!(
+        sent as f64 <= allowed,
+        "{rate} a second: {sent} sent where {allowed} are allowed"
+    );
     assert!(all > 500, "warming endpoints are used: {all}");
 }
 
@@ -405,7 +471,12 @@
     fn new(number: usize, now: f64) -> Self {
         let is_heavy = number % 10 == 0;
         let request_rate = if is_heavy { 12.0 } else { 1.5 };
-        Customer { request_rate, is_heavy, units: QUOTA_BURST, updated_at: now }
+        Customer {
+            request_rate,
+            is_heavy,
+            units: QUOTA_BURST,
+            updated_at: now,
+        }
     }
 
     /// Whether a request of one unit now is within the quota.
@@ -444,9 +515,17 @@
 /// What all gateways together let through beyond the quotas, and what they reject inside them, stays small.
 #[test]
 fn quotas_hold_over_the_fleet_on_a_quiet_day() {
-    let QuotaTotals { sent_within, sent_beyond, heavy_sent_within, light_rejected_within } = quiet_day();
+    let QuotaTotals {
+        sent_within,
+        sent_beyond,
+        heavy_sent_within,
+        light_rejected_within,
+    } = quiet_day();
     let light_sent_within = sent_within - heavy_sent_within;
-    assert!(sent_beyond * 20 <= sent_within, "{sent_beyond} beyond the quotas, {sent_within} inside");
+    assert!(
+        sent_beyond * 20 <= sent_within,
+        "{sent_beyond} beyond the quotas, {sent_within} inside"
+    );
     assert!(
         light_rejected_within * 25 <= light_sent_within,
         "{light_rejected_within} rejected of those who ask little, {light_sent_within} inside"
@@ -465,11 +544,17 @@
     settings.plans[0].rate = QUOTA_RATE;
     settings.plans[0].burst = QUOTA_BURST;
     let start = 100_000.0;
-    let mut gateways: Vec<_> =
-        (0..settings.gateway_count).map(|index| gateway_at(&settings, index, start)).collect();
-    let endpoints: Vec<_> = (1..=40).map(|id| endpoint_entry(id, 0, EndpointState::Ready)).collect();
+    let mut gateways: Vec<_> = (0..settings.gateway_count)
+        .map(|index| gateway_at(&settings, index, start))
+        .collect();
+    let endpoints: Vec<_> = (1..=40)
+        .map(|id| endpoint_entry(id, 0, EndpointState::Ready))
+        .collect();
     for gateway in &mut gateways {
-        gateway.handle(Event::EndpointUpdate { complete: true, endpoints: endpoints.clone() });
+        gateway.handle(Event::EndpointUpdate {
+            complete: true,
+            endpoints: endpoints.clone(),
+        });
     }
     let mut customers: Vec<_> = (0..60).map(|number| Customer::new(number, start)).collect();
     let customer_count = customers.len() as u64;
@@ -486,7 +571,10 @@
             let gateway = &mut gateways[(number * 3 + rng.usize(..4)) % 40];
             gateway.now = now;
             let id = millisecond * customer_count + number as u64;
-            let request = Request { gateway_set_size: 4.0, ..request(id, number as u64) };
+            let request = Request {
+                gateway_set_size: 4.0,
+                ..request(id, number as u64)
+            };
             let actions = gateway.handle(Event::Request(request));
             let actions = counter.answer_calls(gateway, actions);
             let is_within = customer.is_within_quota(now);
--- a/tests/gateway/attempts.rs
+++ b/tests/gateway/attempts.rs
@@ -10,13 +10,26 @@
 fn forwards_a_request_and_its_response_unchanged() {
     let (endpoint, received) = healthy_endpoint();
     let gateway = Gateway::new(&config_with_silent_discovery(&[endpoint]));
-    let response = gateway.exchange(&post_request("order", IDEMPOTENCY_KEY_HEADER, "two pallets"));
-    assert_eq!((response.status(), response.body.as_slice()), (200, &b"stock: 12"[..]));
+    let response = gateway.exchange(&post_request(
+        "order",
+        IDEMPOTENCY_KEY_HEADER,
+        "two pallets",
+    ));
+    assert_eq!(
+        (response.status(), response.body.as_slice()),
+        (200, &b"stock: 12"[..])
+    );
     let received = received.lock().unwrap();
     assert_eq!(received.len(), 1);
-    assert_eq!(received[0].line, "POST /order?account=0000000000000007 HTTP/1.1");
+    assert_eq!(
+        received[0].line,
+        "POST /order?account=0000000000000007 HTTP/1.1"
+    );
     assert_eq!(received[0].headers["x-txn"], "9b1f03aa5c7e2d41");
-    assert_eq!(received[0].headers["idempotency-key"], "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
+    assert_eq!(
+        received[0].headers["idempotency-key"],
+        "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
+    );
     assert_eq!(received[0].body, b"two pallets");
     let remaining: u64 = received[0].headers["x-remaining-ms"].parse().unwrap();
     assert!(remaining > 0 && remaining < 3000, "{remaining}");
@@ -30,7 +43,10 @@
     for bad in [unused_address(), full] {
         let gateway = Gateway::new(&config_with_silent_discovery(&[bad, endpoint]));
         for _ in 0..2 {
-            assert_eq!(gateway.exchange(&post_request("once", "", "x")).status(), 200);
+            assert_eq!(
+                gateway.exchange(&post_request("once", "", "x")).status(),
+                200
+            );
         }
     }
     assert_eq!(received.lock().unwrap().len(), 4);
@@ -53,7 +69,10 @@
             reply()
         });
         let gateway = Gateway::new(&config_with_silent_discovery(&[addr, addr]));
-        assert_eq!(gateway.exchange(&post_request("once", "", "x")).status(), 502);
+        assert_eq!(
+            gateway.exchange(&post_request("once", "", "x")).status(),
+            502
+        );
         assert_eq!(*count.lock().unwrap(), 1);
     }
 }
@@ -64,12 +83,19 @@
     let addr = start_server(move |_| Reply::StaySilent(closed_to.clone()));
     let gateway = Gateway::new(&config_with_silent_discovery(&[addr, addr]));
     let start = Instant::now();
-    let response =
-        gateway.exchange(&post_request("once", "", "x").replace("Remaining-Ms: 3000", "Remaining-Ms: 600"));
+    let response = gateway.exchange(
+        &post_request("once", "", "x").replace("Remaining-Ms: 3000", "Remaining-Ms: 600"),
+    );
     // It may have run, so nothing is promised.
     assert_eq!(response.status(), 502);
-    assert!(start.elapsed() < Duration::from_millis(1400), "{:?}", start.elapsed());
-    closed.recv_timeout(TEST_TIMEOUT).expect("the attempt's connection ends");
+    assert!(
+        start.elapsed() < Duration::from_millis(1400),
+        "{:?}",
+        start.elapsed()
+    );
+    closed
+        .recv_timeout(TEST_TIMEOUT)
+        .expect("the attempt's connection ends");
     assert!(closed.try_recv().is_err(), "sent again");
 }
 
@@ -84,7 +110,10 @@
     let gateway = Gateway::new(&config_with_silent_discovery(&[addr]));
     for _ in 0..3 {
         // Sent into a broken connection it might have run, and would fail.
-        assert_eq!(gateway.exchange(&post_request("once", "", "x")).status(), 200);
+        assert_eq!(
+            gateway.exchange(&post_request("once", "", "x")).status(),
+            200
+        );
         // The end of the connection has to arrive.
         std::thread::sleep(Duration::from_millis(50));
     }
@@ -103,8 +132,15 @@
         let addr = start_server(move |_| Reply::Send(invalid.to_owned()));
         let gateway = Gateway::new(&config_with_silent_discovery(&[addr]));
         let start = Instant::now();
-        assert_eq!(gateway.exchange(&post_request("once", "", "x")).status(), 502, "{invalid}");
-        assert!(start.elapsed() < Duration::from_secs(1), "it is known at once");
+        assert_eq!(
+            gateway.exchange(&post_request("once", "", "x")).status(),
+            502,
+            "{invalid}"
+        );
+        assert!(
+            start.elapsed() < Duration::from_secs(1),
+            "it is known at once"
+        );
     }
 }
 
@@ -120,8 +156,14 @@
     let gateway = Gateway::new(&config_with_silent_discovery(&[addr]));
     let mut connection = gateway.connect();
     for round in 1..=10 {
-        connection.get_mut().write_all(get_request(round, 1, 3000).as_bytes()).unwrap();
-        assert_eq!(read_message(&mut connection).unwrap().body, format!("answer {round}").into_bytes());
+        connection
+            .get_mut()
+            .write_all(get_request(round, 1, 3000).as_bytes())
+            .unwrap();
+        assert_eq!(
+            read_message(&mut connection).unwrap().body,
+            format!("answer {round}").into_bytes()
+        );
     }
 }
 
@@ -138,14 +180,20 @@
     });
     let (new, _) = healthy_endpoint();
     let discovery = Discovery::new();
-    let gateway = Gateway::new(&config(&[old], start_counter(Arc::default()), discovery.addr));
+    let gateway = Gateway::new(&config(
+        &[old],
+        start_counter(Arc::default()),
+        discovery.addr,
+    ));
     let (_, mut watch) = discovery.next_watch();
     let mut connection = gateway.connect();
-    connection.get_mut().write_all(get_request(1, 1, 3000).as_bytes()).unwrap();
+    connection
+        .get_mut()
+        .write_all(get_request(1, 1, 3000).as_bytes())
+        .unwrap();
     begun.recv_timeout(TEST_TIMEOUT).unwrap();
     let bad = serde_json::json!({"id": 7});
-    let moved =
-        serde_json::json!({"version": 8, "full": false, "servers": [bad, list_entry(0, new, "Ready")]});
+    let moved = serde_json::json!({"version": 8, "full": false, "servers": [bad, list_entry(0, new, "Ready")]});
     push_update(&mut watch, &moved.to_string());
     // The line is in once the warning of its other entry is.
     gateway.wait_for_log("an entry of the list");
--- a/tests/gateway/client_timing.rs
+++ b/tests/gateway/client_timing.rs
@@ -17,7 +17,9 @@
     let told = Arc::new(Mutex::new(Vec::new()));
     let seen = told.clone();
     let addr = start_server(move |request| {
-        seen.lock().unwrap().push(request.headers["x-remaining-ms"].parse().unwrap());
+        seen.lock()
+            .unwrap()
+            .push(request.headers["x-remaining-ms"].parse().unwrap());
         sleep(SERVICE_TIME);
         Reply::Send(response(200, "", "done"))
     });
@@ -33,7 +35,10 @@
         let mut client = gateway.connect();
         let requests = [get_request(1, 1, 3000), get_request(2, 1, 1500)];
         if pieces == 1 {
-            client.get_mut().write_all(requests.concat().as_bytes()).unwrap();
+            client
+                .get_mut()
+                .write_all(requests.concat().as_bytes())
+                .unwrap();
         } else {
             for request in &requests {
                 client.get_mut().write_all(request.as_bytes()).unwrap();
@@ -63,13 +68,19 @@
     let gateway = Gateway::new(&config);
     for megabytes in [2, 4] {
         let mut client = TcpStream::connect(gateway.addr).unwrap();
-        client.write_all(post_request("once", "", "x").as_bytes()).unwrap();
+        client
+            .write_all(post_request("once", "", "x").as_bytes())
+            .unwrap();
         stalled.wait_for_pending(1);
         client.write_all(&vec![b'x'; megabytes << 20]).unwrap();
         drop(client);
         let start = Instant::now();
         stalled.wait_for_pending(0);
-        assert!(start.elapsed() < Duration::from_millis(1500), "{megabytes} MB: {:?}", start.elapsed());
+        assert!(
+            start.elapsed() < Duration::from_millis(1500),
+            "{megabytes} MB: {:?}",
+            start.elapsed()
+        );
     }
 }
 
@@ -81,7 +92,10 @@
     let gateway = Gateway::new(&config_with_silent_discovery(&[endpoint]));
     let mut clients: Vec<_> = (0..6).map(|_| gateway.connect()).collect();
     for (customer, rested) in clients.iter_mut().enumerate().skip(3) {
-        rested.get_mut().write_all(get_request(customer as u64, 1, 3000).as_bytes()).unwrap();
+        rested
+            .get_mut()
+            .write_all(get_request(customer as u64, 1, 3000).as_bytes())
+            .unwrap();
         assert_eq!(read_message(rested).unwrap().status(), 200);
     }
     // The time-out is 2.3 s.
@@ -89,11 +103,16 @@
     gateway.signal("-STOP");
     sleep(Duration::from_millis(150));
     for (customer, client) in clients.iter_mut().enumerate() {
-        client.get_mut().write_all(get_request(10 + customer as u64, 1, 3000).as_bytes()).unwrap();
+        client
+            .get_mut()
+            .write_all(get_request(10 + customer as u64, 1, 3000).as_bytes())
+            .unwrap();
     }
     gateway.signal("-CONT");
-    let statuses: Vec<_> =
-        clients.iter_mut().map(|c| read_message(c).map(|answer| answer.status())).collect();
+    let statuses: Vec<_> = clients
+        .iter_mut()
+        .map(|c| read_message(c).map(|answer| answer.status()))
+        .collect();
     assert_eq!(statuses, [Some(200); 6]);
 }
 
@@ -102,19 +121,31 @@
 fn a_request_begun_late_has_its_time_from_its_first_byte() {
     let (endpoint, _) = healthy_endpoint();
     let gateway = Gateway::new(&config_with_silent_discovery(&[endpoint]));
-    for (rested, begun_ms, rest_ms) in
-        [(false, 1500, 1000), (false, 2100, 500), (true, 1500, 1000), (true, 2100, 1500)]
-    {
+    for (rested, begun_ms, rest_ms) in [
+        (false, 1500, 1000),
+        (false, 2100, 500),
+        (true, 1500, 1000),
+        (true, 2100, 1500),
+    ] {
         let mut client = gateway.connect();
         if rested {
-            client.get_mut().write_all(get_request(1, 1, 3000).as_bytes()).unwrap();
+            client
+                .get_mut()
+                .write_all(get_request(1, 1, 3000).as_bytes())
+                .unwrap();
             assert_eq!(read_message(&mut client).unwrap().status(), 200);
         }
         let request = post_request("once", "", "x");
         sleep(Duration::from_millis(begun_ms));
-        client.get_mut().write_all(&request.as_bytes()[..20]).unwrap();
+        client
+            .get_mut()
+            .write_all(&request.as_bytes()[..20])
+            .unwrap();
         sleep(Duration::from_millis(rest_ms));
-        client.get_mut().write_all(&request.as_bytes()[20..]).unwrap();
+        client
+            .get_mut()
+            .write_all(&request.as_bytes()[20..])
+            .unwrap();
         let status = read_message(&mut client).map(|answer| answer.status());
         assert_eq!(
             status,
@@ -131,22 +162,33 @@
     let mut gateway = Gateway::new(&config_with_silent_discovery(&[endpoint]));
     let mut clients: Vec<_> = (0..4).map(|_| gateway.connect()).collect();
     for (customer, rested) in clients.iter_mut().enumerate().skip(2) {
-        rested.get_mut().write_all(get_request(customer as u64, 1, 3000).as_bytes()).unwrap();
+        rested
+            .get_mut()
+            .write_all(get_request(customer as u64, 1, 3000).as_bytes())
+            .unwrap();
         assert_eq!(read_message(rested).unwrap().status(), 200);
     }
     gateway.signal("-TERM");
     sleep(Duration::from_millis(400));
     let request = |customer: usize| get_request(10 + customer as u64, 1, 3000);
     for (customer, client) in clients.iter_mut().enumerate() {
-        client.get_mut().write_all(&request(customer).as_bytes()[..40]).unwrap();
+        client
+            .get_mut()
+            .write_all(&request(customer).as_bytes()[..40])
+            .unwrap();
     }
     // Connections close 0.6 s after the signal, and the program may end 1 s after it.
     sleep(Duration::from_millis(800));
     for (customer, client) in clients.iter_mut().enumerate() {
-        client.get_mut().write_all(&request(customer).as_bytes()[40..]).unwrap();
+        client
+            .get_mut()
+            .write_all(&request(customer).as_bytes()[40..])
+            .unwrap();
     }
-    let statuses: Vec<_> =
-        clients.iter_mut().map(|c| read_message(c).map(|answer| answer.status())).collect();
+    let statuses: Vec<_> = clients
+        .iter_mut()
+        .map(|c| read_message(c).map(|answer| answer.status()))
+        .collect();
     assert_eq!(statuses, [Some(200); 4]);
     assert!(gateway.child.wait().unwrap().success());
 }
--- a/tests/gateway/clients.rs
+++ b/tests/gateway/clients.rs
@@ -29,11 +29,19 @@
     let gateway = Gateway::new(&config_with_silent_discovery(&[addr]));
     let start = Instant::now();
     let mut connection = gateway.connect();
-    connection.get_mut().write_all(get_request(3, 1, 3000).as_bytes()).unwrap();
+    connection
+        .get_mut()
+        .write_all(get_request(3, 1, 3000).as_bytes())
+        .unwrap();
     begun.recv_timeout(TEST_TIMEOUT).unwrap();
     drop(connection);
-    closed.recv_timeout(TEST_TIMEOUT).expect("the attempt is withdrawn");
-    assert!(start.elapsed() < Duration::from_millis(1400), "only at its time-out");
+    closed
+        .recv_timeout(TEST_TIMEOUT)
+        .expect("the attempt is withdrawn");
+    assert!(
+        start.elapsed() < Duration::from_millis(1400),
+        "only at its time-out"
+    );
 }
 
 /// With few descriptors clients wait to be accepted; idle connections must not starve them.
@@ -46,7 +54,10 @@
     let mut kept = Vec::new();
     for customer in 0..30 {
         let mut connection = gateway.connect();
-        connection.get_mut().write_all(get_request(customer, 1, 3000).as_bytes()).unwrap();
+        connection
+            .get_mut()
+            .write_all(get_request(customer, 1, 3000).as_bytes())
+            .unwrap();
         assert_eq!(read_message(&mut connection).unwrap().status(), 200);
         kept.push(connection);
     }
@@ -87,19 +98,51 @@
     let (endpoint, received) = healthy_endpoint();
     let gateway = Gateway::new(&config_with_silent_discovery(&[endpoint]));
     let fine = get_request(1, 1, 3000);
-    let replaced = MALFORMED.map(|(found, replacement, status)| (fine.replace(found, replacement), status));
+    let replaced =
+        MALFORMED.map(|(found, replacement, status)| (fine.replace(found, replacement), status));
     let written = [
-        (fine.replace("HTTP/1.1\r\n", "HTTP/1.1\r\nContent-Length: 7\r\n") + "1234567", 400),
-        (fine.replace("HTTP/1.1\r\n", "HTTP/1.1\r\nTransfer-Encoding: chunked\r\n") + "0\r\n\r\n", 411),
-        (fine.replace("HTTP/1.1\r\n", &format!("HTTP/1.1\r\nX: {}\r\n", "x".repeat(20_000))), 431),
-        (post_request("order", "Idempotency-Key: a key\r\n", "x"), 400),
-        (post_request("order", &format!("Idempotency-Key: {}\r\n", "k".repeat(65)), "x"), 400),
+        (
+            fine.replace("HTTP/1.1\r\n", "HTTP/1.1\r\nContent-Length: 7\r\n") + "1234567",
+            400,
+        ),
+        (
+            fine.replace("HTTP/1.1\r\n", "HTTP/1.1\r\nTransfer-Encoding: chunked\r\n")
+                + "0\r\n\r\n",
+            411,
+        ),
+        (
+            fine.replace(
+                "HTTP/1.1\r\n",
+                &format!("HTTP/1.1\r\nX: {}\r\n", "x".repeat(20_000)),
+            ),
+            431,
+        ),
+        (
+            post_request("order", "Idempotency-Key: a key\r\n", "x"),
+            400,
+        ),
+        (
+            post_request(
+                "order",
+                &format!("Idempotency-Key: {}\r\n", "k".repeat(65)),
+                "x",
+            ),
+            400,
+        ),
         (post_request("order", "", "x"), 400),
-        (post_request("order", IDEMPOTENCY_KEY_HEADER, &"x".repeat(65 * 1024)), 413),
+        (
+            post_request("order", IDEMPOTENCY_KEY_HEADER, &"x".repeat(65 * 1024)),
+            413,
+        ),
         ("rubbish\r\n\r\n".to_owned(), 400),
     ];
     for (text, status) in replaced.into_iter().chain(written) {
-        assert_eq!(gateway.exchange(&text).status(), status, "{}", text.lines().next().unwrap());
+        assert_eq!(
+            gateway.exchange(&text).status(),
+            status,
+            "{}",
+            text.lines().next().unwrap()
+        );
     }
     assert_eq!(received.lock().unwrap().len(), 0);
     assert_eq!(gateway.exchange(&fine).status(), 200);
@@ -110,8 +153,11 @@
 fn slow_clients_are_disconnected() {
     let (endpoint, received) = healthy_endpoint();
     let gateway = Gateway::new(&config_with_silent_discovery(&[endpoint]));
-    let texts =
-        [String::new(), "GET /look".to_owned(), post_request("once", "", "four").replace("four", "fo")];
+    let texts = [
+        String::new(),
+        "GET /look".to_owned(),
+        post_request("once", "", "four").replace("four", "fo"),
+    ];
     let start = Instant::now();
     let connections = texts.map(|text| {
         let mut connection = gateway.connect();
@@ -122,7 +168,11 @@
         let response = read_message(&mut connection).map_or(0, |response| response.status());
         assert_eq!(response, if number == 2 { 408 } else { 0 });
         assert_eq!(connection.read(&mut [0]).unwrap_or(0), 0, "closed");
-        assert!(start.elapsed() < Duration::from_secs(3), "{:?}", start.elapsed());
+        assert!(
+            start.elapsed() < Duration::from_secs(3),
+            "{:?}",
+            start.elapsed()
+        );
     }
     assert_eq!(received.lock().unwrap().len(), 0);
 }
@@ -142,7 +192,10 @@
         let mut connection = gateway.connect();
         connection.get_mut().write_all(head.as_bytes()).unwrap();
         for _ in 0..600 {
-            connection.get_mut().write_all(&vec![b'x'; 100_000]).expect("it is read on");
+            connection
+                .get_mut()
+                .write_all(&vec![b'x'; 100_000])
+                .expect("it is read on");
         }
         assert!([400, 413].contains(&read_message(&mut connection).expect("an answer").status()));
         assert_eq!(connection.read(&mut [0]).unwrap(), 0, "closed");
@@ -162,7 +215,10 @@
         let start = Instant::now();
         loop {
             let mut connection = gateway.connect();
-            connection.get_mut().write_all(get_request(customer, 1, 3000).as_bytes()).unwrap();
+            connection
+                .get_mut()
+                .write_all(get_request(customer, 1, 3000).as_bytes())
+                .unwrap();
             match read_message(&mut connection).map(|response| response.status()) {
                 Some(200) => break,
                 None | Some(503) => {}
@@ -172,7 +228,9 @@
             std::thread::sleep(Duration::from_millis(5));
         }
     }
-    let open = std::fs::read_dir(format!("/proc/{}/fd", gateway.child.id())).unwrap().count();
+    let open = std::fs::read_dir(format!("/proc/{}/fd", gateway.child.id()))
+        .unwrap()
+        .count();
     assert!(open <= 64, "{open} descriptors");
 }
 
@@ -187,12 +245,23 @@
     ] {
         let hidden = get_request(2, 1, 3000);
         let body = format!("0\r\n\r\n{hidden}");
-        let head = post_request("once", "", "").replace("Content-Length: 0", &format!("{one}\r\n{two}"));
+        let head =
+            post_request("once", "", "").replace("Content-Length: 0", &format!("{one}\r\n{two}"));
         let mut connection = gateway.connect();
-        connection.get_mut().write_all(format!("{head}{body}").as_bytes()).unwrap();
+        connection
+            .get_mut()
+            .write_all(format!("{head}{body}").as_bytes())
+            .unwrap();
         let response = read_message(&mut connection).unwrap();
-        assert_eq!((response.status(), response.headers["connection"].as_str()), (411, "close"));
-        assert_eq!(connection.read(&mut [0]).unwrap(), 0, "nothing more is answered");
+        assert_eq!(
+            (response.status(), response.headers["connection"].as_str()),
+            (411, "close")
+        );
+        assert_eq!(
+            connection.read(&mut [0]).unwrap(),
+            0,
+            "nothing more is answered"
+        );
     }
     assert_eq!(received.lock().unwrap().len(), 0);
 }
@@ -209,7 +278,10 @@
     });
     let gateway = Gateway::new(&config_with_silent_discovery(&[addr]));
     let mut connection = gateway.connect();
-    connection.get_mut().write_all(get_request(5, 1, 3000).as_bytes()).unwrap();
+    connection
+        .get_mut()
+        .write_all(get_request(5, 1, 3000).as_bytes())
+        .unwrap();
     begun.recv_timeout(TEST_TIMEOUT).unwrap();
     assert_eq!(gateway.get(5, 1).status(), 409);
     go_on.send(()).unwrap();
@@ -222,23 +294,29 @@
 /// Clients get a Retry-After only where the site permits it, and none longer than they heed.
 #[test]
 fn a_client_without_a_slot_gets_retry_after_where_the_site_permits_it() {
-    for (permitted, longest_ms, advice) in
-        [(true, 2000.0, Some("1.000")), (true, 500.0, Some("0.500")), (false, 0.0, None)]
-    {
+    for (permitted, longest_ms, advice) in [
+        (true, 2000.0, Some("1.000")),
+        (true, 500.0, Some("0.500")),
+        (false, 0.0, None),
+    ] {
         let mut config = config_with_silent_discovery(&[unused_address()]);
         config["limits"]["sockets"] = 40.into();
         config["settings"]["limits"]["retry-after"] = permitted.into();
         config["settings"]["limits"]["max-retry-after-ms"] = longest_ms.into();
         let gateway = Gateway::new(&config);
         // A client that was asked to go on with its body has a request open: its slot is its own.
-        let head = post_request("once", "", "x").replace("\r\n\r\nx", "\r\nExpect: 100-continue\r\n\r\n");
+        let head =
+            post_request("once", "", "x").replace("\r\n\r\nx", "\r\nExpect: 100-continue\r\n\r\n");
         let mut connections = Vec::new();
         let refused = loop {
             let mut connection = gateway.connect();
             let number = connections.len();
             connection
                 .get_mut()
-                .write_all(head.replace("9b1f03aa", &format!("{number:08x}")).as_bytes())
+                .write_all(
+                    head.replace("9b1f03aa", &format!("{number:08x}"))
+                        .as_bytes(),
+                )
                 .unwrap();
             let response = read_message(&mut connection).expect("an answer");
             if response.status() != 100 {
@@ -248,6 +326,9 @@
             assert!(connections.len() < 40, "never full");
         };
         assert_eq!(refused.status(), 503);
-        assert_eq!(refused.headers.get("retry-after").map(String::as_str), advice);
+        assert_eq!(
+            refused.headers.get("retry-after").map(String::as_str),
+            advice
+        );
     }
 }
--- a/tests/gateway/counter.rs
+++ b/tests/gateway/counter.rs
@@ -15,12 +15,17 @@
     // Customers' windows begin at different times, so these are at any point of theirs.
     let mut open = gateway.connect();
     for customer in 0..8 {
-        open.get_mut().write_all(get_request(customer * 0x1234_5671, 2, 3000).as_bytes()).unwrap();
+        open.get_mut()
+            .write_all(get_request(customer * 0x1234_5671, 2, 3000).as_bytes())
+            .unwrap();
         assert_eq!(read_message(&mut open).unwrap().status(), 200);
     }
     let amounts = amounts.lock().unwrap();
     assert!(!amounts.is_empty());
-    assert!(amounts.iter().all(|a| *a >= 0.005 && *a <= 1e9), "{amounts:?}");
+    assert!(
+        amounts.iter().all(|a| *a >= 0.005 && *a <= 1e9),
+        "{amounts:?}"
+    );
 }
 
 #[test]
@@ -30,8 +35,11 @@
     let invalid_total = start_server(|_| Reply::Send(response(200, "", "many")));
     let invalid_http = start_server(|_| Reply::SendAndClose("no HTTP\r\n\r\n".to_owned()));
     for counter in [silent, invalid_total, invalid_http, unused_address()] {
-        let gateway =
-            Gateway::new(&config(&[backend], counter, start_server(|_| Reply::StaySilent(channel().0))));
+        let gateway = Gateway::new(&config(
+            &[backend],
+            counter,
+            start_server(|_| Reply::StaySilent(channel().0)),
+        ));
         for customer in 0..6 {
             assert_eq!(gateway.get(customer, 1).status(), 200);
         }
--- a/tests/gateway/crossings.rs
+++ b/tests/gateway/crossings.rs
@@ -36,11 +36,16 @@
         });
         let gateway = Gateway::new(&config_with_silent_discovery(&[addr]));
         let start = Instant::now();
-        let request = post_request("once", "", "x").replace("Remaining-Ms: 3000", "Remaining-Ms: 800");
+        let request =
+            post_request("once", "", "x").replace("Remaining-Ms: 3000", "Remaining-Ms: 800");
         let answer = gateway.exchange(&request);
         assert_eq!(answer.status(), status, "{name}");
         assert!(status != 200 || answer.body == body.as_bytes());
-        assert!(start.elapsed() < Duration::from_millis(1400), "{name}: {:?}", start.elapsed());
+        assert!(
+            start.elapsed() < Duration::from_millis(1400),
+            "{name}: {:?}",
+            start.elapsed()
+        );
         assert_eq!(count.load(Ordering::SeqCst), 1, "{name}");
     }
 }
@@ -53,7 +58,10 @@
     let first = Discovery::new();
     let mut config = config(&[one, two], start_counter(Arc::default()), first.addr);
     let gateway = Gateway::new(&config);
-    let servers = serde_json::json!([list_entry(0, one, "Terminating"), list_entry(1, two, "Ready")]);
+    let servers = serde_json::json!([
+        list_entry(0, one, "Terminating"),
+        list_entry(1, two, "Ready")
+    ]);
     let list = serde_json::json!({"version": 9, "full": true, "servers": servers}).to_string();
     let (listed_to, listed) = channel();
     let crowded = start_server(move |call| {
@@ -66,13 +74,19 @@
     config["discovery"] = crowded.to_string().into();
     assert!(!gateway.reload(&config.to_string()).contains("stands"));
     for _ in 0..3 {
-        listed.recv_timeout(TEST_TIMEOUT).expect("the list is asked for");
+        listed
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("the list is asked for");
     }
     let before = got_one.lock().unwrap().len();
     for customer in 0..10 {
         assert_eq!(gateway.get(customer, 1).status(), 200);
     }
-    assert_eq!(got_one.lock().unwrap().len(), before, "sent to a draining endpoint");
+    assert_eq!(
+        got_one.lock().unwrap().len(),
+        before,
+        "sent to a draining endpoint"
+    );
 }
 
 /// A keyed request whose first attempt broke is sent again within its window only, however late the connection for
@@ -102,8 +116,11 @@
     // The window is 2.5 s long.
     let first_began = Instant::now();
     let bad = serde_json::json!({"id": 7});
-    let servers =
-        serde_json::json!([bad, list_entry(0, breaks, "Terminating"), list_entry(1, late.addr, "Ready")]);
+    let servers = serde_json::json!([
+        bad,
+        list_entry(0, breaks, "Terminating"),
+        list_entry(1, late.addr, "Ready")
+    ]);
     push_update(
         &mut watch,
         &serde_json::json!({"version": 8, "full": false, "servers": servers}).to_string(),
@@ -116,9 +133,16 @@
     let mut repeated = Vec::new();
     let mut connection = BufReader::new(late.accept_next());
     assert_eq!(read_message(&mut client).expect("an answer").status(), 502);
-    connection.get_mut().set_read_timeout(Some(Duration::from_millis(200))).unwrap();
+    connection
+        .get_mut()
+        .set_read_timeout(Some(Duration::from_millis(200)))
+        .unwrap();
     let _ = connection.read_to_end(&mut repeated);
-    assert!(repeated.is_empty(), "sent again: {}", String::from_utf8_lossy(&repeated));
+    assert!(
+        repeated.is_empty(),
+        "sent again: {}",
+        String::from_utf8_lossy(&repeated)
+    );
 }
 
 /// A client that has sent its request and gone while the program was held up gets nothing sent for it, whatever it has
@@ -132,25 +156,46 @@
     let gateway = Gateway::new(&config);
     // So that a connection to the endpoint is there.
     assert_eq!(gateway.get(90, 1).status(), 200);
-    let cases = [(false, 0), (true, 0), (false, 300_000), (true, 1_000_000), (false, 2_000_000)];
+    let cases = [
+        (false, 0),
+        (true, 0),
+        (false, 300_000),
+        (true, 1_000_000),
+        (false, 2_000_000),
+    ];
     for (case, (is_reused, sent_ahead)) in (0..).zip(cases) {
         sleep(Duration::from_millis(50));
         let mut client = gateway.connect();
         if is_reused {
-            client.get_mut().write_all(get_request(20 + case, 1, 3000).as_bytes()).unwrap();
+            client
+                .get_mut()
+                .write_all(get_request(20 + case, 1, 3000).as_bytes())
+                .unwrap();
             assert_eq!(read_message(&mut client).unwrap().status(), 200);
             sleep(Duration::from_millis(50));
         }
         received.lock().unwrap().clear();
         gateway.signal("-STOP");
-        client.get_mut().write_all(get_request(30 + case, 1, 3000).as_bytes()).unwrap();
+        client
+            .get_mut()
+            .write_all(get_request(30 + case, 1, 3000).as_bytes())
+            .unwrap();
         client.get_mut().write_all(&vec![b'x'; sent_ahead]).unwrap();
         drop(client);
         sleep(Duration::from_millis(150));
         gateway.signal("-CONT");
         assert_eq!(gateway.get(case, 1).status(), 200);
-        let sent: Vec<_> = received.lock().unwrap().iter().map(|m| m.headers["x-txn"].clone()).collect();
-        assert_eq!(sent, [format!("{case:016x}")], "reused: {is_reused}, {sent_ahead} bytes sent ahead");
+        let sent: Vec<_> = received
+            .lock()
+            .unwrap()
+            .iter()
+            .map(|m| m.headers["x-txn"].clone())
+            .collect();
+        assert_eq!(
+            sent,
+            [format!("{case:016x}")],
+            "reused: {is_reused}, {sent_ahead} bytes sent ahead"
+        );
     }
 }
 
@@ -177,21 +222,30 @@
     let _greedy: Vec<_> = (1..=5)
         .map(|number| {
             let mut client = gateway.connect();
-            client.get_mut().write_all(get_request(number << 8 | 0xff, 1, 3500).as_bytes()).unwrap();
+            client
+                .get_mut()
+                .write_all(get_request(number << 8 | 0xff, 1, 3500).as_bytes())
+                .unwrap();
             client.get_mut().write_all(&vec![b'x'; 1 << 20]).unwrap();
             client
         })
         .collect();
     let start = Instant::now();
     while sent.lock().unwrap().len() < 6 {
-        assert!(start.elapsed() < TEST_TIMEOUT, "the first clients are not served");
+        assert!(
+            start.elapsed() < TEST_TIMEOUT,
+            "the first clients are not served"
+        );
         sleep(Duration::from_millis(5));
     }
     sleep(Duration::from_millis(50));
     sent.lock().unwrap().clear();
     gateway.signal("-STOP");
     let mut client = gateway.connect();
-    client.get_mut().write_all(get_request(30, 1, 3000).as_bytes()).unwrap();
+    client
+        .get_mut()
+        .write_all(get_request(30, 1, 3000).as_bytes())
+        .unwrap();
     client.get_mut().write_all(&vec![b'x'; 20_000]).unwrap();
     drop(client);
     sleep(Duration::from_millis(150));
@@ -199,7 +253,11 @@
     assert_eq!(gateway.get(31, 1).status(), 200);
     // An attempt for the client that went would come within some milliseconds.
     sleep(Duration::from_millis(200));
-    assert_eq!(*sent.lock().unwrap(), [format!("{:016x}", 31)], "sent for a client that had gone");
+    assert_eq!(
+        *sent.lock().unwrap(),
+        [format!("{:016x}", 31)],
+        "sent for a client that had gone"
+    );
 }
 
 /// Requests that were sent ahead on one connection are all answered, though the end begins meanwhile.
@@ -214,9 +272,14 @@
         });
         let mut gateway = Gateway::new(&config_with_silent_discovery(&[endpoint]));
         let mut client = gateway.connect();
-        let requests: Vec<_> = (1..=3).map(|customer| get_request(customer, 1, 3000)).collect();
+        let requests: Vec<_> = (1..=3)
+            .map(|customer| get_request(customer, 1, 3000))
+            .collect();
         if pieces == 1 {
-            client.get_mut().write_all(requests.concat().as_bytes()).unwrap();
+            client
+                .get_mut()
+                .write_all(requests.concat().as_bytes())
+                .unwrap();
         } else {
             for request in &requests {
                 client.get_mut().write_all(request.as_bytes()).unwrap();
@@ -225,9 +288,12 @@
         }
         begun.recv_timeout(TEST_TIMEOUT).unwrap();
         gateway.signal("-TERM");
-        let bodies: Vec<_> = (1..=3).map(|_| read_message(&mut client).map(|answer| answer.body)).collect();
-        let expected: Vec<_> =
-            (1..=3).map(|customer| Some(format!("{customer:016x}").into_bytes())).collect();
+        let bodies: Vec<_> = (1..=3)
+            .map(|_| read_message(&mut client).map(|answer| answer.body))
+            .collect();
+        let expected: Vec<_> = (1..=3)
+            .map(|customer| Some(format!("{customer:016x}").into_bytes()))
+            .collect();
         assert_eq!(bodies, expected, "in {pieces} pieces");
         assert!(gateway.child.wait().unwrap().success());
     }
@@ -246,8 +312,14 @@
         socket.set_recv_buffer_size(4096).unwrap();
         socket.connect(&gateway.addr.into()).unwrap();
         let mut client = BufReader::with_capacity(512, TcpStream::from(socket));
-        client.get_mut().set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
-        client.get_mut().write_all(get_request(1, 1, 3500).as_bytes()).unwrap();
+        client
+            .get_mut()
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .unwrap();
+        client
+            .get_mut()
+            .write_all(get_request(1, 1, 3500).as_bytes())
+            .unwrap();
         sleep(Duration::from_millis(200));
         if ends {
             gateway.signal("-TERM");
@@ -287,7 +359,8 @@
     }
     // Suspended beyond the end of the accept period, the program finds waiting clients when that has passed.
     gateway.signal("-STOP");
-    let head = post_request("once", "", "x").replace("\r\n\r\nx", "\r\nExpect: 100-continue\r\n\r\n");
+    let head =
+        post_request("once", "", "x").replace("\r\n\r\nx", "\r\nExpect: 100-continue\r\n\r\n");
     let mut clients: Vec<_> = (0..400).map(|_| gateway.connect()).collect();
     for (number, client) in clients.iter_mut().enumerate() {
         let text = head.replace("9b1f03aa", &format!("{number:08x}"));
@@ -295,8 +368,10 @@
     }
     sleep(Duration::from_millis(800));
     gateway.signal("-CONT");
-    let statuses: Vec<_> =
-        clients.iter_mut().map(|client| read_message(client).map_or(0, |answer| answer.status())).collect();
+    let statuses: Vec<_> = clients
+        .iter_mut()
+        .map(|client| read_message(client).map_or(0, |answer| answer.status()))
+        .collect();
     let unanswered = statuses.iter().filter(|status| **status == 0).count();
     assert_eq!(unanswered, 0, "{statuses:?}");
     assert!(statuses.contains(&503), "all had a slot");
--- a/tests/gateway/discovery.rs
+++ b/tests/gateway/discovery.rs
@@ -11,11 +11,14 @@
     let (one, got_one) = healthy_endpoint();
     let (two, _) = healthy_endpoint();
     let discovery = Discovery::new();
-    let gateway = Gateway::new(&config(&[one, two], start_counter(Arc::default()), discovery.addr));
+    let gateway = Gateway::new(&config(
+        &[one, two],
+        start_counter(Arc::default()),
+        discovery.addr,
+    ));
     let (line, mut watch) = discovery.next_watch();
     assert!(line.contains("index=7"), "{line}");
-    let change =
-        serde_json::json!({"version": 8, "full": false, "servers": [list_entry(0, one, "Terminating")]});
+    let change = serde_json::json!({"version": 8, "full": false, "servers": [list_entry(0, one, "Terminating")]});
     push_update(&mut watch, &change.to_string());
     push_update(&mut watch, "{\"version\": 9, \"full\": tr");
     // An event that can't be read is a missed change: the complete list is requested.
@@ -32,10 +35,17 @@
 fn a_watch_that_ends_is_reopened_from_the_last_version() {
     let (one, _) = healthy_endpoint();
     let discovery = Discovery::new();
-    let _gateway = Gateway::new(&config(&[one], start_counter(Arc::default()), discovery.addr));
+    let _gateway = Gateway::new(&config(
+        &[one],
+        start_counter(Arc::default()),
+        discovery.addr,
+    ));
     let (_, mut watch) = discovery.next_watch();
     push_update(&mut watch, "");
-    push_update(&mut watch, &serde_json::json!({"version": 12, "full": false, "servers": []}).to_string());
+    push_update(
+        &mut watch,
+        &serde_json::json!({"version": 12, "full": false, "servers": []}).to_string(),
+    );
     drop(watch);
     assert!(discovery.next_watch().0.contains("index=12"));
 }
@@ -46,18 +56,24 @@
     let (one, got_one) = healthy_endpoint();
     let (two, _) = healthy_endpoint();
     let discovery = Discovery::new();
-    let gateway = Gateway::new(&config(&[one, two], start_counter(Arc::default()), discovery.addr));
+    let gateway = Gateway::new(&config(
+        &[one, two],
+        start_counter(Arc::default()),
+        discovery.addr,
+    ));
     let (_, mut watch) = discovery.next_watch();
     let bad = serde_json::json!({"id": 7, "addr": "nowhere", "state": "Odd"});
-    let change =
-        serde_json::json!({"version": 8, "full": false, "servers": [bad, list_entry(0, one, "Terminating")]});
+    let change = serde_json::json!({"version": 8, "full": false, "servers": [bad, list_entry(0, one, "Terminating")]});
     push_update(&mut watch, &change.to_string());
     // The event has been handled once its warning is logged.
     gateway.wait_for_log("an entry of the list");
     let start = Instant::now();
     let mut before = usize::MAX;
     while got_one.lock().unwrap().len() != before {
-        assert!(start.elapsed() < TEST_TIMEOUT, "the draining endpoint gets requests");
+        assert!(
+            start.elapsed() < TEST_TIMEOUT,
+            "the draining endpoint gets requests"
+        );
         before = got_one.lock().unwrap().len();
         (0..10).for_each(|customer| assert_eq!(gateway.get(customer, 1).status(), 200));
     }
@@ -69,18 +85,26 @@
     let (one, got_one) = healthy_endpoint();
     let (two, _) = healthy_endpoint();
     let discovery = Discovery::new();
-    let gateway = Gateway::new(&config(&[one, two], start_counter(Arc::default()), discovery.addr));
+    let gateway = Gateway::new(&config(
+        &[one, two],
+        start_counter(Arc::default()),
+        discovery.addr,
+    ));
     let (_, mut watch) = discovery.next_watch();
     let bad = serde_json::json!({"id": 7});
-    let change =
-        serde_json::json!({"version": 8, "full": false, "servers": [bad, list_entry(0, one, "Terminating")]});
+    let change = serde_json::json!({"version": 8, "full": false, "servers": [bad, list_entry(0, one, "Terminating")]});
     let text = format!("\n{}\n\n", serde_json::to_string_pretty(&change).unwrap());
     for byte in text.bytes() {
-        watch.write_all(&[b'1', b'\r', b'\n', byte, b'\r', b'\n']).unwrap();
+        watch
+            .write_all(&[b'1', b'\r', b'\n', byte, b'\r', b'\n'])
+            .unwrap();
     }
     // The list applies once the warning about its other entry is logged; no other watch was opened meanwhile.
     gateway.wait_for_log("an entry of the list");
-    assert!(discovery.watches.try_recv().is_err(), "the first watch stays open");
+    assert!(
+        discovery.watches.try_recv().is_err(),
+        "the first watch stays open"
+    );
     (0..10).for_each(|customer| assert_eq!(gateway.get(customer, 1).status(), 200));
     assert_eq!(got_one.lock().unwrap().len(), 0);
 }
@@ -91,13 +115,21 @@
     let (one, _) = healthy_endpoint();
     for last in ["", "{\"version\": 8, \"full\": false, "] {
         let discovery = Discovery::new();
-        let _gateway = Gateway::new(&config(&[one], start_counter(Arc::default()), discovery.addr));
+        let _gateway = Gateway::new(&config(
+            &[one],
+            start_counter(Arc::default()),
+            discovery.addr,
+        ));
         let (_, mut watch) = discovery.next_watch();
         let start = Instant::now();
         push_update(&mut watch, last);
         let (line, _) = discovery.next_watch();
         assert!(line.contains("index=7"), "{line}");
-        assert!(start.elapsed() < Duration::from_secs(4), "{:?}", start.elapsed());
+        assert!(
+            start.elapsed() < Duration::from_secs(4),
+            "{:?}",
+            start.elapsed()
+        );
     }
 }
 
@@ -117,13 +149,19 @@
     for _ in 0..3 {
         calls.recv_timeout(TEST_TIMEOUT).expect("another call");
     }
-    assert!(start.elapsed() < Duration::from_secs(3), "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_secs(3),
+        "{:?}",
+        start.elapsed()
+    );
 }
 
 /// A complete list with this number of entries; the endpoint at `ready` is the only one that takes requests.
 fn long_list(entries: usize, ready: std::net::SocketAddr) -> serde_json::Value {
     let elsewhere = |number| list_entry(number, nobody_at(number), "Terminating");
-    let servers = (1..entries).map(elsewhere).chain([list_entry(0, ready, "Ready")]);
+    let servers = (1..entries)
+        .map(elsewhere)
+        .chain([list_entry(0, ready, "Ready")]);
     serde_json::json!({"version": 9, "full": true, "servers": servers.collect::<Vec<_>>()})
 }
 
@@ -138,7 +176,11 @@
     // Made before the watch is open: it must not fall silent meanwhile.
     let list = long_list(20_000, one);
     for pretty in [false, true] {
-        let text = if pretty { serde_json::to_string_pretty(&list) } else { serde_json::to_string(&list) };
+        let text = if pretty {
+            serde_json::to_string_pretty(&list)
+        } else {
+            serde_json::to_string(&list)
+        };
         let text = text.unwrap();
         let discovery = Discovery::new();
         let gateway = Gateway::spawn(&config(&[], start_counter(Arc::default()), discovery.addr));
@@ -159,7 +201,11 @@
     let text = long_list(20_481, one).to_string();
     let answer = response(200, "", &text);
     let discovery = Discovery::new();
-    let gateway = Gateway::new(&config(&[one], start_counter(Arc::default()), discovery.addr));
+    let gateway = Gateway::new(&config(
+        &[one],
+        start_counter(Arc::default()),
+        discovery.addr,
+    ));
     let (_, mut watch) = discovery.next_watch();
     push_update(&mut watch, &text);
     gateway.wait_for_log("over 20480 entries");
@@ -167,11 +213,19 @@
     let mut calls = 0;
     while start.elapsed() < Duration::from_secs(4) {
         if let Ok((line, mut list)) = discovery.watches.recv_timeout(Duration::from_millis(100)) {
-            assert!(!line.contains("stream"), "the complete list is requested: {line}");
+            assert!(
+                !line.contains("stream"),
+                "the complete list is requested: {line}"
+            );
             let _ = list.write_all(answer.as_bytes());
             calls += 1;
         }
-        assert_eq!(gateway.get(1_000 + start.elapsed().as_millis() as u64, 1).status(), 200);
+        assert_eq!(
+            gateway
+                .get(1_000 + start.elapsed().as_millis() as u64, 1)
+                .status(),
+            200
+        );
     }
     assert!((1..=9).contains(&calls), "{calls} calls");
 }
@@ -194,7 +248,9 @@
             let start = Instant::now();
             loop {
                 let mut open = gateway.connect();
-                open.get_mut().write_all(get_request(customer, 1, 3000).as_bytes()).unwrap();
+                open.get_mut()
+                    .write_all(get_request(customer, 1, 3000).as_bytes())
+                    .unwrap();
                 let status = read_message(&mut open).expect("an answer").status();
                 idle.push(open);
                 if status == 200 {
@@ -206,11 +262,12 @@
         };
         (0..50).for_each(|customer| served(&mut idle, customer));
         let discovery = Discovery::at(addr);
-        let (line, mut watch) =
-            discovery.watches.recv_timeout(Duration::from_secs(6)).expect("a watch in time");
+        let (line, mut watch) = discovery
+            .watches
+            .recv_timeout(Duration::from_secs(6))
+            .expect("a watch in time");
         assert!(line.contains("index=7"), "{line}");
-        let servers =
-            serde_json::json!([{"id": 7}, list_entry(0, one, "Terminating"), list_entry(1, two, "Ready")]);
+        let servers = serde_json::json!([{"id": 7}, list_entry(0, one, "Terminating"), list_entry(1, two, "Ready")]);
         push_update(
             &mut watch,
             &serde_json::json!({"version": 8, "full": false, "servers": servers}).to_string(),
@@ -218,8 +275,14 @@
         gateway.wait_for_log("an entry of the list");
         let before = got_one.lock().unwrap().len();
         (50..100).for_each(|customer| served(&mut idle, customer));
-        assert_eq!(got_one.lock().unwrap().len(), before, "sent to a draining backend");
-        let open = std::fs::read_dir(format!("/proc/{}/fd", gateway.child.id())).unwrap().count();
+        assert_eq!(
+            got_one.lock().unwrap().len(),
+            before,
+            "sent to a draining backend"
+        );
+        let open = std::fs::read_dir(format!("/proc/{}/fd", gateway.child.id()))
+            .unwrap()
+            .count();
         assert!((40..=64).contains(&open), "{open} descriptors");
     }
 }
@@ -228,13 +291,20 @@
 #[test]
 fn a_restart_with_a_known_list_becomes_ready_while_discovery_is_down() {
     let (one, _) = healthy_endpoint();
-    for discovery in [unused_address(), start_server(|_| Reply::StaySilent(channel().0))] {
+    for discovery in [
+        unused_address(),
+        start_server(|_| Reply::StaySilent(channel().0)),
+    ] {
         let mut config = config(&[one], start_counter(Arc::default()), discovery);
         config["known"] = long_list(8_200, one);
         let gateway = Gateway::spawn(&config);
         let start = Instant::now();
         gateway.wait_until_ready();
-        assert!(start.elapsed() < Duration::from_secs(10), "{:?}", start.elapsed());
+        assert!(
+            start.elapsed() < Duration::from_secs(10),
+            "{:?}",
+            start.elapsed()
+        );
         assert_eq!(gateway.get(1, 1).status(), 200);
     }
 }
--- a/tests/gateway/log_output.rs
+++ b/tests/gateway/log_output.rs
@@ -27,7 +27,10 @@
     log.set_nonblocking(true).unwrap();
     while (&log).write(&[b'x'; 4096]).is_ok() {}
     log.set_nonblocking(false).unwrap();
-    let mut gateway = Gateway::with_log(&config_with_silent_discovery(&[endpoint]), OwnedFd::from(log));
+    let mut gateway = Gateway::with_log(
+        &config_with_silent_discovery(&[endpoint]),
+        OwnedFd::from(log),
+    );
     for customer in 0..3 {
         gateway.signal("-HUP");
         assert_eq!(gateway.get(customer, 1).status(), 200);
--- a/tests/gateway/peers.rs
+++ b/tests/gateway/peers.rs
@@ -20,11 +20,19 @@
     config["peers_all"] = peer.local_addr().unwrap().to_string().into();
     let gateway = Gateway::new(&config);
     // The counter has no capacity, and the customer used four units at the gateway that sends this.
-    let message =
-        |customer: u64| [&[2, 1], &customer.to_le_bytes()[..5], &[0], &400i16.to_le_bytes()[..]].concat();
+    let message = |customer: u64| {
+        [
+            &[2, 1],
+            &customer.to_le_bytes()[..5],
+            &[0],
+            &400i16.to_le_bytes()[..],
+        ]
+        .concat()
+    };
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     stranger.send_to(&message(1), at).unwrap();
-    peer.send_to(&[message(2), vec![0; 300]].concat(), at).unwrap();
+    peer.send_to(&[message(2), vec![0; 300]].concat(), at)
+        .unwrap();
     peer.send_to(&message(3), at).unwrap();
     // From then on the gateway gossips, too: the message has been handled once this reply to it arrives.
     let start = Instant::now();
@@ -36,5 +44,8 @@
         assert_eq!(gateway.get(customer, 1).status(), 200);
         std::thread::sleep(Duration::from_millis(10));
     }
-    assert_eq!([1, 2, 3].map(|customer| gateway.get(customer, 2).status()), [200, 200, 429]);
+    assert_eq!(
+        [1, 2, 3].map(|customer| gateway.get(customer, 2).status()),
+        [200, 200, 429]
+    );
 }
--- a/tests/gateway/races.rs
+++ b/tests/gateway/races.rs
@@ -9,7 +9,10 @@
 use std::time::{Duration, Instant};
 
 /// A configuration in which connections have any time to come up.
-fn config_with_long_connect_timeout(endpoints: &[SocketAddr], discovery: SocketAddr) -> serde_json::Value {
+fn config_with_long_connect_timeout(
+    endpoints: &[SocketAddr],
+    discovery: SocketAddr,
+) -> serde_json::Value {
     let mut config = config(endpoints, start_counter(Arc::default()), discovery);
     config["settings"]["limits"]["connect-timeout-ms"] = 20_000.into();
     config["settings"]["categories"][2]["aim-ms"] = 4000.into();
@@ -22,14 +25,23 @@
     let stalled = StalledEndpoint::new();
     let (two, _) = healthy_endpoint();
     let discovery = Discovery::new();
-    let gateway = Gateway::new(&config_with_long_connect_timeout(&[stalled.addr], discovery.addr));
+    let gateway = Gateway::new(&config_with_long_connect_timeout(
+        &[stalled.addr],
+        discovery.addr,
+    ));
     let (_, mut watch) = discovery.next_watch();
     let mut connection = gateway.connect();
-    connection.get_mut().write_all(post_request("once", "", "x").as_bytes()).unwrap();
+    connection
+        .get_mut()
+        .write_all(post_request("once", "", "x").as_bytes())
+        .unwrap();
     stalled.wait_for_pending(1);
     let bad = serde_json::json!({"id": 7});
-    let servers =
-        serde_json::json!([bad, list_entry(0, stalled.addr, "Terminating"), list_entry(1, two, "Ready")]);
+    let servers = serde_json::json!([
+        bad,
+        list_entry(0, stalled.addr, "Terminating"),
+        list_entry(1, two, "Ready")
+    ]);
     push_update(
         &mut watch,
         &serde_json::json!({"version": 8, "full": false, "servers": servers}).to_string(),
@@ -38,7 +50,10 @@
     let mut late = stalled.accept_next();
     assert_eq!(read_message(&mut connection).unwrap().body, b"stock: 12");
     late.set_nonblocking(true).unwrap();
-    assert!(late.read(&mut [0]).map_or(true, |bytes| bytes == 0), "sent to a draining endpoint");
+    assert!(
+        late.read(&mut [0]).map_or(true, |bytes| bytes == 0),
+        "sent to a draining endpoint"
+    );
 }
 
 /// Bytes that the system has not handed over yet.
@@ -47,7 +62,9 @@
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let candidates = table.lines().filter(|row| row.contains(&port));
     let mut rows = candidates.map(|row| row.split_whitespace().collect::<Vec<_>>());
-    let row = rows.find(|row| row[1].ends_with(&port)).expect("the client's connection");
+    let row = rows
+        .find(|row| row[1].ends_with(&port))
+        .expect("the client's connection");
     usize::from_str_radix(row[4].split(':').next().unwrap(), 16).unwrap()
 }
 
@@ -62,7 +79,9 @@
     let gateway = Gateway::new(&config);
     let close = |client: TcpStream| drop(client);
     let reset = |client: TcpStream| {
-        SockRef::from(&client).set_linger(Some(Duration::ZERO)).unwrap();
+        SockRef::from(&client)
+            .set_linger(Some(Duration::ZERO))
+            .unwrap();
     };
     let mut kept = Vec::new();
     let mut half_close = |client: TcpStream| {
@@ -70,8 +89,12 @@
         kept.push(client);
     };
     let many = |bytes: usize| get_request(1, 1, 3000).repeat(bytes / get_request(1, 1, 3000).len());
-    let ahead =
-        [get_request(1, 1, 3000), get_request(1, 1, 3000).repeat(200), "noise".to_owned(), many(300_000)];
+    let ahead = [
+        get_request(1, 1, 3000),
+        get_request(1, 1, 3000).repeat(200),
+        "noise".to_owned(),
+        many(300_000),
+    ];
     let leave: [(&str, &mut dyn FnMut(TcpStream)); 8] = [
         ("", &mut { close }),
         ("", &mut { reset }),
@@ -84,18 +107,28 @@
     ];
     for (number, (ahead, leave)) in leave.into_iter().enumerate() {
         let mut client = TcpStream::connect(gateway.addr).unwrap();
-        client.write_all((post_request("once", "", "x") + ahead).as_bytes()).unwrap();
+        client
+            .write_all((post_request("once", "", "x") + ahead).as_bytes())
+            .unwrap();
         stalled.wait_for_pending(1);
         // What was sent ahead has arrived: a client that goes before it has all been sent is not seen to go.
         let start = Instant::now();
         while queued(&client) > 0 {
-            assert!(start.elapsed() < TEST_TIMEOUT, "{number}: {} bytes wait", queued(&client));
+            assert!(
+                start.elapsed() < TEST_TIMEOUT,
+                "{number}: {} bytes wait",
+                queued(&client)
+            );
             std::thread::yield_now();
         }
         let start = Instant::now();
         leave(client);
         stalled.wait_for_pending(0);
-        assert!(start.elapsed() < Duration::from_millis(1500), "{number}: {:?}", start.elapsed());
+        assert!(
+            start.elapsed() < Duration::from_millis(1500),
+            "{number}: {:?}",
+            start.elapsed()
+        );
     }
 }
 
@@ -105,8 +138,13 @@
     let endpoint = start_server(|m| Reply::Send(response(200, "", &m.headers["x-txn"])));
     let gateway = Gateway::new(&config_with_silent_discovery(&[endpoint]));
     let mut client = gateway.connect();
-    let texts: Vec<_> = (1..=50).map(|customer| get_request(customer, 1, 3000)).collect();
-    client.get_mut().write_all(texts.concat().as_bytes()).unwrap();
+    let texts: Vec<_> = (1..=50)
+        .map(|customer| get_request(customer, 1, 3000))
+        .collect();
+    client
+        .get_mut()
+        .write_all(texts.concat().as_bytes())
+        .unwrap();
     for customer in 1..=50 {
         assert_eq!(
             read_message(&mut client).expect("an answer").body,
@@ -132,12 +170,21 @@
     config["settings"]["domain"]["counter-timeout-ms"] = 20_000.into();
     let gateway = Gateway::new(&config);
     let mut client = TcpStream::connect(gateway.addr).unwrap();
-    client.write_all(post_request("once", "", "left").as_bytes()).unwrap();
-    calls.recv_timeout(TEST_TIMEOUT).expect("a call to the counter");
+    client
+        .write_all(post_request("once", "", "left").as_bytes())
+        .unwrap();
+    calls
+        .recv_timeout(TEST_TIMEOUT)
+        .expect("a call to the counter");
     drop(client);
     let stays = post_request("once", "", "stays").replace("9b1f03aa5c7e2d41", "9b1f03aa5c7e2d42");
     assert_eq!(gateway.exchange(&stays).status(), 200);
-    let bodies: Vec<_> = received.lock().unwrap().iter().map(|m| m.body.clone()).collect();
+    let bodies: Vec<_> = received
+        .lock()
+        .unwrap()
+        .iter()
+        .map(|m| m.body.clone())
+        .collect();
     assert_eq!(bodies, [b"stays"]);
 }
 
@@ -145,9 +192,15 @@
 #[test]
 fn an_attempt_sends_the_time_remaining_when_it_is_written() {
     let stalled = StalledEndpoint::new();
-    let gateway = Gateway::new(&config_with_long_connect_timeout(&[stalled.addr], Discovery::new().addr));
+    let gateway = Gateway::new(&config_with_long_connect_timeout(
+        &[stalled.addr],
+        Discovery::new().addr,
+    ));
     let mut connection = gateway.connect();
-    connection.get_mut().write_all(post_request("once", "", "x").as_bytes()).unwrap();
+    connection
+        .get_mut()
+        .write_all(post_request("once", "", "x").as_bytes())
+        .unwrap();
     stalled.wait_for_pending(1);
     std::thread::sleep(Duration::from_millis(800));
     let late = stalled.accept_next();
--- a/tests/gateway/service.rs
+++ b/tests/gateway/service.rs
@@ -12,7 +12,10 @@
     config["settings"]["rules"]["cold-from"] = "warm".into();
     assert_reports(&config, "settings.rules.cold-from");
     let mut config = config_with_silent_discovery(&[unused_address()]);
-    config["settings"]["categories"][1].as_object_mut().unwrap().remove("window-ms");
+    config["settings"]["categories"][1]
+        .as_object_mut()
+        .unwrap()
+        .remove("window-ms");
     assert_reports(&config, "settings.categories[1].window-ms");
     for (list, number, field, value) in [
         ("categories", 0, "give-up-ms", -1.0),
@@ -29,7 +32,10 @@
     let output = spawn_program(config).0.wait_with_output().unwrap();
     let report = String::from_utf8(output.stderr).unwrap();
     assert!(!output.status.success());
-    assert!(report.contains(field) && report.trim_end().lines().count() == 1, "{report}");
+    assert!(
+        report.contains(field) && report.trim_end().lines().count() == 1,
+        "{report}"
+    );
 }
 
 /// Only classes with an idempotency key need a group and a window.
@@ -38,12 +44,17 @@
     let (backend, _) = healthy_endpoint();
     let mut config = config_with_silent_discovery(&[backend]);
     for class in [0, 2] {
-        let class = config["settings"]["categories"][class].as_object_mut().unwrap();
+        let class = config["settings"]["categories"][class]
+            .as_object_mut()
+            .unwrap();
         class.retain(|field, _| !["group", "window-ms", "stream"].contains(&field.as_str()));
     }
     let gateway = Gateway::new(&config);
     assert_eq!(gateway.get(1, 1).status(), 200);
-    assert_eq!(gateway.exchange(&post_request("once", "", "x")).status(), 200);
+    assert_eq!(
+        gateway.exchange(&post_request("once", "", "x")).status(),
+        200
+    );
 }
 
 #[test]
@@ -56,7 +67,9 @@
     });
     let mut gateway = Gateway::new(&config_with_silent_discovery(&[addr]));
     let mut open = gateway.connect();
-    open.get_mut().write_all(get_request(1, 1, 3000).as_bytes()).unwrap();
+    open.get_mut()
+        .write_all(get_request(1, 1, 3000).as_bytes())
+        .unwrap();
     begun.recv_timeout(TEST_TIMEOUT).unwrap();
     let start = Instant::now();
     gateway.signal("-TERM");
@@ -67,7 +80,10 @@
             break answer;
         }
     };
-    assert_eq!((unready.status(), unready.headers["connection"].as_str()), (503, "close"));
+    assert_eq!(
+        (unready.status(), unready.headers["connection"].as_str()),
+        (503, "close")
+    );
     assert_eq!(read_message(&mut open).unwrap().body, b"done");
     assert!(gateway.child.wait().unwrap().success());
     assert!(start.elapsed() < Duration::from_secs(3));
@@ -94,18 +110,24 @@
         config["discovery"] = discovery.addr.to_string().into();
         assert!(!gateway.reload(&config.to_string()).contains("stands"));
         let (line, mut list) = discovery.next_watch();
-        assert!(!line.contains("stream"), "the complete list is requested: {line}");
+        assert!(
+            !line.contains("stream"),
+            "the complete list is requested: {line}"
+        );
         let addr = if round % 2 == 0 { new } else { old };
-        let text =
-            serde_json::json!({"version": 1, "full": true, "servers": [list_entry(round, addr, "Ready")]});
-        list.write_all(response(200, "", &text.to_string()).as_bytes()).unwrap();
+        let text = serde_json::json!({"version": 1, "full": true, "servers": [list_entry(round, addr, "Ready")]});
+        list.write_all(response(200, "", &text.to_string()).as_bytes())
+            .unwrap();
         let (line, _watch) = Discovery::watch_after_list(list);
         assert!(line.contains("index=1"), "{line}");
         let before = amounts.lock().unwrap().len();
         let start = Instant::now();
         while amounts.lock().unwrap().len() == before {
             customer += 1;
-            assert!(start.elapsed() < TEST_TIMEOUT, "the new counter is never called");
+            assert!(
+                start.elapsed() < TEST_TIMEOUT,
+                "the new counter is never called"
+            );
             assert_eq!(gateway.get(customer, 1).status(), 200);
         }
     }
@@ -119,7 +141,11 @@
     let mut invalid = valid.clone();
     invalid["settings"]["position"] = 9.into();
     let mut customer = 0;
-    for text in ["{\"name\": \"n0\", ".to_owned(), String::new(), invalid.to_string()] {
+    for text in [
+        "{\"name\": \"n0\", ".to_owned(),
+        String::new(),
+        invalid.to_string(),
+    ] {
         let logged = gateway.reload(&text);
         assert!(logged.contains("the old configuration stands"), "{logged}");
         customer += 1;
@@ -147,14 +173,23 @@
         }
         let mut gateway = Gateway::new(&config);
         let mut open = gateway.connect();
-        open.get_mut().write_all(get_request(1, 1, 7000).as_bytes()).unwrap();
+        open.get_mut()
+            .write_all(get_request(1, 1, 7000).as_bytes())
+            .unwrap();
         begun.recv_timeout(TEST_TIMEOUT).unwrap();
         let start = Instant::now();
         gateway.signal("-TERM");
-        assert_eq!(read_message(&mut open).expect("an answer").status(), if hangs { 502 } else { 200 });
+        assert_eq!(
+            read_message(&mut open).expect("an answer").status(),
+            if hangs { 502 } else { 200 }
+        );
         assert!(gateway.child.wait().unwrap().success());
         // Killed after 3.7 s.
-        assert!(start.elapsed() < Duration::from_millis(3650), "{:?}", start.elapsed());
+        assert!(
+            start.elapsed() < Duration::from_millis(3650),
+            "{:?}",
+            start.elapsed()
+        );
     }
 }
 
@@ -174,12 +209,16 @@
     gateway.signal("-STOP");
     let mut opens: Vec<_> = (0..20).map(|_| gateway.connect()).collect();
     for (customer, open) in opens.iter_mut().enumerate() {
-        open.get_mut().write_all(get_request(customer as u64, 1, 3000).as_bytes()).unwrap();
+        open.get_mut()
+            .write_all(get_request(customer as u64, 1, 3000).as_bytes())
+            .unwrap();
     }
     std::thread::sleep(Duration::from_millis(800));
     gateway.signal("-CONT");
-    let statuses: Vec<_> =
-        opens.iter_mut().map(|open| read_message(open).map(|answer| answer.status())).collect();
+    let statuses: Vec<_> = opens
+        .iter_mut()
+        .map(|open| read_message(open).map(|answer| answer.status()))
+        .collect();
     assert_eq!(statuses, [Some(200); 20]);
     drop(busy);
     assert!(gateway.child.wait().unwrap().success());
@@ -205,7 +244,12 @@
     let (backend, _) = healthy_endpoint();
     let gateway = Gateway::new(&config_with_silent_discovery(&[backend]));
     assert_eq!(gateway.get(1, 1).status(), 200);
-    assert_eq!(gateway.exchange("GET /none HTTP/1.1\r\nHost: x\r\n\r\n").status(), 404);
+    assert_eq!(
+        gateway
+            .exchange("GET /none HTTP/1.1\r\nHost: x\r\n\r\n")
+            .status(),
+        404
+    );
     let metrics = gateway.exchange("GET /health/metrics HTTP/1.1\r\nHost: x\r\n\r\n");
     assert_eq!(metrics.status(), 200);
     let text = String::from_utf8(metrics.body).unwrap();
@@ -217,8 +261,13 @@
     ] {
         assert!(text.lines().any(|other| other == line), "{line}\n{text}");
     }
-    let violations = text.lines().filter(|line| line.starts_with("gateway_rule_violations_total"));
-    assert!(violations.clone().count() == 7 && violations.clone().all(|line| line.ends_with(" 0")), "{text}");
+    let violations = text
+        .lines()
+        .filter(|line| line.starts_with("gateway_rule_violations_total"));
+    assert!(
+        violations.clone().count() == 7 && violations.clone().all(|line| line.ends_with(" 0")),
+        "{text}"
+    );
 }
 
 /// At the level `debug` a request can be followed by its id.
@@ -246,11 +295,15 @@
     let config = config_with_silent_discovery(&[addr]);
     let mut gateway = Gateway::new(&config);
     let mut open = gateway.connect();
-    open.get_mut().write_all(get_request(1, 1, 3000).as_bytes()).unwrap();
+    open.get_mut()
+        .write_all(get_request(1, 1, 3000).as_bytes())
+        .unwrap();
     begun.recv_timeout(TEST_TIMEOUT).unwrap();
     gateway.signal("-TERM");
     std::thread::sleep(Duration::from_millis(100));
-    assert!(gateway.reload(&config.to_string()).contains("configuration reloaded"));
+    assert!(gateway
+        .reload(&config.to_string())
+        .contains("configuration reloaded"));
     assert_eq!(read_message(&mut open).unwrap().body, b"done");
     assert!(gateway.child.wait().unwrap().success());
 }
--- a/tests/gateway/shutdown.rs
+++ b/tests/gateway/shutdown.rs
@@ -57,9 +57,19 @@
 impl Run {
     /// Requests that the endpoint has got and whose clients got no response.
     fn lost(&self) -> Vec<&str> {
-        let seen: HashSet<_> = self.attempts.iter().map(|attempt| attempt.transaction.as_str()).collect();
-        let unanswered = self.requests.iter().filter(|request| request.answer.is_none());
-        unanswered.map(|request| request.transaction.as_str()).filter(|id| seen.contains(id)).collect()
+        let seen: HashSet<_> = self
+            .attempts
+            .iter()
+            .map(|attempt| attempt.transaction.as_str())
+            .collect();
+        let unanswered = self
+            .requests
+            .iter()
+            .filter(|request| request.answer.is_none());
+        unanswered
+            .map(|request| request.transaction.as_str())
+            .filter(|id| seen.contains(id))
+            .collect()
     }
 }
 
@@ -81,7 +91,11 @@
     let mut client = std::io::BufReader::new(stream);
     spawn(move || {
         let wait_until = |at: Instant| sleep(at.saturating_duration_since(Instant::now()));
-        let requests = if matches!(sending, Sending::TwoAtOnce) { &texts[..] } else { &texts[..1] };
+        let requests = if matches!(sending, Sending::TwoAtOnce) {
+            &texts[..]
+        } else {
+            &texts[..1]
+        };
         let mut rest = requests.concat();
         if matches!(sending, Sending::InTwoPieces) {
             wait_until(first_piece_at);
@@ -94,9 +108,17 @@
         let _ = client.get_mut().write_all(rest.as_bytes());
         let end_of = |text: &String| {
             let answer = read_message(&mut client);
-            let closes = |answer: &Message| answer.headers.get("connection").is_some_and(|v| v == "close");
+            let closes = |answer: &Message| {
+                answer
+                    .headers
+                    .get("connection")
+                    .is_some_and(|v| v == "close")
+            };
             let answer = answer.map(|answer| (answer.status(), closes(&answer)));
-            RequestEnd { transaction: transaction_of(text), answer }
+            RequestEnd {
+                transaction: transaction_of(text),
+                answer,
+            }
         };
         requests.iter().map(end_of).collect()
     })
@@ -121,15 +143,23 @@
         (class["aim-ms"], class["give-up-ms"]) = (deadline_ms.into(), deadline_ms.into());
     }
     let mut gateway = Gateway::new(&config);
-    let kill_after = Duration::from_millis(deadline_ms.into()).min(MAX_COUNTED_DEADLINE) + KILL_GRACE;
+    let kill_after =
+        Duration::from_millis(deadline_ms.into()).min(MAX_COUNTED_DEADLINE) + KILL_GRACE;
     // All connections are up before SIGTERM, and accepted by then or a moment later.
     let started_at = Instant::now();
     let planned_end = started_at + PIECE_INTERVAL;
     let client = |number: u32| {
-        let texts = [number, number + CLIENTS].map(|customer| get_request(customer.into(), 1, deadline_ms));
+        let texts =
+            [number, number + CLIENTS].map(|customer| get_request(customer.into(), 1, deadline_ms));
         let after = kill_after * number / CLIENTS;
         // The first piece is sent at PIECE_INTERVAL before the second.
-        start_client(gateway.addr, sending, texts, planned_end + after, started_at + after)
+        start_client(
+            gateway.addr,
+            sending,
+            texts,
+            planned_end + after,
+            started_at + after,
+        )
     };
     let clients: Vec<_> = (1..=CLIENTS).map(client).collect();
     sleep(planned_end.saturating_duration_since(Instant::now()));
@@ -143,17 +173,31 @@
     }
     let has_ended_well = gateway.child.wait().unwrap().success();
     let ended_at = Instant::now();
-    let requests = clients.into_iter().flat_map(|client| client.join().unwrap()).collect();
+    let requests = clients
+        .into_iter()
+        .flat_map(|client| client.join().unwrap())
+        .collect();
     let attempts = std::mem::take(&mut *attempts.lock().unwrap());
     let log = gateway.log.try_iter().collect::<Vec<_>>().join("\n");
-    Run { terminated_at, ended_at, has_ended_well, requests, attempts, log }
+    Run {
+        terminated_at,
+        ended_at,
+        has_ended_well,
+        requests,
+        attempts,
+        log,
+    }
 }
 
 /// What is wrong with such an end; none if nothing is.
 fn fault_of(deadline_ms: u32, sending: Sending, held_up_at: Option<Duration>) -> Option<String> {
     let run = end_under_requests(deadline_ms, sending, held_up_at);
     let lost = run.lost();
-    let answered = run.requests.iter().filter(|request| request.answer.is_some()).count();
+    let answered = run
+        .requests
+        .iter()
+        .filter(|request| request.answer.is_some())
+        .count();
     let is_well = run.has_ended_well && !run.log.contains("rule broken");
     if is_well && lost.is_empty() && answered > 0 {
         return None;
@@ -171,8 +215,12 @@
 #[test]
 fn every_request_that_was_read_is_answered_before_the_process_ends() {
     let sendings = [Sending::Whole, Sending::InTwoPieces, Sending::TwoAtOnce];
-    let cases = [120, 300, 1700].into_iter().flat_map(|ms| sendings.map(|sending| (ms, sending)));
-    let faults: Vec<_> = cases.filter_map(|(ms, sending)| fault_of(ms, sending, None)).collect();
+    let cases = [120, 300, 1700]
+        .into_iter()
+        .flat_map(|ms| sendings.map(|sending| (ms, sending)));
+    let faults: Vec<_> = cases
+        .filter_map(|(ms, sending)| fault_of(ms, sending, None))
+        .collect();
     assert!(faults.is_empty(), "{}", faults.join("\n"));
 }
 
@@ -180,7 +228,9 @@
 #[test]
 fn a_process_that_is_held_up_at_its_end_loses_no_request() {
     let moments = (1..=8).map(|tenths| Duration::from_millis(100 * tenths));
-    let faults: Vec<_> = moments.filter_map(|at| fault_of(300, Sending::Whole, Some(at))).collect();
+    let faults: Vec<_> = moments
+        .filter_map(|at| fault_of(300, Sending::Whole, Some(at)))
+        .collect();
     assert!(faults.is_empty(), "{}", faults.join("\n"));
 }
 
@@ -188,7 +238,10 @@
 #[test]
 fn attempts_of_a_process_that_ends_tell_no_time_beyond_its_end() {
     let run = end_under_requests(1000, Sending::Whole, None);
-    let mut late = run.attempts.iter().filter(|attempt| attempt.at > run.terminated_at);
+    let mut late = run
+        .attempts
+        .iter()
+        .filter(|attempt| attempt.at > run.terminated_at);
     let beyond = late.find(|attempt| attempt.at + attempt.told > run.ended_at + TOLD_SLACK);
     let beyond = beyond.map(|attempt| (attempt.told, run.ended_at - attempt.at));
     assert_eq!(beyond, None, "told, and left to the process");
@@ -208,11 +261,16 @@
         let mut clients: Vec<_> = (0..20).map(|_| gateway.connect()).collect();
         for (customer, client) in (1..).zip(&mut clients) {
             let request = get_request(customer, 1, 300);
-            client.get_mut().write_all(&request.as_bytes()[..request.len() / 2]).unwrap();
+            client
+                .get_mut()
+                .write_all(&request.as_bytes()[..request.len() / 2])
+                .unwrap();
         }
         gateway.signal("-TERM");
-        let statuses: Vec<_> =
-            clients.iter_mut().map(|client| read_message(client).map(|answer| answer.status())).collect();
+        let statuses: Vec<_> = clients
+            .iter_mut()
+            .map(|client| read_message(client).map(|answer| answer.status()))
+            .collect();
         assert_eq!(statuses, [Some(503); 20], "{faults}");
         assert!(gateway.child.wait().unwrap().success());
     }
--- a/tests/gateway/stand_ins/config.rs
+++ b/tests/gateway/stand_ins/config.rs
@@ -8,8 +8,16 @@
 use std::sync::Arc;
 
 /// A configuration with these endpoints known.
-pub fn config(endpoints: &[SocketAddr], counter: SocketAddr, discovery: SocketAddr) -> serde_json::Value {
-    let servers: Vec<_> = endpoints.iter().enumerate().map(|(i, a)| list_entry(i, *a, "Ready")).collect();
+pub fn config(
+    endpoints: &[SocketAddr],
+    counter: SocketAddr,
+    discovery: SocketAddr,
+) -> serde_json::Value {
+    let servers: Vec<_> = endpoints
+        .iter()
+        .enumerate()
+        .map(|(i, a)| list_entry(i, *a, "Ready"))
+        .collect();
     let class = |name: &str, effect: &str| {
         serde_json::json!({"name": name, "aim-ms": 1500.0, "give-up-ms": 4000.0, "value": 1.0, "late-worth": 0.0,
             "effect": effect, "group": "zone", "stream": false, "window-ms": 2500.0})
@@ -40,5 +48,9 @@
 
 /// The same, with a counter that works and discovery that never answers.
 pub fn config_with_silent_discovery(endpoints: &[SocketAddr]) -> serde_json::Value {
-    config(endpoints, start_counter(Arc::default()), start_server(|_| Reply::StaySilent(channel().0)))
+    config(
+        endpoints,
+        start_counter(Arc::default()),
+        start_server(|_| Reply::StaySilent(channel().0)),
+    )
 }
--- a/tests/gateway/stand_ins/discovery.rs
+++ b/tests/gateway/stand_ins/discovery.rs
@@ -29,9 +29,13 @@
             for stream in listener.incoming() {
                 let mut stream = stream.unwrap();
                 let mut from = BufReader::new(stream.try_clone().unwrap());
-                let Some(request) = read_message(&mut from) else { continue };
+                let Some(request) = read_message(&mut from) else {
+                    continue;
+                };
                 if request.line.contains("stream=1") {
-                    stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
+                    stream
+                        .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+                        .unwrap();
                 }
                 let _ = to.send((request.line, stream));
             }
@@ -41,20 +45,24 @@
 
     /// The watch that follows the list on the same connection.
     pub fn watch_after_list(stream: TcpStream) -> (String, TcpStream) {
-        let request =
-            read_message(&mut BufReader::new(stream.try_clone().unwrap())).expect("a watch follows the list");
+        let request = read_message(&mut BufReader::new(stream.try_clone().unwrap()))
+            .expect("a watch follows the list");
         (request.line, stream)
     }
 
     /// Waits for the next call.
     pub fn next_watch(&self) -> (String, TcpStream) {
-        self.watches.recv_timeout(TEST_TIMEOUT).expect("the gateway opens a watch")
+        self.watches
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("the gateway opens a watch")
     }
 }
 
 /// Sends one line of a watch, in a chunk of its own.
 pub fn push_update(watch: &mut TcpStream, line: &str) {
-    watch.write_all(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes()).unwrap();
+    watch
+        .write_all(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes())
+        .unwrap();
 }
 
 /// One entry of an endpoint list.
--- a/tests/gateway/stand_ins/endpoint.rs
+++ b/tests/gateway/stand_ins/endpoint.rs
@@ -31,10 +31,16 @@
     /// One on a port of its own.
     pub fn new() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-        socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
+        socket
+            .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
+            .unwrap();
         socket.listen(0).unwrap();
         let addr = socket.local_addr().unwrap().as_socket().unwrap();
-        StalledEndpoint { addr, socket, _filler: TcpStream::connect(addr).unwrap() }
+        StalledEndpoint {
+            addr,
+            socket,
+            _filler: TcpStream::connect(addr).unwrap(),
+        }
     }
 
     /// Connections that wait to come up, as the system has it.
@@ -44,14 +50,19 @@
         // The table holds the whole system's sockets, tens of thousands after a soak: few are looked at closely.
         let candidates = table.lines().filter(|row| row.contains(&port));
         let rows = candidates.map(|row| row.split_whitespace().collect::<Vec<_>>());
-        rows.filter(|row| row[2].ends_with(&port) && row[3] == "02").count()
+        rows.filter(|row| row[2].ends_with(&port) && row[3] == "02")
+            .count()
     }
 
     /// Waits until this many connections wait to come up.
     pub fn wait_for_pending(&self, number: usize) {
         let start = Instant::now();
         while self.pending_connections() != number {
-            assert!(start.elapsed() < TEST_TIMEOUT, "{} connections wait", self.pending_connections());
+            assert!(
+                start.elapsed() < TEST_TIMEOUT,
+                "{} connections wait",
+                self.pending_connections()
+            );
             std::thread::yield_now();
         }
     }
--- a/tests/gateway/stand_ins/faults.rs
+++ b/tests/gateway/stand_ins/faults.rs
@@ -7,7 +7,10 @@
 /// The environment of a program whose system calls fail as `faults` says; see `tests/shim/syscall_faults.c`.
 pub fn fault_environment(faults: &str) -> Vec<(&'static str, String)> {
     let library = fault_library().to_str().unwrap().to_owned();
-    vec![("LD_PRELOAD", library), ("GATEWAY_FAULTS", faults.to_owned())]
+    vec![
+        ("LD_PRELOAD", library),
+        ("GATEWAY_FAULTS", faults.to_owned()),
+    ]
 }
 
 /// The library, compiled once for each run of the tests.
@@ -18,7 +21,10 @@
         let name = format!("syscall-faults-{}.so", std::process::id());
         let library = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
         let mut compiler = Command::new("cc");
-        compiler.args(["-shared", "-fPIC", "-O1", "-o"]).arg(&library).args([source, "-ldl"]);
+        compiler
+            .args(["-shared", "-fPIC", "-O1", "-o"])
+            .arg(&library)
+            .args([source, "-ldl"]);
         assert!(compiler.status().expect("a C compiler").success());
         library
     })
--- a/tests/gateway/stand_ins/gateway.rs
+++ b/tests/gateway/stand_ins/gateway.rs
@@ -36,7 +36,10 @@
 ) -> (Child, PathBuf) {
     static NUMBER: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
     let number = NUMBER.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-    let path = std::env::temp_dir().join(format!("quota-gateway-{}-{number}.json", std::process::id()));
+    let path = std::env::temp_dir().join(format!(
+        "quota-gateway-{}-{number}.json",
+        std::process::id()
+    ));
     std::fs::write(&path, config.to_string()).unwrap();
     let sockets = config["limits"]["sockets"].as_u64().unwrap();
     (spawn_program_at(&path, sockets, log, environment), path)
@@ -50,9 +53,20 @@
     environment: &[(&str, String)],
 ) -> Child {
     let mut command = Command::new("sh");
-    command.args(["-c", &format!("ulimit -n {sockets}; exec {}", env!("CARGO_BIN_EXE_quota-gateway"))]);
+    command.args([
+        "-c",
+        &format!(
+            "ulimit -n {sockets}; exec {}",
+            env!("CARGO_BIN_EXE_quota-gateway")
+        ),
+    ]);
     command.envs(environment.iter().map(|(name, value)| (name, value)));
-    command.env("RELAY_CONFIG", path).stdin(Stdio::null()).stderr(log).spawn().unwrap()
+    command
+        .env("RELAY_CONFIG", path)
+        .stdin(Stdio::null())
+        .stderr(log)
+        .spawn()
+        .unwrap()
 }
 
 impl Gateway {
@@ -81,7 +95,12 @@
         let addr = unused_address();
         config["listen"] = addr.to_string().into();
         let (child, config_path) = spawn_program_with(&config, log, &[]);
-        let gateway = Gateway { child, addr, log: channel().1, config_path };
+        let gateway = Gateway {
+            child,
+            addr,
+            log: channel().1,
+            config_path,
+        };
         let start = Instant::now();
         while TcpStream::connect(addr).is_err() {
             assert!(start.elapsed() < TEST_TIMEOUT, "never listens");
@@ -100,20 +119,34 @@
     pub fn read_log((mut child, path): (Child, PathBuf)) -> Self {
         let stderr = BufReader::new(child.stderr.take().unwrap());
         let (to, log) = channel();
-        std::thread::spawn(move || stderr.lines().map_while(Result::ok).try_for_each(|l| to.send(l)));
+        std::thread::spawn(move || {
+            stderr
+                .lines()
+                .map_while(Result::ok)
+                .try_for_each(|l| to.send(l))
+        });
         let addr = loop {
             let line = log.recv_timeout(TEST_TIMEOUT).expect("the gateway starts");
             if let Some((_, addr)) = line.split_once("listening on ") {
                 break addr.parse().unwrap();
             }
         };
-        Gateway { child, addr, log, config_path: path }
+        Gateway {
+            child,
+            addr,
+            log,
+            config_path: path,
+        }
     }
 
     /// Waits until the program says that it is ready.
     pub fn wait_until_ready(&self) {
         let start = Instant::now();
-        while self.exchange("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() != 200 {
+        while self
+            .exchange("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+            .status()
+            != 200
+        {
             assert!(start.elapsed() < TEST_TIMEOUT, "never ready");
             std::thread::sleep(Duration::from_millis(20));
         }
@@ -150,7 +183,10 @@
     /// Waits until the program has logged a line with these words.
     pub fn wait_for_log(&self, words: &str) {
         let start = Instant::now();
-        while let Ok(line) = self.log.recv_timeout(TEST_TIMEOUT.saturating_sub(start.elapsed())) {
+        while let Ok(line) = self
+            .log
+            .recv_timeout(TEST_TIMEOUT.saturating_sub(start.elapsed()))
+        {
             if line.contains(words) {
                 return;
             }
@@ -160,7 +196,11 @@
 
     /// Sends the program a signal.
     pub fn signal(&self, name: &str) {
-        assert!(Command::new("kill").args([name, &self.child.id().to_string()]).status().unwrap().success());
+        assert!(Command::new("kill")
+            .args([name, &self.child.id().to_string()])
+            .status()
+            .unwrap()
+            .success());
     }
 }
 
--- a/tests/gateway/stand_ins/http.rs
+++ b/tests/gateway/stand_ins/http.rs
@@ -18,7 +18,11 @@
 impl Message {
     /// A response's status; 0 if it has none.
     pub fn status(&self) -> u16 {
-        self.line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
+        self.line
+            .split(' ')
+            .nth(1)
+            .and_then(|s| s.parse().ok())
+            .unwrap_or(0)
     }
 }
 
@@ -31,10 +35,17 @@
     loop {
         let mut line = String::new();
         from.read_line(&mut line).ok().filter(|n| *n > 0)?;
-        let Some((name, value)) = line.trim_end().split_once(": ") else { break };
-        message.headers.insert(name.to_ascii_lowercase(), value.to_owned());
+        let Some((name, value)) = line.trim_end().split_once(": ") else {
+            break;
+        };
+        message
+            .headers
+            .insert(name.to_ascii_lowercase(), value.to_owned());
     }
-    let length = message.headers.get("content-length").map_or(0, |l| l.parse().unwrap());
+    let length = message
+        .headers
+        .get("content-length")
+        .map_or(0, |l| l.parse().unwrap());
     message.body.resize(length, 0);
     from.read_exact(&mut message.body).ok()?;
     Some(message)
@@ -42,5 +53,8 @@
 
 /// The text of a response.
 pub fn response(status: u16, headers: &str, body: &str) -> String {
-    format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
--- a/tests/gateway/stand_ins/server.rs
+++ b/tests/gateway/stand_ins/server.rs
@@ -45,7 +45,9 @@
                         Reply::SendAndReset(text) => {
                             stream.write_all(text.as_bytes()).unwrap();
                             std::thread::sleep(RESET_DELAY);
-                            SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
+                            SockRef::from(&stream)
+                                .set_linger(Some(Duration::ZERO))
+                                .unwrap();
                             return;
                         }
                         Reply::StaySilent(closed) => {
@@ -63,5 +65,8 @@
 
 /// A port on which nobody listens.
 pub fn unused_address() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
+    TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap()
 }
--- a/tests/gateway/startup.rs
+++ b/tests/gateway/startup.rs
@@ -15,16 +15,26 @@
     for (number, signal) in ["-HUP", "-TERM"].into_iter().enumerate() {
         let (endpoint, _) = healthy_endpoint();
         let config = config_with_silent_discovery(&[endpoint]);
-        let path =
-            std::env::temp_dir().join(format!("quota-gateway-{}-pipe-{number}.json", std::process::id()));
-        assert!(Command::new("mkfifo").arg(&path).status().unwrap().success());
+        let path = std::env::temp_dir().join(format!(
+            "quota-gateway-{}-pipe-{number}.json",
+            std::process::id()
+        ));
+        assert!(Command::new("mkfifo")
+            .arg(&path)
+            .status()
+            .unwrap()
+            .success());
         let mut child = spawn_program_at(&path, 256, Stdio::piped(), &[]);
         // Opened once the program has opened it.
         let mut pipe = OpenOptions::new().write(true).open(&path).unwrap();
         std::fs::remove_file(&path).unwrap();
         std::fs::write(&path, config.to_string()).unwrap();
         let id = child.id().to_string();
-        assert!(Command::new("kill").args([signal, &id]).status().unwrap().success());
+        assert!(Command::new("kill")
+            .args([signal, &id])
+            .status()
+            .unwrap()
+            .success());
         pipe.write_all(config.to_string().as_bytes()).unwrap();
         drop(pipe);
         if signal == "-TERM" {
@@ -63,8 +73,16 @@
     let (mut child, path) = spawn_program(&config);
     sleep(Duration::from_millis(300));
     let start = Instant::now();
-    assert!(Command::new("kill").args(["-TERM", &child.id().to_string()]).status().unwrap().success());
+    assert!(Command::new("kill")
+        .args(["-TERM", &child.id().to_string()])
+        .status()
+        .unwrap()
+        .success());
     assert!(child.wait().unwrap().success());
-    assert!(start.elapsed() < Duration::from_secs(3), "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_secs(3),
+        "{:?}",
+        start.elapsed()
+    );
     std::fs::remove_file(path).unwrap();
 }
--- a/tests/gateway/system_faults.rs
+++ b/tests/gateway/system_faults.rs
@@ -12,9 +12,12 @@
 /// also at the end of the listener.
 #[test]
 fn a_failure_to_accept_at_the_end_of_the_listener_loses_no_client() {
-    for faults in
-        ["accept_abort=500", "accept_full=500", "accept_abort=700,accept_full=300,seed=7", "accept_full=750"]
-    {
+    for faults in [
+        "accept_abort=500",
+        "accept_full=500",
+        "accept_abort=700,accept_full=300,seed=7",
+        "accept_full=750",
+    ] {
         let (endpoint, _) = healthy_endpoint();
         let mut gateway = Gateway::with_faults(&config_with_silent_discovery(&[endpoint]), faults);
         gateway.signal("-TERM");
@@ -26,12 +29,16 @@
         gateway.signal("-STOP");
         let mut opens: Vec<_> = (0..40).map(|_| gateway.connect()).collect();
         for (customer, open) in opens.iter_mut().enumerate() {
-            open.get_mut().write_all(get_request(customer as u64, 1, 3000).as_bytes()).unwrap();
+            open.get_mut()
+                .write_all(get_request(customer as u64, 1, 3000).as_bytes())
+                .unwrap();
         }
         sleep(Duration::from_millis(800));
         gateway.signal("-CONT");
-        let statuses: Vec<_> =
-            opens.iter_mut().map(|open| read_message(open).map(|answer| answer.status())).collect();
+        let statuses: Vec<_> = opens
+            .iter_mut()
+            .map(|open| read_message(open).map(|answer| answer.status()))
+            .collect();
         assert_eq!(statuses, [Some(200); 40], "{faults}");
         assert!(gateway.child.wait().unwrap().success());
     }
@@ -55,11 +62,16 @@
     // The first error begins the wait: it is that of a client which comes before.
     let _early = gateway.connect();
     let mut client = gateway.connect();
-    client.get_mut().write_all(get_request(1, 1, 3000).as_bytes()).unwrap();
+    client
+        .get_mut()
+        .write_all(get_request(1, 1, 3000).as_bytes())
+        .unwrap();
     sleep(Duration::from_secs(1));
     std::fs::remove_file(&switch).unwrap();
     assert_eq!(read_message(&mut client).expect("an answer").status(), 200);
-    let told: u64 = received.lock().unwrap()[0].headers["x-remaining-ms"].parse().unwrap();
+    let told: u64 = received.lock().unwrap()[0].headers["x-remaining-ms"]
+        .parse()
+        .unwrap();
     assert!(told <= 2150, "{told} ms of 3000 are left after 1000");
 }
 
@@ -72,7 +84,10 @@
         let request = if customer % 3 == 0 {
             post_request("once", "", &"x".repeat(customer * 50))
                 .replace("9b1f03aa", &format!("{customer:08x}"))
-                .replace("account=0000000000000007", &format!("account={customer:016x}"))
+                .replace(
+                    "account=0000000000000007",
+                    &format!("account={customer:016x}"),
+                )
         } else {
             get_request(customer as u64, 1, 3000)
         };
@@ -176,14 +191,22 @@
         let change = serde_json::json!({"version": 8, "full": false, "servers": [bad, started]});
         push_update(&mut watch, &change.to_string());
         gateway.wait_for_log("an entry of the list");
-        let mut clients: Vec<_> = (0..CONCURRENT_REQUESTS).map(|_| gateway.connect()).collect();
+        let mut clients: Vec<_> = (0..CONCURRENT_REQUESTS)
+            .map(|_| gateway.connect())
+            .collect();
         for (customer, client) in (0..).zip(&mut clients) {
-            client.get_mut().write_all(get_request(customer, 1, 3000).as_bytes()).unwrap();
+            client
+                .get_mut()
+                .write_all(get_request(customer, 1, 3000).as_bytes())
+                .unwrap();
         }
         for client in &mut clients {
             read_message(client).expect("an answer");
         }
         let sent = got_cold.load(Ordering::SeqCst);
-        assert!(sent <= 5, "{faults}: {sent} of {CONCURRENT_REQUESTS} requests sent to a cold endpoint");
+        assert!(
+            sent <= 5,
+            "{faults}: {sent} of {CONCURRENT_REQUESTS} requests sent to a cold endpoint"
+        );
     }
 }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -22,7 +22,8 @@
     let mut gateway = TestGateway::new(settings());
     let (key, amount) = counter_call(&gateway.request(1, 0, 3.0)).unwrap();
     let actions = gateway.counter_reply(key, Outcome::Success, amount / 3.0 * 14.0);
-    let retry_after_ms = rejected(&actions).expect("others used 11 units; the limit of the count is 12.5");
+    let retry_after_ms =
+        rejected(&actions).expect("others used 11 units; the limit of the count is 12.5");
     assert!(
         retry_after_ms > 200.0 && retry_after_ms <= 1000.0,
         "about 1.5 units are missing, at 2 per second: {retry_after_ms}"
@@ -33,7 +34,10 @@
     let actions = gateway.request(2, 0, 3.0);
     assert!(rejected(&actions).is_some() && counter_call(&actions).is_none());
     gateway.now += 3000.0;
-    assert!(counter_call(&gateway.request(3, 0, 3.0)).is_some(), "units were refilled");
+    assert!(
+        counter_call(&gateway.request(3, 0, 3.0)).is_some(),
+        "units were refilled"
+    );
 }
 
 #[test]
@@ -46,14 +50,23 @@
     two.now = 31_000.0;
     for id in 1..=5 {
         let actions = one.request(id, 0, 2.0);
-        assert!(sent_to(&shared.answer_calls(&mut one, actions)).is_some(), "10 units are left");
+        assert!(
+            sent_to(&shared.answer_calls(&mut one, actions)).is_some(),
+            "10 units are left"
+        );
     }
     let actions = two.request(1, 0, 3.0);
-    assert!(rejected(&shared.answer_calls(&mut two, actions)).is_some(), "the other gateway used them");
+    assert!(
+        rejected(&shared.answer_calls(&mut two, actions)).is_some(),
+        "the other gateway used them"
+    );
     let mut three = TestGateway::new(settings());
     three.now = 36_000.0;
     let actions = three.request(1, 0, 3.0);
-    assert!(sent_to(&shared.answer_calls(&mut three, actions)).is_some(), "10 were refilled since");
+    assert!(
+        sent_to(&shared.answer_calls(&mut three, actions)).is_some(),
+        "10 were refilled since"
+    );
 }
 
 #[test]
@@ -63,7 +76,10 @@
     let endpoint = sent_to(&gateway.counter_reply(key, Outcome::Success, first)).unwrap();
     gateway.attempt_ended(1, 0, endpoint, Outcome::Success, Some(5.0));
     let (_, amount) = counter_call(&gateway.request(2, 0, 1.0)).unwrap();
-    assert!((amount / first - 1.0).abs() < 1e-6, "1 unit, and the 2 above the estimate");
+    assert!(
+        (amount / first - 1.0).abs() < 1e-6,
+        "1 unit, and the 2 above the estimate"
+    );
 }
 
 #[test]
@@ -89,7 +105,9 @@
     let mut forwarded = 0;
     for id in 1..=10 {
         let mut actions = gateway.request(id, 0, 2.0);
-        actions.extend(gateway.handle(Event::TimerFired { token: (1 << 60) | id }));
+        actions.extend(gateway.handle(Event::TimerFired {
+            token: (1 << 60) | id,
+        }));
         forwarded += usize::from(sent_to(&actions).is_some());
     }
     assert_eq!(forwarded, 5, "10 units, 2 for each request");
@@ -101,7 +119,11 @@
     // rejected.
     let mut gateways: Vec<_> = (0..100u32)
         .map(|index| {
-            let settings = Settings { gateway_count: 100, gateway_index: index, ..settings() };
+            let settings = Settings {
+                gateway_count: 100,
+                gateway_index: index,
+                ..settings()
+            };
             let mut gateway = TestGateway::without_endpoints(settings, u64::from(index), 0.0);
             gateway.handle(Event::EndpointUpdate {
                 complete: true,
@@ -126,14 +148,21 @@
             capacity -= if full { 0.0 } else { 1.0 };
             calls += usize::from(id > 6000);
             rejected_calls += usize::from(full && id > 6000);
-            let result = if full { Outcome::Rejected } else { Outcome::Success };
+            let result = if full {
+                Outcome::Rejected
+            } else {
+                Outcome::Success
+            };
             actions.extend(gateway.counter_reply(key, result, amount));
         }
         let endpoint = sent_to(&actions).expect("every request is within its quota");
         gateway.attempt_ended(id, 0, endpoint, Outcome::Success, None);
     }
     assert!(calls > 5000, "they use its capacity: {calls}");
-    assert!(rejected_calls * 100 < calls * 12, "{rejected_calls} of {calls} calls were rejected");
+    assert!(
+        rejected_calls * 100 < calls * 12,
+        "{rejected_calls} of {calls} calls were rejected"
+    );
 }
 
 #[test]
@@ -185,7 +214,10 @@
     let healthy = calls_in_a_second(&mut gateway, 1, Outcome::Success);
     calls_in_a_second(&mut gateway, 1000, Outcome::Rejected);
     let overloaded = calls_in_a_second(&mut gateway, 2000, Outcome::Rejected);
-    assert!(overloaded * 10 <= healthy, "{overloaded} calls of {healthy}");
+    assert!(
+        overloaded * 10 <= healthy,
+        "{overloaded} calls of {healthy}"
+    );
     assert!(overloaded >= 1, "it is still called");
     for second in 3..13 {
         calls_in_a_second(&mut gateway, second * 1000, Outcome::Success);
@@ -231,14 +263,23 @@
     let mut two = gateway_with_overloaded_counter(1);
     // The usage so far is sent, too.
     gossip_message(&mut one);
-    assert!((5000..5005).all(|id| forwarded_without_counter(&mut one, id, 2.0)), "10 units are left");
+    assert!(
+        (5000..5005).all(|id| forwarded_without_counter(&mut one, id, 2.0)),
+        "10 units are left"
+    );
     assert!(!forwarded_without_counter(&mut one, 5005, 1.0));
     let body = gossip_message(&mut one);
     assert!(body.len() <= 256);
     two.handle(Event::Gossip { from: 0, body });
-    assert!(!forwarded_without_counter(&mut two, 5000, 1.0), "the other gateway used them");
+    assert!(
+        !forwarded_without_counter(&mut two, 5000, 1.0),
+        "the other gateway used them"
+    );
     two.now += 1000.0;
-    assert!(forwarded_without_counter(&mut two, 5001, 2.0), "2 were refilled since");
+    assert!(
+        forwarded_without_counter(&mut two, 5001, 2.0),
+        "2 were refilled since"
+    );
 }
 
 #[test]
@@ -253,15 +294,25 @@
         body[at] = to;
         body
     };
-    for body in
-        [vec![], body[..7].to_vec(), [body.clone(), vec![0; 400]].concat(), changed(0, 9), changed(7, 200)]
-    {
+    for body in [
+        vec![],
+        body[..7].to_vec(),
+        [body.clone(), vec![0; 400]].concat(),
+        changed(0, 9),
+        changed(7, 200),
+    ] {
         assert!(two.handle(Event::Gossip { from: 0, body }).is_empty());
     }
     for from in [1, 2] {
-        two.handle(Event::Gossip { from, body: body.clone() });
+        two.handle(Event::Gossip {
+            from,
+            body: body.clone(),
+        });
     }
-    assert!(forwarded_without_counter(&mut two, 5000, 3.0), "no usage was taken from them");
+    assert!(
+        forwarded_without_counter(&mut two, 5000, 3.0),
+        "no usage was taken from them"
+    );
 }
 
 /// The endpoints of the first attempts of `requests` requests, one per second, which end as `outcome` says.
@@ -275,7 +326,8 @@
     for id in 1..=requests {
         gateway.now += 1000.0;
         let actions = gateway.request(id, 2, 1.0);
-        let endpoint = sent_to(&shared.answer_calls(gateway, actions)).expect("the fleet is still used");
+        let endpoint =
+            sent_to(&shared.answer_calls(gateway, actions)).expect("the fleet is still used");
         chosen.push(endpoint);
         gateway.attempt_ended(id, 0, endpoint, outcome(id, endpoint), None);
     }
@@ -292,16 +344,26 @@
             Outcome::Success
         }
     });
-    assert!((1..=3).all(|b| chosen[30..].iter().filter(|a| **a == b).count() > 3), "{chosen:?}");
+    assert!(
+        (1..=3).all(|b| chosen[30..].iter().filter(|a| **a == b).count() > 3),
+        "{chosen:?}"
+    );
     let mut gateway = TestGateway::new(settings());
-    let chosen =
-        endpoints_chosen(
-            &mut gateway,
-            90,
-            |_, b| if b == 2 { Outcome::ConnectionReset } else { Outcome::Success },
-        );
-    assert!(chosen[45..].iter().filter(|a| **a == 2).count() < 6, "{chosen:?}");
-    assert!(chosen[45..].iter().filter(|a| **a == 1).count() > 10, "{chosen:?}");
+    let chosen = endpoints_chosen(&mut gateway, 90, |_, b| {
+        if b == 2 {
+            Outcome::ConnectionReset
+        } else {
+            Outcome::Success
+        }
+    });
+    assert!(
+        chosen[45..].iter().filter(|a| **a == 2).count() < 6,
+        "{chosen:?}"
+    );
+    assert!(
+        chosen[45..].iter().filter(|a| **a == 1).count() > 10,
+        "{chosen:?}"
+    );
 }
 
 /// A request that ends between its charge and its first attempt used nothing: its units are refunded with the
@@ -316,7 +378,10 @@
         let actions = gateway.request(id, 0, 4.0);
         if id % 2 == 0 {
             // The client disconnects while its request waits for the counter.
-            assert!(counter_call(&actions).is_some() && sent_to(&actions).is_none(), "{id}: {actions:?}");
+            assert!(
+                counter_call(&actions).is_some() && sent_to(&actions).is_none(),
+                "{id}: {actions:?}"
+            );
             gateway.handle(Event::ClientDisconnected { id });
             assert!(
                 sent_to(&shared.answer_calls(&mut gateway, actions)).is_none(),
--- a/tests/policy_files.rs
+++ b/tests/policy_files.rs
@@ -13,10 +13,17 @@
 
 /// The files that the deploy file names under `policy`.
 fn named_policy_files() -> BTreeSet<PathBuf> {
-    let deploy =
-        fs::read_to_string(root().join("deploy/balancer.toml")).expect("the deploy file can be read");
-    let line = deploy.lines().find(|line| line.starts_with("policy")).expect("a policy key");
-    line.split('"').skip(1).step_by(2).map(|name| root().join(name)).collect()
+    let deploy = fs::read_to_string(root().join("deploy/balancer.toml"))
+        .expect("the deploy file can be read");
+    let line = deploy
+        .lines()
+        .find(|line| line.starts_with("policy"))
+        .expect("a policy key");
+    line.split('"')
+        .skip(1)
+        .step_by(2)
+        .map(|name| root().join(name))
+        .collect()
 }
 
 /// The source files in `src/policy` and its folders, without those of tests.
@@ -43,12 +50,17 @@
 
 #[test]
 fn the_policy_files_are_readable() {
-    let texts: Vec<_> =
-        policy_files().iter().map(|path| fs::read_to_string(path).expect("a policy file is text")).collect();
+    let texts: Vec<_> = policy_files()
+        .iter()
+        .map(|path| fs::read_to_string(path).expect("a policy file is text"))
+        .collect();
     assert!(!texts.is_empty());
     let mut lines = texts.iter().flat_map(|text| text.lines());
     assert!(lines.all(|line| line.chars().count() <= MAX_LINE_LENGTH));
-    assert!(texts.iter().all(|text| text.starts_with("//! ")), "each file says what it is for");
+    assert!(
+        texts.iter().all(|text| text.starts_with("//! ")),
+        "each file says what it is for"
+    );
 }
 
 #[test]
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -65,13 +65,22 @@
 
     fn check(&mut self, action: &Action) {
         match *action {
-            Action::SendAttempt { id, endpoint, timeout_ms, .. } => {
+            Action::SendAttempt {
+                id,
+                endpoint,
+                timeout_ms,
+                ..
+            } => {
                 self.check_attempt(id, endpoint, timeout_ms);
             }
             Action::Reject { id, .. } => {
                 let request = self.requests.get_mut(&id).expect("a known request");
-                assert!(!std::mem::replace(&mut request.answered, true), "answered twice");
-                let idempotent = self.settings.classes[request.class].idempotency == Idempotency::Idempotent;
+                assert!(
+                    !std::mem::replace(&mut request.answered, true),
+                    "answered twice"
+                );
+                let idempotent =
+                    self.settings.classes[request.class].idempotency == Idempotency::Idempotent;
                 assert!(
                     idempotent || request.attempts.iter().all(|a| !a.in_flight && !a.executed),
                     "rejected what may have been executed"
@@ -79,7 +88,10 @@
             }
             Action::Fail { id } => {
                 let request = self.requests.get_mut(&id).expect("a known request");
-                assert!(!std::mem::replace(&mut request.answered, true), "answered twice");
+                assert!(
+                    !std::mem::replace(&mut request.answered, true),
+                    "answered twice"
+                );
             }
             Action::AddToCounter { key, amount, .. } => self.counter_calls.push((key, amount)),
             Action::SetTimer { token, after_ms } => self.timers.push((self.now + after_ms, token)),
@@ -101,17 +113,34 @@
         assert!(timeout_ms > 0.0 && self.now + timeout_ms <= request.deadline + 1e-6);
         assert!((request.attempts.len() as u32) < self.settings.limits.max_attempts);
         let hedging = self.settings.limits.hedging;
-        assert!(hedging || request.attempts.iter().all(|a| !a.in_flight), "two attempts in flight at once");
-        let earlier: Vec<_> = request.attempts.iter().filter(|a| a.executed || a.in_flight).collect();
+        assert!(
+            hedging || request.attempts.iter().all(|a| !a.in_flight),
+            "two attempts in flight at once"
+        );
+        let earlier: Vec<_> = request
+            .attempts
+            .iter()
+            .filter(|a| a.executed || a.in_flight)
+            .collect();
         match self.settings.classes[request.class].idempotency {
             Idempotency::Idempotent => {}
             Idempotency::NotIdempotent => {
-                assert!(earlier.is_empty(), "a request that is not idempotent may be executed twice");
+                assert!(
+                    earlier.is_empty(),
+                    "a request that is not idempotent may be executed twice"
+                );
             }
             Idempotency::WithKey { window_ms, .. } => {
                 for attempt in earlier {
-                    assert_eq!(attempt.endpoint % 2, endpoint % 2, "a retry outside its key's zone");
-                    assert!(self.now - attempt.started_at < window_ms, "a retry outside its key's window");
+                    assert_eq!(
+                        attempt.endpoint % 2,
+                        endpoint % 2,
+                        "a retry outside its key's zone"
+                    );
+                    assert!(
+                        self.now - attempt.started_at < window_ms,
+                        "a retry outside its key's window"
+                    );
                 }
             }
         }
@@ -164,7 +193,8 @@
             let in_time = now <= request.deadline + RESPONSE_SLACK_MS;
             assert!(request.answered || in_time, "request {id} is overdue");
         }
-        self.requests.retain(|_, r| !r.answered || r.attempts.iter().any(|attempt| attempt.in_flight));
+        self.requests
+            .retain(|_, r| !r.answered || r.attempts.iter().any(|attempt| attempt.in_flight));
     }
 
     /// An event that a faulty endpoint or gateway might cause, now and then.
@@ -172,23 +202,34 @@
         let odd = [-1.0, f64::NAN, f64::INFINITY, 1e300, 3.0][rng.usize(0..5)];
         match rng.u32(0..20) {
             0 => {
-                let outcome = [Outcome::Success, Outcome::Timeout, Outcome::ConnectFailed][rng.usize(0..3)];
+                let outcome =
+                    [Outcome::Success, Outcome::Timeout, Outcome::ConnectFailed][rng.usize(0..3)];
                 self.handle(Event::HealthCheckEnded {
                     endpoint: rng.u32(0..9),
                     outcome,
                     elapsed_ms: odd,
-                    load: LoadReport { queued: Some(odd), service_ms: Some(odd), ..LoadReport::default() },
+                    load: LoadReport {
+                        queued: Some(odd),
+                        service_ms: Some(odd),
+                        ..LoadReport::default()
+                    },
                 });
             }
             1 => {
                 let body = (0..rng.usize(0..30)).map(|_| rng.u8(0..3)).collect();
-                self.handle(Event::Gossip { from: rng.u32(0..4), body });
+                self.handle(Event::Gossip {
+                    from: rng.u32(0..4),
+                    body,
+                });
             }
             2 => {
                 let customer = rng.u64(0..20).to_le_bytes();
                 let units = rng.i16(-300..900).to_le_bytes();
                 let body = [&[2, rng.u8(0..2)], &customer[..5], &[rng.u8(0..3)], &units].concat();
-                self.handle(Event::Gossip { from: rng.u32(0..4), body });
+                self.handle(Event::Gossip {
+                    from: rng.u32(0..4),
+                    body,
+                });
             }
             _ => {}
         }
@@ -197,8 +238,12 @@
     fn send_request(&mut self, id: u64, rng: &mut fastrand::Rng) {
         let class = rng.usize(0..3);
         let timeout_ms = 20.0 + rng.f64() * 2000.0;
-        let request =
-            WorldRequest { class, deadline: self.now + timeout_ms, answered: false, attempts: Vec::new() };
+        let request = WorldRequest {
+            class,
+            deadline: self.now + timeout_ms,
+            answered: false,
+            attempts: Vec::new(),
+        };
         self.requests.insert(id, request);
         self.handle(Event::Request(Request {
             id,
@@ -215,8 +260,14 @@
     fn end_any_attempt(&mut self, rng: &mut fastrand::Rng) {
         let numbered = |(id, request): (&u64, &WorldRequest)| {
             let id = *id;
-            let in_flight = request.attempts.iter().enumerate().filter(|(_, attempt)| attempt.in_flight);
-            in_flight.map(|(number, _)| (id, number)).collect::<Vec<_>>()
+            let in_flight = request
+                .attempts
+                .iter()
+                .enumerate()
+                .filter(|(_, attempt)| attempt.in_flight);
+            in_flight
+                .map(|(number, _)| (id, number))
+                .collect::<Vec<_>>()
         };
         let in_flight: Vec<_> = self.requests.iter().flat_map(numbered).collect();
         if in_flight.is_empty() {
@@ -239,35 +290,66 @@
     fn answer_counter_calls(&mut self, rng: &mut fastrand::Rng) {
         while !self.counter_calls.is_empty() {
             let (key, amount) = self.counter_calls.remove(0);
-            let outcomes = [Outcome::Success, Outcome::Success, Outcome::Timeout, Outcome::Rejected];
+            let outcomes = [
+                Outcome::Success,
+                Outcome::Success,
+                Outcome::Timeout,
+                Outcome::Rejected,
+            ];
             let outcome = outcomes[rng.usize(0..4)];
             let total = amount + rng.f64() * 12.0;
             let elapsed_ms = rng.f64() * 60.0;
-            self.handle(Event::CounterReply { key, outcome, total, elapsed_ms });
+            self.handle(Event::CounterReply {
+                key,
+                outcome,
+                total,
+                elapsed_ms,
+            });
         }
     }
 
     fn change_any_endpoint(&mut self, rng: &mut fastrand::Rng) {
         let id = rng.u32(1..=6);
-        let states =
-            [EndpointState::Ready, EndpointState::Ready, EndpointState::Draining, EndpointState::Removed];
+        let states = [
+            EndpointState::Ready,
+            EndpointState::Ready,
+            EndpointState::Draining,
+            EndpointState::Removed,
+        ];
         let state = states[rng.usize(0..4)];
         let started_at = if rng.bool() { self.now } else { 0.0 };
         self.endpoints.insert(id, state);
         let endpoints = vec![endpoint(id, state, started_at)];
-        self.handle(Event::EndpointUpdate { complete: false, endpoints });
+        self.handle(Event::EndpointUpdate {
+            complete: false,
+            endpoints,
+        });
     }
 }
 
 fn endpoint(id: u32, state: EndpointState, started_at: f64) -> Endpoint {
-    Endpoint { id, hash_key: id.into(), zone: id % 2, kind: 0, cell: id, state, weight: 1.0, started_at }
+    Endpoint {
+        id,
+        hash_key: id.into(),
+        zone: id % 2,
+        kind: 0,
+        cell: id,
+        state,
+        weight: 1.0,
+        started_at,
+    }
 }
 
 fn run(seed: u64, hedging: bool) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut world = World::new(seed, hedging);
-    let endpoints = (1..=6).map(|id| endpoint(id, EndpointState::Ready, 0.0)).collect();
-    world.handle(Event::EndpointUpdate { complete: true, endpoints });
+    let endpoints = (1..=6)
+        .map(|id| endpoint(id, EndpointState::Ready, 0.0))
+        .collect();
+    world.handle(Event::EndpointUpdate {
+        complete: true,
+        endpoints,
+    });
     for id in 1..4000 {
         world.advance(rng.f64() * 8.0);
         world.disturb(&mut rng);
@@ -281,7 +363,10 @@
     for _ in 0..300 {
         world.advance(10.0);
     }
-    assert!(world.requests.values().all(|request| request.answered), "every request has its answer");
+    assert!(
+        world.requests.values().all(|request| request.answered),
+        "every request has its answer"
+    );
 }
 
 #[test]
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -24,9 +24,15 @@
     let endpoint = sent_to(&gateway.request(1, 2, 1.0)).unwrap();
     gateway.now += DEADLINE_MS;
     let actions = gateway.attempt_ended(1, 0, endpoint, Outcome::Timeout, None);
-    assert!(failed(&actions), "it may have been executed, so it is not rejected: {actions:?}");
+    assert!(
+        failed(&actions),
+        "it may have been executed, so it is not rejected: {actions:?}"
+    );
     let actions = gateway.attempt_ended(1, 0, endpoint, Outcome::Success, None);
-    assert!(actions.is_empty(), "nothing follows a final answer: {actions:?}");
+    assert!(
+        actions.is_empty(),
+        "nothing follows a final answer: {actions:?}"
+    );
 }
 
 #[test]
@@ -45,9 +51,11 @@
 
 #[test]
 fn a_non_idempotent_request_is_retried_only_if_it_was_never_executed() {
-    for (outcome, retried) in
-        [(Outcome::Rejected, true), (Outcome::ConnectFailed, true), (Outcome::ConnectionReset, false)]
-    {
+    for (outcome, retried) in [
+        (Outcome::Rejected, true),
+        (Outcome::ConnectFailed, true),
+        (Outcome::ConnectionReset, false),
+    ] {
         let mut gateway = TestGateway::new(settings_without_quota());
         let endpoint = sent_to(&gateway.request(1, 2, 1.0)).unwrap();
         let actions = gateway.attempt_ended(1, 0, endpoint, outcome, None);
@@ -65,22 +73,36 @@
         let actions = gateway.attempt_ended(1, 0, first, Outcome::ConnectionReset, None);
         let zone = |id| u32::from(id == 3);
         assert_eq!(sent_to(&actions).map(zone), retried.then_some(zone(first)));
-        assert!(retried || failed(&actions), "it may have been executed, so it is not rejected: {actions:?}");
+        assert!(
+            retried || failed(&actions),
+            "it may have been executed, so it is not rejected: {actions:?}"
+        );
     }
 }
 
 #[test]
 fn no_attempt_goes_to_a_draining_or_removed_endpoint() {
     let mut gateway = TestGateway::new(settings_without_quota());
-    let entries =
-        vec![endpoint_entry(1, 0, EndpointState::Draining), endpoint_entry(2, 0, EndpointState::Removed)];
-    gateway.handle(Event::EndpointUpdate { complete: false, endpoints: entries });
+    let entries = vec![
+        endpoint_entry(1, 0, EndpointState::Draining),
+        endpoint_entry(2, 0, EndpointState::Removed),
+    ];
+    gateway.handle(Event::EndpointUpdate {
+        complete: false,
+        endpoints: entries,
+    });
     for id in 1..20 {
         let endpoint = sent_to(&gateway.request(id, 0, 1.0));
         assert!(endpoint.is_none() || endpoint == Some(3));
     }
-    gateway.handle(Event::EndpointUpdate { complete: true, endpoints: vec![] });
-    assert!(rejected(&gateway.request(99, 0, 1.0)).is_some(), "no endpoint is left");
+    gateway.handle(Event::EndpointUpdate {
+        complete: true,
+        endpoints: vec![],
+    });
+    assert!(
+        rejected(&gateway.request(99, 0, 1.0)).is_some(),
+        "no endpoint is left"
+    );
 }
 
 #[test]
@@ -89,7 +111,10 @@
     gateway.now += 60_000.0;
     let mut fresh = endpoint_entry(4, 0, EndpointState::Ready);
     fresh.started_at = gateway.now;
-    gateway.handle(Event::EndpointUpdate { complete: false, endpoints: vec![fresh] });
+    gateway.handle(Event::EndpointUpdate {
+        complete: false,
+        endpoints: vec![fresh],
+    });
     let mut to_cold = 0;
     // 100 requests a second for one second, each answered at once; a warm endpoint gets about 25.
     for id in 1..=100 {
@@ -99,7 +124,10 @@
             gateway.attempt_ended(id, 0, endpoint, Outcome::Success, None);
         }
     }
-    assert!(to_cold <= 9, "{to_cold} of 100 to an endpoint at a quarter of its capacity");
+    assert!(
+        to_cold <= 9,
+        "{to_cold} of 100 to an endpoint at a quarter of its capacity"
+    );
 }
 
 fn ceiling_settings() -> Settings {
@@ -133,7 +161,10 @@
     assert!(before > 36.0 && before <= 42.0, "{before}");
     let mut after = TestGateway::new(ceiling_settings());
     let restarted = units_forwarded_under_pressure(&mut after, 1..1000);
-    assert!(restarted <= 20.0, "after a restart the share is empty: {restarted}");
+    assert!(
+        restarted <= 20.0,
+        "after a restart the share is empty: {restarted}"
+    );
 }
 
 #[test]
@@ -149,9 +180,15 @@
     for id in (1..1000).step_by(2) {
         units += units_forwarded_under_pressure(&mut gateway, id..id + 1);
         gateway.now += 10.0;
-        gateway.handle(Event::Gossip { from: 3, body: no_usage.clone() });
+        gateway.handle(Event::Gossip {
+            from: 3,
+            body: no_usage.clone(),
+        });
     }
-    assert!(units <= 42.0, "half of 40 units, and of 4 per second for 10 s: {units}");
+    assert!(
+        units <= 42.0,
+        "half of 40 units, and of 4 per second for 10 s: {units}"
+    );
 }
 
 #[test]
@@ -161,7 +198,8 @@
     let mut gateway = TestGateway::new(settings_without_quota());
     for id in 1..=200 {
         let actions = gateway.request(id, 0, 1.0);
-        let endpoint = sent_to(&actions).unwrap_or_else(|| panic!("request {id} is rejected: {actions:?}"));
+        let endpoint =
+            sent_to(&actions).unwrap_or_else(|| panic!("request {id} is rejected: {actions:?}"));
         gateway.now += 1900.0;
         let slow = AttemptEnd {
             id,
@@ -188,7 +226,10 @@
 fn one_attempt_that_hangs_does_not_make_a_quiet_gateway_reject() {
     // Found in a large fleet: at two requests per second one attempt that hangs moves an average over time
     // most.
-    let mut gateway = TestGateway::new(Settings { gateway_count: 200, ..settings_without_quota() });
+    let mut gateway = TestGateway::new(Settings {
+        gateway_count: 200,
+        ..settings_without_quota()
+    });
     for id in 1..=20 {
         let endpoint = sent_to(&gateway.request(id, 0, 1.0)).unwrap();
         gateway.now += 50.0;
@@ -214,7 +255,9 @@
                 gateway.now += after_ms;
                 let after = gateway.handle(Event::TimerFired { token });
                 assert!(sent_to(&after).is_none());
-                assert!(!after.iter().any(|a| matches!(a, Action::CancelAttempt { .. })));
+                assert!(!after
+                    .iter()
+                    .any(|a| matches!(a, Action::CancelAttempt { .. })));
             }
         }
     }
@@ -231,24 +274,35 @@
         endpoints: vec![endpoint_entry(3, 1, EndpointState::Removed)],
     });
     let forward = |gateway: &mut TestGateway, id, plan| {
-        sent_to(&gateway.handle(Event::Request(Request { plan, ..request(id, id) }))).expect("sent")
+        sent_to(&gateway.handle(Event::Request(Request {
+            plan,
+            ..request(id, id)
+        })))
+        .expect("sent")
     };
     let rejecting = forward(&mut gateway, 1, 0);
-    let other =
-        sent_to(&gateway.attempt_ended(1, 0, rejecting, Outcome::Rejected, None)).expect("a retry elsewhere");
+    let other = sent_to(&gateway.attempt_ended(1, 0, rejecting, Outcome::Rejected, None))
+        .expect("a retry elsewhere");
     assert_ne!(rejecting, other);
     gateway.attempt_ended(1, 1, other, Outcome::Success, None);
     let mut plan_1_endpoints = Vec::new();
     for id in 2..=12 {
         gateway.now += 400.0;
-        let endpoints = [0, 1].map(|plan: u32| forward(&mut gateway, id * 10 + u64::from(plan), plan));
-        assert_eq!(endpoints[0], other, "plan 0 avoids the endpoint that rejected it");
+        let endpoints =
+            [0, 1].map(|plan: u32| forward(&mut gateway, id * 10 + u64::from(plan), plan));
+        assert_eq!(
+            endpoints[0], other,
+            "plan 0 avoids the endpoint that rejected it"
+        );
         plan_1_endpoints.push(endpoints[1]);
         for (plan, endpoint) in endpoints.into_iter().enumerate() {
             gateway.attempt_ended(id * 10 + plan as u64, 0, endpoint, Outcome::Success, None);
         }
     }
-    assert!(plan_1_endpoints.contains(&rejecting), "it has capacity for plan 1");
+    assert!(
+        plan_1_endpoints.contains(&rejecting),
+        "it has capacity for plan 1"
+    );
 }
 
 /// The requests that a hundred gateways, at two requests per second each, send to each of 40 endpoints in 15
@@ -256,17 +310,29 @@
 fn requests_per_endpoint_of_a_hundred_gateways(cold: usize) -> Vec<usize> {
     let mut requests = vec![0; 41];
     for index in 0..100u32 {
-        let settings = Settings { gateway_count: 100, gateway_index: index, ..settings_without_quota() };
+        let settings = Settings {
+            gateway_count: 100,
+            gateway_index: index,
+            ..settings_without_quota()
+        };
         let mut gateway = TestGateway::without_endpoints(settings, u64::from(index), 0.0);
-        let mut entries: Vec<_> =
-            (1..=40).map(|id| endpoint_entry(id, id % 2, EndpointState::Ready)).collect();
-        gateway.handle(Event::EndpointUpdate { complete: true, endpoints: entries.clone() });
+        let mut entries: Vec<_> = (1..=40)
+            .map(|id| endpoint_entry(id, id % 2, EndpointState::Ready))
+            .collect();
+        gateway.handle(Event::EndpointUpdate {
+            complete: true,
+            endpoints: entries.clone(),
+        });
         for id in 0..50 {
             gateway.now += 500.0;
             if id == 20 {
-                entries[..cold].iter_mut().for_each(|e| e.started_at = gateway.now);
-                gateway
-                    .handle(Event::EndpointUpdate { complete: false, endpoints: entries[..cold].to_vec() });
+                entries[..cold]
+                    .iter_mut()
+                    .for_each(|e| e.started_at = gateway.now);
+                gateway.handle(Event::EndpointUpdate {
+                    complete: false,
+                    endpoints: entries[..cold].to_vec(),
+                });
             }
             let endpoint = sent_to(&gateway.handle(Event::Request(request(id, id)))).expect("sent");
             requests[endpoint as usize] += usize::from(id >= 20);
@@ -279,7 +345,10 @@
 #[test]
 fn a_hundred_gateways_do_not_all_choose_the_same_endpoint() {
     let requests = requests_per_endpoint_of_a_hundred_gateways(0);
-    assert!(requests[1..].iter().all(|n| (10..=200).contains(n)), "75 each on average: {requests:?}");
+    assert!(
+        requests[1..].iter().all(|n| (10..=200).contains(n)),
+        "75 each on average: {requests:?}"
+    );
 }
 
 #[test]
@@ -287,7 +356,11 @@
     let requests = requests_per_endpoint_of_a_hundred_gateways(1);
     // A warm endpoint gets about 75; the cold one has a quarter of its capacity at first, and all of it after
     // 10 s.
-    assert!(requests[1] <= 90, "{} requests to the cold one: {requests:?}", requests[1]);
+    assert!(
+        requests[1] <= 90,
+        "{} requests to the cold one: {requests:?}",
+        requests[1]
+    );
     assert!(requests[1] >= 3, "it is used: {requests:?}");
 }
 
@@ -300,8 +373,14 @@
     // Over the 15 s the 24 have 0.75 of their capacity on average and the 16 warm ones all of theirs: their
     // part is 53% of the 3000 requests, or a little less, as each gateway first collects the tokens for a
     // request.
-    assert!((1050..=1700).contains(&cold), "{cold} to the cold ones: {requests:?}");
-    assert!(requests[1..=24].iter().all(|n| *n <= 100), "none is overloaded: {requests:?}");
+    assert!(
+        (1050..=1700).contains(&cold),
+        "{cold} to the cold ones: {requests:?}"
+    );
+    assert!(
+        requests[1..=24].iter().all(|n| *n <= 100),
+        "none is overloaded: {requests:?}"
+    );
 }
 
 #[test]
@@ -311,19 +390,32 @@
     let mut requests = vec![0; 41];
     let mut opened = 0;
     for index in 0..100u32 {
-        let mut settings = Settings { gateway_count: 100, gateway_index: index, ..settings_without_quota() };
+        let mut settings = Settings {
+            gateway_count: 100,
+            gateway_index: index,
+            ..settings_without_quota()
+        };
         settings.prices.handshake = 0.08;
         settings.limits.idle_timeout_ms = 30_000.0;
         settings.limits.requests_per_connection = 1;
         let mut gateway = TestGateway::without_endpoints(settings, u64::from(index), 0.0);
-        let entries: Vec<_> = (1..=40).map(|id| endpoint_entry(id, id % 2, EndpointState::Ready)).collect();
-        gateway.handle(Event::EndpointUpdate { complete: true, endpoints: entries });
+        let entries: Vec<_> = (1..=40)
+            .map(|id| endpoint_entry(id, id % 2, EndpointState::Ready))
+            .collect();
+        gateway.handle(Event::EndpointUpdate {
+            complete: true,
+            endpoints: entries,
+        });
         let mut known = std::collections::BTreeSet::new();
         // Two requests at a time, four a second.
         for id in (0..100).step_by(2) {
             gateway.now += 500.0;
-            let pair = [id, id + 1]
-                .map(|id| (id, sent_to(&gateway.handle(Event::Request(request(id, id)))).unwrap()));
+            let pair = [id, id + 1].map(|id| {
+                (
+                    id,
+                    sent_to(&gateway.handle(Event::Request(request(id, id)))).unwrap(),
+                )
+            });
             assert_ne!(pair[0].1, pair[1].1, "a connection carries one request");
             for (id, endpoint) in pair {
                 requests[endpoint as usize] += 1;
@@ -333,7 +425,10 @@
         }
     }
     assert!(opened <= 1000, "{opened} connections for 10000 requests");
-    assert!(requests[1..].iter().all(|n| (50..=600).contains(n)), "250 each on average: {requests:?}");
+    assert!(
+        requests[1..].iter().all(|n| (50..=600).contains(n)),
+        "250 each on average: {requests:?}"
+    );
 }
 
 #[test]
@@ -349,17 +444,29 @@
 #[test]
 fn invalid_and_unknown_events_change_nothing() {
     let mut gateway = TestGateway::new(settings());
-    assert!(gateway.attempt_ended(9, 3, 77, Outcome::Success, Some(2.0)).is_empty());
-    assert!(gateway.counter_reply(12345, Outcome::Success, f64::NAN).is_empty());
-    assert!(gateway.handle(Event::ClientDisconnected { id: 4 }).is_empty());
+    assert!(gateway
+        .attempt_ended(9, 3, 77, Outcome::Success, Some(2.0))
+        .is_empty());
+    assert!(gateway
+        .counter_reply(12345, Outcome::Success, f64::NAN)
+        .is_empty());
+    assert!(gateway
+        .handle(Event::ClientDisconnected { id: 4 })
+        .is_empty());
     gateway.handle(Event::EndpointUpdate {
         complete: false,
         endpoints: vec![endpoint_entry(500, 3, EndpointState::Removed)],
     });
     gateway.handle(Event::TimerFired { token: u64::MAX });
     let (key, _) = counter_call(&gateway.request(1, 0, 0.0)).unwrap();
-    assert!(sent_to(&gateway.counter_reply(key, Outcome::Success, 0.0)).is_some(), "zero units are fine");
-    assert!(rejected(&gateway.request(2, 9, 1.0)).is_some(), "an unknown class is rejected");
+    assert!(
+        sent_to(&gateway.counter_reply(key, Outcome::Success, 0.0)).is_some(),
+        "zero units are fine"
+    );
+    assert!(
+        rejected(&gateway.request(2, 9, 1.0)).is_some(),
+        "an unknown class is rejected"
+    );
     let actions = gateway.request(3, 0, f64::NAN);
     assert!(counter_call(&actions).is_none_or(|(_, amount)| amount.is_finite()));
 }
@@ -384,7 +491,10 @@
         if let Some((key, amount)) = counter_call(&actions) {
             actions.extend(gateway.counter_reply(key, Outcome::Success, amount));
         }
-        assert!(sent_to(&actions).is_some() || rejected(&actions).is_some(), "case {case}: {actions:?}");
+        assert!(
+            sent_to(&actions).is_some() || rejected(&actions).is_some(),
+            "case {case}: {actions:?}"
+        );
     }
 }
 
@@ -393,10 +503,15 @@
     for endpoint_count in [1, 0] {
         let mut gateway = TestGateway::new(settings_without_quota());
         let entries = [endpoint_entry(1, 0, EndpointState::Ready)];
-        gateway
-            .handle(Event::EndpointUpdate { complete: true, endpoints: entries[..endpoint_count].to_vec() });
+        gateway.handle(Event::EndpointUpdate {
+            complete: true,
+            endpoints: entries[..endpoint_count].to_vec(),
+        });
         for (id, gateway_set_size) in [(1, 1e12), (2, 0.0), (3, f64::NAN)] {
-            let actions = gateway.handle(Event::Request(Request { gateway_set_size, ..request(id, id) }));
+            let actions = gateway.handle(Event::Request(Request {
+                gateway_set_size,
+                ..request(id, id)
+            }));
             assert_eq!(sent_to(&actions), (endpoint_count == 1).then_some(1));
             assert_eq!(rejected(&actions).is_some(), endpoint_count == 0);
         }
@@ -406,14 +521,21 @@
 #[test]
 fn endpoints_that_drain_in_waves_get_no_attempts_after_the_update() {
     let mut gateway = TestGateway::new(settings_without_quota());
-    let entries: Vec<_> = (1..=9).map(|id| endpoint_entry(id, id % 2, EndpointState::Ready)).collect();
-    gateway.handle(Event::EndpointUpdate { complete: true, endpoints: entries });
+    let entries: Vec<_> = (1..=9)
+        .map(|id| endpoint_entry(id, id % 2, EndpointState::Ready))
+        .collect();
+    gateway.handle(Event::EndpointUpdate {
+        complete: true,
+        endpoints: entries,
+    });
     let mut id = 0;
     for wave in 0..4u32 {
         let draining = [wave * 2 + 1, wave * 2 + 2];
         gateway.handle(Event::EndpointUpdate {
             complete: false,
-            endpoints: draining.map(|id| endpoint_entry(id, id % 2, EndpointState::Draining)).into(),
+            endpoints: draining
+                .map(|id| endpoint_entry(id, id % 2, EndpointState::Draining))
+                .into(),
         });
         for _ in 0..30 {
             id += 1;
@@ -442,7 +564,10 @@
         }
         assert!(gateway.gateway.customer_count() <= 16_384);
     }
-    assert!(gateway.gateway.customer_count() > 1000, "most are remembered");
+    assert!(
+        gateway.gateway.customer_count() > 1000,
+        "most are remembered"
+    );
     gateway.attempt_ended(1, 0, endpoint, Outcome::Success, Some(4.0));
     // The three units above the estimate are settled with the customer's next charge.
     gateway.now += 1000.0;
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -15,25 +15,44 @@
 /// An entry whose key is distributed like a hash.
 fn entry(id: u32, state: EndpointState) -> Endpoint {
     let hash_key = u64::from(id).wrapping_mul(0x9E37_79B9_7F4A_7C15);
-    Endpoint { hash_key, ..endpoint_entry(id, id % ZONES, state) }
+    Endpoint {
+        hash_key,
+        ..endpoint_entry(id, id % ZONES, state)
+    }
 }
 
 /// All gateways of a fleet, with endpoints from 1 on.
 fn gateways_with(settings: &Settings, endpoints: u32) -> Vec<TestGateway> {
-    (0..settings.gateway_count).map(|index| gateway_at(settings, index, endpoints)).collect()
+    (0..settings.gateway_count)
+        .map(|index| gateway_at(settings, index, endpoints))
+        .collect()
 }
 
 fn gateway_at(settings: &Settings, index: u32, endpoints: u32) -> TestGateway {
-    let settings = Settings { gateway_index: index, ..settings.clone() };
-    let mut gateway =
-        TestGateway { gateway: Gateway::new(settings, u64::from(index) + 1, 1000.0), now: 1000.0 };
-    let endpoints = (1..=endpoints).map(|id| entry(id, EndpointState::Ready)).collect();
-    gateway.handle(Event::EndpointUpdate { complete: true, endpoints });
+    let settings = Settings {
+        gateway_index: index,
+        ..settings.clone()
+    };
+    let mut gateway = TestGateway {
+        gateway: Gateway::new(settings, u64::from(index) + 1, 1000.0),
+        now: 1000.0,
+    };
+    let endpoints = (1..=endpoints)
+        .map(|id| entry(id, EndpointState::Ready))
+        .collect();
+    gateway.handle(Event::EndpointUpdate {
+        complete: true,
+        endpoints,
+    });
     gateway
 }
 
 fn fleet_settings() -> Settings {
-    Settings { gateway_count: GATEWAYS, counter: None, ..settings() }
+    Settings {
+        gateway_count: GATEWAYS,
+        counter: None,
+        ..settings()
+    }
 }
 
 fn fleet(endpoints: u32) -> Vec<TestGateway> {
@@ -65,8 +84,10 @@
                 counts[id as usize] += 1;
             }
         }
-        let counts: Vec<_> =
-            (1..=ENDPOINTS).filter(|id| is_counted(*id)).map(|id| counts[id as usize]).collect();
+        let counts: Vec<_> = (1..=ENDPOINTS)
+            .filter(|id| is_counted(*id))
+            .map(|id| counts[id as usize])
+            .collect();
         GatewaysPerEndpoint {
             min: *counts.iter().min().unwrap(),
             mean: counts.iter().sum::<usize>() as f64 / counts.len() as f64,
@@ -76,7 +97,10 @@
 
     fn assert_even(&self) {
         let GatewaysPerEndpoint { min, mean, max } = *self;
-        assert!(min as f64 >= mean - 1.5 && max as f64 <= mean + 1.5, "{min} to {max}, {mean} in the mean");
+        assert!(
+            min as f64 >= mean - 1.5 && max as f64 <= mean + 1.5,
+            "{min} to {max}, {mean} in the mean"
+        );
     }
 }
 
@@ -109,18 +133,27 @@
 fn few_members_change_when_an_endpoint_comes_or_goes() {
     let mut gateways = fleet(ENDPOINTS);
     let before: Vec<_> = gateways.iter_mut().map(members).collect();
-    let changes =
-        [(7, EndpointState::Draining), (ENDPOINTS + 1, EndpointState::Ready), (7, EndpointState::Ready)];
+    let changes = [
+        (7, EndpointState::Draining),
+        (ENDPOINTS + 1, EndpointState::Ready),
+        (7, EndpointState::Ready),
+    ];
     for (id, state) in changes {
         for gateway in &mut gateways {
-            gateway.handle(Event::EndpointUpdate { complete: false, endpoints: vec![entry(id, state)] });
+            gateway.handle(Event::EndpointUpdate {
+                complete: false,
+                endpoints: vec![entry(id, state)],
+            });
         }
     }
     let mut users = 0;
     for (gateway, before) in gateways.iter_mut().zip(before) {
         let after = members(gateway);
         let difference: Vec<_> = after.symmetric_difference(&before).collect();
-        assert!(difference.is_empty() || difference == [&(ENDPOINTS + 1)], "{difference:?}");
+        assert!(
+            difference.is_empty() || difference == [&(ENDPOINTS + 1)],
+            "{difference:?}"
+        );
         users += difference.len();
     }
     assert!((15..=35).contains(&users), "{users} use the new one");
@@ -133,29 +166,47 @@
     let before: Vec<_> = gateways.iter_mut().map(members).collect();
     let is_lost = |id: &u32| id % ZONES < 2;
     let set_lost_zones = |gateways: &mut Vec<TestGateway>, state| {
-        let endpoints: Vec<_> = (1..=ENDPOINTS).filter(is_lost).map(|id| entry(id, state)).collect();
+        let endpoints: Vec<_> = (1..=ENDPOINTS)
+            .filter(is_lost)
+            .map(|id| entry(id, state))
+            .collect();
         for gateway in gateways {
-            gateway.handle(Event::EndpointUpdate { complete: false, endpoints: endpoints.clone() });
+            gateway.handle(Event::EndpointUpdate {
+                complete: false,
+                endpoints: endpoints.clone(),
+            });
         }
     };
     set_lost_zones(&mut gateways, EndpointState::Removed);
     GatewaysPerEndpoint::new(&mut gateways, |id| !is_lost(&id)).assert_even();
     for gateway in &mut gateways {
         let members = members(gateway);
-        assert!(members.iter().all(|id| !is_lost(id)) && members.len() >= 200, "{}", members.len());
+        assert!(
+            members.iter().all(|id| !is_lost(id)) && members.len() >= 200,
+            "{}",
+            members.len()
+        );
     }
     set_lost_zones(&mut gateways, EndpointState::Ready);
     assert_eq!(gateways.iter_mut().map(members).collect::<Vec<_>>(), before);
 }
 
 /// Sends requests to a gateway; `is_failing` endpoints refuse the connection.
-fn send_requests(gateway: &mut TestGateway, ids: std::ops::Range<u64>, is_failing: &dyn Fn(u32) -> bool) {
+fn send_requests(
+    gateway: &mut TestGateway,
+    ids: std::ops::Range<u64>,
+    is_failing: &dyn Fn(u32) -> bool,
+) {
     for id in ids {
         gateway.now += 5.0;
         let mut actions = gateway.handle(Event::Request(request(id, id)));
         let mut attempt = 0;
         while let Some(endpoint) = sent_to(&actions) {
-            let outcome = if is_failing(endpoint) { Outcome::ConnectFailed } else { Outcome::Success };
+            let outcome = if is_failing(endpoint) {
+                Outcome::ConnectFailed
+            } else {
+                Outcome::Success
+            };
             actions = gateway.attempt_ended(id, attempt, endpoint, outcome, None);
             attempt += 1;
         }
@@ -174,7 +225,11 @@
     send_requests(&mut gateway, 1..6001, &is_failing);
     let wide = members(&mut gateway);
     let well = wide.iter().filter(|id| !is_failing(**id)).count();
-    assert!(wide.is_superset(&before) && well * 100 >= before.len() * 85, "{well} of {}", before.len());
+    assert!(
+        wide.is_superset(&before) && well * 100 >= before.len() * 85,
+        "{well} of {}",
+        before.len()
+    );
     send_requests(&mut gateway, 6001..46_001, &|_| false);
     assert!(members(&mut gateway).len() < wide.len(), "it narrows again");
 }
@@ -194,7 +249,8 @@
     let mut used = BTreeSet::new();
     for id in 1..=6000 {
         gateway.now += gap_ms;
-        let endpoint = sent_to(&gateway.handle(Event::Request(request(id, id)))).expect("it is sent");
+        let endpoint =
+            sent_to(&gateway.handle(Event::Request(request(id, id)))).expect("it is sent");
         gateway.attempt_ended(id, 0, endpoint, Outcome::Success, None);
         if id % tick_requests == 0 {
             gateway.handle(Event::TimerFired { token: 0 });
@@ -215,7 +271,11 @@
         let members = members(&mut gateway);
         let used = endpoints_used(&mut gateway, gap_ms, tick_requests);
         assert!(used.iter().all(|id| members.contains(id)));
-        assert!((least..=most).contains(&used.len()), "{} used, {gap_ms} ms apart", used.len());
+        assert!(
+            (least..=most).contains(&used.len()),
+            "{} used, {gap_ms} ms apart",
+            used.len()
+        );
     }
 }
 
@@ -225,9 +285,14 @@
     let mut gateway = one_of_fleet(1);
     for id in 1..=500 {
         gateway.now += 20.0;
-        let keyed = Request { class: 1, ..request(id, id) };
+        let keyed = Request {
+            class: 1,
+            ..request(id, id)
+        };
         let first = sent_to(&gateway.handle(Event::Request(keyed))).expect("it is sent");
-        if let Some(second) = sent_to(&gateway.attempt_ended(id, 0, first, Outcome::ErrorResponse, None)) {
+        if let Some(second) =
+            sent_to(&gateway.attempt_ended(id, 0, first, Outcome::ErrorResponse, None))
+        {
             assert_eq!(second % ZONES, first % ZONES);
             assert_ne!(second, first);
             gateway.attempt_ended(id, 1, second, Outcome::Success, None);
@@ -240,17 +305,27 @@
 fn draining_endpoints_get_no_attempts() {
     let mut gateway = one_of_fleet(2);
     let is_draining = |id: &u32| id % 3 != 0;
-    let endpoints =
-        (1..=ENDPOINTS).filter(is_draining).map(|id| entry(id, EndpointState::Draining)).collect();
-    gateway.handle(Event::EndpointUpdate { complete: false, endpoints });
+    let endpoints = (1..=ENDPOINTS)
+        .filter(is_draining)
+        .map(|id| entry(id, EndpointState::Draining))
+        .collect();
+    gateway.handle(Event::EndpointUpdate {
+        complete: false,
+        endpoints,
+    });
     let mut used = BTreeSet::new();
     for id in 1..=3000 {
         gateway.now += 8.0;
-        let endpoint = sent_to(&gateway.handle(Event::Request(request(id, id)))).expect("it is sent");
+        let endpoint =
+            sent_to(&gateway.handle(Event::Request(request(id, id)))).expect("it is sent");
         assert!(!is_draining(&endpoint), "{endpoint} is draining");
         used.insert(endpoint);
         // One in ten rejects the request, and it goes to another one.
-        let outcome = if id % 10 == 0 { Outcome::Rejected } else { Outcome::Success };
+        let outcome = if id % 10 == 0 {
+            Outcome::Rejected
+        } else {
+            Outcome::Success
+        };
         if let Some(endpoint) = sent_to(&gateway.attempt_ended(id, 0, endpoint, outcome, None)) {
             assert!(!is_draining(&endpoint), "{endpoint} is draining");
             gateway.attempt_ended(id, 1, endpoint, Outcome::Success, None);
