--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -5,18 +5,18 @@
 use criterion::{black_box, criterion_group, criterion_main, BatchSize, BenchmarkId, Criterion};
 use quota_gateway::{
     Action, AttemptEnd, Class, Endpoint, EndpointId, EndpointState, Event, Gateway, Idempotency,
-    Limits, LoadReport, Outcome, Plan, Prices, Request, RequestId, Settings,
+    Limits, Outcome, Plan, Prices, Request, RequestId, Settings,
 };
 
 fn entry(id: u32) -> Endpoint {
     Endpoint {
         id,
         hash_key: id.into(),
-        zone: id % 8,
         kind: 0,
+        weight: 1.0,
+        zone: id % 8,
         cell: 0,
         state: EndpointState::Ready,
-        weight: 1.0,
         started_at: 0.0,
     }
 }
@@ -25,7 +25,6 @@
     let class = Class {
         latency_objective_ms: 500.0,
         deadline_ms: 2000.0,
-        priority_weight: 1.0,
         idempotency: Idempotency::Idempotent,
         ..Class::default()
     };
@@ -33,7 +32,6 @@
         gateway_count: 720,
         classes: vec![class],
         plans: vec![Plan {
-            weight_multiplier: 1.0,
             burst: 1.0,
             ..Plan::default()
         }],
@@ -87,7 +85,6 @@
         request_answered: true,
         actual_units: None,
         elapsed_ms: 20.0,
-        load: LoadReport::default(),
     }
 }
 
--- a/emulator/src/experiment/settings.rs
+++ b/emulator/src/experiment/settings.rs
@@ -9,11 +9,8 @@
 const TICK_MS: f64 = 1.0;
 /// Most units of one request; clients ask for 1 or 2, which may turn out a third more.
 const MAX_UNITS: f64 = 4.0;
-const COUNTER_CALL_PRICE: f64 = 0.01;
 const OVER_QUOTA_COST: f64 = 0.5;
 const MAX_RETRY_AFTER_MS: f64 = 2000.0;
-const RESPONSE_SLACK_MS: f64 = 50.0;
-const MAX_POLL_INTERVAL_MS: f64 = 10_000.0;
 
 impl Experiment {
     /// The settings that all gateways share; each has its own index and zone besides.
@@ -41,7 +38,6 @@
         Class {
             latency_objective_ms: model.latency_objective_ms,
             deadline_ms: model.deadline_ms,
-            priority_weight: 1.0,
             idempotency: self.idempotency(model.idempotency),
             ..Class::default()
         }
@@ -67,7 +63,6 @@
         let counter = self.counter.as_ref()?;
         Some(CounterSettings {
             timeout_ms: counter.timeout_ms,
-            call_price: COUNTER_CALL_PRICE,
         })
     }
 
@@ -86,13 +81,11 @@
 
     fn gateway_rules(&self) -> Rules {
         Rules {
-            response_slack_ms: RESPONSE_SLACK_MS,
             slow_start_min_capacity: self.rules.slow_start_min_capacity,
             slow_start_ms: self.rules.slow_start_ms,
             drain_grace_ms: self.rules.drain_grace_ms,
             overload_multiple: self.rules.overload_multiple,
             overload_window_ms: self.rules.overload_window_ms,
-            max_poll_interval_ms: MAX_POLL_INTERVAL_MS,
         }
     }
 }
@@ -101,7 +94,6 @@
     Plan {
         rate: model.rate,
         burst: model.burst,
-        weight_multiplier: 1.0,
         over_quota_cost: OVER_QUOTA_COST,
         ..Plan::default()
     }
--- a/emulator/src/scaling/measurements.rs
+++ b/emulator/src/scaling/measurements.rs
@@ -4,7 +4,7 @@
 use crate::report::Distribution;
 use quota_gateway::{
     Action, AttemptEnd, Class, CounterSettings, Endpoint, EndpointState, Event, Gateway,
-    Idempotency, Limits, LoadReport, Outcome, Plan, Prices, Request, Rules, Settings,
+    Idempotency, Limits, Outcome, Plan, Prices, Request, Rules, Settings,
 };
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Instant;
@@ -176,7 +176,6 @@
         request_answered: true,
         actual_units: None,
         elapsed_ms: REQUEST_INTERVAL_MS * IN_FLIGHT as f64,
-        load: LoadReport::default(),
     }
 }
 
@@ -198,11 +197,11 @@
     Endpoint {
         id,
         hash_key: id.into(),
-        zone: id % ZONES,
         kind: 0,
+        weight: 1.0,
+        zone: id % ZONES,
         cell: id % CELLS,
         state: EndpointState::Ready,
-        weight: 1.0,
         started_at: 0.0,
     }
 }
@@ -211,7 +210,6 @@
     let class = Class {
         latency_objective_ms: 500.0,
         deadline_ms: 2000.0,
-        priority_weight: 1.0,
         idempotency: Idempotency::Idempotent,
         ..Class::default()
     };
@@ -222,13 +220,9 @@
         plans: vec![Plan {
             rate: 0.0,
             burst: 10.0,
-            weight_multiplier: 1.0,
             ..Plan::default()
         }],
-        counter: Some(CounterSettings {
-            timeout_ms: 50.0,
-            call_price: 0.01,
-        }),
+        counter: Some(CounterSettings { timeout_ms: 50.0 }),
         max_units: 4.0,
         limits: Limits {
             max_attempts: 3,
@@ -247,7 +241,6 @@
             drain_grace_ms: 2000.0,
             overload_multiple: 4.0,
             overload_window_ms: 1500.0,
-            ..Rules::default()
         },
         ..Settings::default()
     }
--- a/emulator/src/simulation/actions.rs
+++ b/emulator/src/simulation/actions.rs
@@ -50,11 +50,8 @@
                 amount,
                 ttl_ms,
             } => self.call_counter(gateway, key, amount, ttl_ms),
-            // Changes of the list are pushed in any case; health checks and gossip are not permitted here.
-            Action::WatchEndpoints
-            | Action::CheckHealth { .. }
-            | Action::Gossip { .. }
-            | Action::Log { .. } => {}
+            // Changes of the list are pushed in any case; gossip is not permitted here.
+            Action::WatchEndpoints | Action::Gossip { .. } => {}
         }
         None
     }
--- a/emulator/src/simulation/attempts.rs
+++ b/emulator/src/simulation/attempts.rs
@@ -6,7 +6,7 @@
 use crate::experiment::IdempotencyModel;
 use crate::server::{Arrival, ServerState};
 use crate::{micros, Micros};
-use quota_gateway::{AttemptEnd, Event as GatewayEvent, LoadReport, Outcome};
+use quota_gateway::{AttemptEnd, Event as GatewayEvent, Outcome};
 
 /// An attempt that begins later than this after its client has disconnected is one too many.
 const DISCONNECT_GRACE: Micros = 100_000;
@@ -343,7 +343,6 @@
             request_answered: true,
             actual_units: (outcome == Outcome::Success).then_some(attempt.actual_units),
             elapsed_ms: (self.queue.now() - sent_at) as f64 / 1000.0,
-            load: LoadReport::default(),
         };
         if !attempt.at_server {
             self.attempts.remove(&id);
@@ -436,6 +435,5 @@
         request_answered,
         actual_units: None,
         elapsed_ms: 0.0,
-        load: LoadReport::default(),
     })
 }
--- a/src/api/action.rs
+++ b/src/api/action.rs
@@ -43,11 +43,6 @@
         /// Time from now.
         after_ms: Millis,
     },
-    /// Send a health check.
-    CheckHealth {
-        /// The endpoint to check.
-        endpoint: EndpointId,
-    },
     /// Add to a shared counter and report its total as [`Event::CounterReply`](crate::Event::CounterReply).
     AddToCounter {
         /// The counter's key.
@@ -66,9 +61,4 @@
         /// The encoded message.
         body: Vec<u8>,
     },
-    /// Write a line to the operators' log.
-    Log {
-        /// The line.
-        message: String,
-    },
 }
--- a/src/api/endpoint.rs
+++ b/src/api/endpoint.rs
@@ -33,20 +33,3 @@
     /// No longer part of the fleet.
     Removed,
 }
-
-/// A load report of an endpoint. A value that the endpoint does not report is `None`.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct LoadReport {
-    /// Requests being worked on.
-    pub in_flight: Option<f64>,
-    /// Requests waiting to be worked on.
-    pub queued: Option<f64>,
-    /// Busy share of the processor, from 0 to 1.
-    pub utilization: Option<f64>,
-    /// Recent mean service time without queueing, in ms.
-    pub service_ms: Option<f64>,
-    /// Requests served per second.
-    pub served_per_s: Option<f64>,
-    /// Errors per second.
-    pub errors_per_s: Option<f64>,
-}
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -1,6 +1,6 @@
 //! What a gateway is notified of.
 
-use super::{CustomerId, Endpoint, EndpointId, LoadReport, Millis, RequestId};
+use super::{CustomerId, Endpoint, EndpointId, Millis, RequestId};
 
 /// Something that happened at the gateway.
 #[derive(Clone, Debug, PartialEq)]
@@ -20,8 +20,6 @@
     ResponseStarted {
         /// The request.
         id: RequestId,
-        /// The attempt, counted from 0.
-        attempt: u8,
     },
     /// An attempt has ended.
     AttemptEnded(AttemptEnd),
@@ -35,17 +33,6 @@
         /// The token that the timer was set with.
         token: u64,
     },
-    /// A health check has ended.
-    HealthCheckEnded {
-        /// The endpoint that was checked.
-        endpoint: EndpointId,
-        /// How it ended.
-        outcome: Outcome,
-        /// Time since the check was sent.
-        elapsed_ms: Millis,
-        /// The endpoint's load report.
-        load: LoadReport,
-    },
     /// A call to the shared counter has ended.
     CounterReply {
         /// The counter's key. Replies for one key arrive in the order of the calls.
@@ -104,11 +91,9 @@
     pub actual_units: Option<f64>,
     /// Time since the attempt was sent.
     pub elapsed_ms: Millis,
-    /// The endpoint's load report.
-    pub load: LoadReport,
 }
 
-/// How an attempt, a health check or a call to the counter ended.
+/// How an attempt or a call to the counter ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Answered successfully.
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -9,11 +9,10 @@
 mod settings;
 
 pub use action::Action;
-pub use endpoint::{Endpoint, EndpointState, LoadReport};
+pub use endpoint::{Endpoint, EndpointState};
 pub use event::{AttemptEnd, Event, Outcome, Request};
 pub use settings::{
-    Class, CounterSettings, Idempotency, KeyScope, Limits, LoadReporting, Plan, Prices, Rules,
-    Settings,
+    Class, CounterSettings, Idempotency, KeyScope, Limits, Plan, Prices, Rules, Settings,
 };
 
 /// A moment on the gateway's clock or a span of it, in milliseconds. The clock's origin is arbitrary, but all
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -29,8 +29,6 @@
     pub prices: Prices,
     /// Figures of the rules that the gateway has to keep.
     pub rules: Rules,
-    /// How endpoints report their load.
-    pub load_reporting: LoadReporting,
     /// True if the endpoint list has to be polled; false if changes are pushed.
     pub endpoints_polled: bool,
 }
@@ -42,14 +40,10 @@
     pub latency_objective_ms: Millis,
     /// How long a client waits in all, over its retries.
     pub deadline_ms: Millis,
-    /// Value of one request relative to other classes.
-    pub priority_weight: f64,
     /// Share of the value that a response after the latency objective still has, from 0 to 1.
     pub late_weight: f64,
     /// Whether a request may be executed more than once.
     pub idempotency: Idempotency,
-    /// True if responses are streamed.
-    pub streaming: bool,
 }
 
 /// Whether a request may be executed more than once.
@@ -89,8 +83,6 @@
     pub burst: f64,
     /// Most attempts of one customer in flight within the quota; 0 for no limit.
     pub max_concurrency: u32,
-    /// Factor on the value of the plan's requests.
-    pub weight_multiplier: f64,
     /// Share of its value that a request served beyond the quota has, from 0 to 1.
     pub over_quota_weight: f64,
     /// Share of its value that a request forwarded beyond the quota costs.
@@ -99,8 +91,6 @@
     pub ceiling_rate: f64,
     /// Most units that the hard ceiling holds.
     pub ceiling_burst: f64,
-    /// Units by which the hard ceiling may be overdrawn.
-    pub ceiling_slack: f64,
 }
 
 /// The shared counter.
@@ -108,8 +98,6 @@
 pub struct CounterSettings {
     /// Time after which a call without a reply has timed out.
     pub timeout_ms: Millis,
-    /// Price of one call for each request, as a share of the requests' value.
-    pub call_price: f64,
 }
 
 /// What the gateway is permitted to do.
@@ -121,8 +109,6 @@
     pub hedging: bool,
     /// Attempts in flight may be cancelled.
     pub cancellation: bool,
-    /// Endpoints may be health-checked.
-    pub health_checks: bool,
     /// Gateways may send each other messages.
     pub gossip: bool,
     /// Rejected clients may be advised when to retry.
@@ -140,12 +126,8 @@
 /// What the operators charge for, as shares of the value of all requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Prices {
-    /// One attempt to another zone for each request.
-    pub cross_zone: f64,
     /// Work of endpoints that led to no response, relative to the work asked for.
     pub waste: f64,
-    /// One health check for each request.
-    pub health_check: f64,
     /// One new connection to an endpoint for each request.
     pub handshake: f64,
     /// Requests that ended unserved after their latency objective.
@@ -155,8 +137,6 @@
 /// Figures of the rules that the gateway has to keep.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Rules {
-    /// How long after the client's deadline a final response still counts as timely.
-    pub response_slack_ms: Millis,
     /// Least share of its full capacity that an endpoint starts with, from 0 to 1.
     pub slow_start_min_capacity: f64,
     /// Time after which an endpoint surely has its full capacity.
@@ -167,18 +147,4 @@
     pub overload_multiple: f64,
     /// ... within this time.
     pub overload_window_ms: Millis,
-    /// Where the endpoint list is polled: longest time between two polls.
-    pub max_poll_interval_ms: Millis,
-}
-
-/// How endpoints report their load.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum LoadReporting {
-    /// Not at all.
-    #[default]
-    Off,
-    /// With every response and health check.
-    Responses,
-    /// With health checks only.
-    HealthChecks,
 }
--- a/src/bin/quota-gateway/config/file.rs
+++ b/src/bin/quota-gateway/config/file.rs
@@ -1,4 +1,8 @@
 //! The configuration file as it is written: its fields have the names of the JSON keys.
+#![expect(
+    dead_code,
+    reason = "every key is checked, whether or not the gateway uses its value"
+)]
 
 use crate::discovery::list::EndpointList;
 use serde::Deserialize;
--- a/src/bin/quota-gateway/config/settings.rs
+++ b/src/bin/quota-gateway/config/settings.rs
@@ -5,8 +5,7 @@
     WirePlan, WireRules, WireSettings,
 };
 use quota_gateway::{
-    Class, CounterSettings, Idempotency, KeyScope, Limits, LoadReporting, Plan, Prices, Rules,
-    Settings,
+    Class, CounterSettings, Idempotency, KeyScope, Limits, Plan, Prices, Rules, Settings,
 };
 
 /// The library's settings. `limits.max_connections` stays 0: it depends on the machine.
@@ -24,8 +23,6 @@
         limits: limits(&wire.limits),
         prices: prices(&wire.penalties),
         rules: rules(&wire.rules),
-        // The gateway reads no load reports from endpoints.
-        load_reporting: LoadReporting::Off,
         endpoints_polled: wire.membership_mode == WireMembershipMode::Ask,
     }
 }
@@ -34,11 +31,8 @@
     Class {
         latency_objective_ms: wire.aim_ms,
         deadline_ms: wire.give_up_ms,
-        priority_weight: wire.value,
         late_weight: wire.late_worth,
         idempotency: idempotency(wire),
-        // The protocol between clients and gateways has no streamed responses.
-        streaming: false,
     }
 }
 
@@ -66,12 +60,10 @@
         rate: wire.refill,
         burst: wire.store_size,
         max_concurrency: wire.max_out,
-        weight_multiplier: wire.pays,
         over_quota_weight: wire.extra_worth,
         over_quota_cost: wire.excess_cost,
         ceiling_rate: wire.cap_rate,
         ceiling_burst: wire.cap_depth,
-        ceiling_slack: wire.ceiling_slack,
     }
 }
 
@@ -81,7 +73,6 @@
     }
     Some(CounterSettings {
         timeout_ms: wire.counter_timeout_ms,
-        call_price: wire.count_fee,
     })
 }
 
@@ -90,7 +81,6 @@
         max_attempts: wire.try_limit,
         hedging: wire.may_duplicate,
         cancellation: wire.cancel,
-        health_checks: wire.probing,
         gossip: wire.peers,
         retry_after: wire.retry_after,
         max_retry_after_ms: wire.max_retry_after_ms,
@@ -102,9 +92,7 @@
 
 fn prices(wire: &WirePenalties) -> Prices {
     Prices {
-        cross_zone: wire.cross_zone,
         waste: wire.waste,
-        health_check: wire.probe,
         handshake: wire.handshake,
         late_failure: wire.late_fail,
     }
@@ -112,12 +100,10 @@
 
 fn rules(wire: &WireRules) -> Rules {
     Rules {
-        response_slack_ms: wire.answer_slack_ms,
         slow_start_min_capacity: wire.cold_from,
         slow_start_ms: wire.warm_up_ms,
         drain_grace_ms: wire.drain_grace_ms,
         overload_multiple: wire.fall_multiple,
         overload_window_ms: wire.fall_ms,
-        max_poll_interval_ms: wire.ask_within_ms,
     }
 }
--- a/src/bin/quota-gateway/driver/actions.rs
+++ b/src/bin/quota-gateway/driver/actions.rs
@@ -4,7 +4,7 @@
 use super::requests::UnsentAttempt;
 use super::Driver;
 use crate::counter::CounterCall;
-use quota_gateway::{Action, AttemptEnd, EndpointId, Event, LoadReport, Outcome, RequestId};
+use quota_gateway::{Action, AttemptEnd, EndpointId, Event, Outcome, RequestId};
 use std::collections::VecDeque;
 use std::rc::Rc;
 use std::time::Duration;
@@ -63,7 +63,6 @@
                     .respond(id, FinalResponse::Failed);
             }
             Action::SetTimer { token, after_ms } => self.set_timer(token, duration(after_ms)),
-            Action::CheckHealth { endpoint } => self.check_health(endpoint),
             Action::AddToCounter {
                 key,
                 amount,
@@ -78,7 +77,6 @@
                     gossip.send(to, &body);
                 }
             }
-            Action::Log { message } => tracing::info!("{message}"),
         }
         None
     }
@@ -143,7 +141,6 @@
         request_answered: unsent.request_answered,
         actual_units: None,
         elapsed_ms: 0.0,
-        load: LoadReport::default(),
     })
 }
 
--- a/src/bin/quota-gateway/driver/attempts.rs
+++ b/src/bin/quota-gateway/driver/attempts.rs
@@ -1,4 +1,4 @@
-//! The tasks that send attempts and health checks. Each reports its end as an event.
+//! The tasks that send attempts. Each reports its end as an event.
 
 use super::events::AttemptReport;
 use super::guard::{refusal_outcome, GuardedAttempt};
@@ -9,7 +9,6 @@
 use crate::upstream::{AttemptResult, CompleteResponse, OutgoingRequest, Settled, Target};
 use quota_gateway::{EndpointId, Outcome, RequestId};
 use std::cell::Cell;
-use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::task::yield_now;
@@ -80,21 +79,6 @@
     Unread::Bytes
 }
 
-/// A health check belongs to no request and is never refused.
-struct HealthCheckRequest {
-    addr: SocketAddr,
-}
-
-impl OutgoingRequest for HealthCheckRequest {
-    fn refusal(&self) -> Option<Outcome> {
-        None
-    }
-
-    fn encode(&self) -> Vec<u8> {
-        format!("GET /health/live HTTP/1.1\r\nHost: {}\r\n\r\n", self.addr).into_bytes()
-    }
-}
-
 impl Driver {
     /// Starts the task of an attempt. The open request owns it and ends it by cancelling the attempt.
     pub(super) fn spawn_attempt(
@@ -151,24 +135,6 @@
             served: served_response(result),
         }
     }
-
-    /// Starts a health check, unless the endpoint is not listed any more. Its task ends by its own time-out.
-    pub(super) fn check_health(self: &Rc<Self>, endpoint: EndpointId) {
-        let Some(addr) = self.pool.address(endpoint) else {
-            return;
-        };
-        let driver = self.clone();
-        tokio::task::spawn_local(async move {
-            let started_at = Instant::now();
-            let deadline = started_at + driver.pool.connect_timeout();
-            let target = Target { endpoint, addr };
-            let result = driver
-                .pool
-                .attempt(target, deadline, &HealthCheckRequest { addr })
-                .await;
-            driver.health_check_ended(endpoint, result.outcome, elapsed_ms(started_at));
-        });
-    }
 }
 
 /// What the client gets of a successful attempt.
--- a/src/bin/quota-gateway/driver/events.rs
+++ b/src/bin/quota-gateway/driver/events.rs
@@ -8,7 +8,7 @@
 use crate::discovery::EndpointListHandler;
 use crate::gossip::GossipHandler;
 use crate::socket::WeakSocket;
-use quota_gateway::{AttemptEnd, EndpointId, Event, LoadReport, Outcome, Request, RequestId};
+use quota_gateway::{AttemptEnd, EndpointId, Event, Outcome, Request, RequestId};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::oneshot;
@@ -143,25 +143,9 @@
             request_answered: finished.request_answered,
             actual_units: finished.actual_units,
             elapsed_ms: report.elapsed_ms,
-            load: LoadReport::default(),
         }));
     }
 
-    pub(super) fn health_check_ended(
-        self: &Rc<Self>,
-        endpoint: EndpointId,
-        outcome: Outcome,
-        elapsed_ms: f64,
-    ) {
-        let load = LoadReport::default();
-        self.dispatch(Event::HealthCheckEnded {
-            endpoint,
-            outcome,
-            elapsed_ms,
-            load,
-        });
-    }
-
     pub(super) fn timer_fired(self: &Rc<Self>, token: u64) {
         self.dispatch(Event::TimerFired { token });
     }
--- a/src/bin/quota-gateway/upstream/pool.rs
+++ b/src/bin/quota-gateway/upstream/pool.rs
@@ -68,11 +68,6 @@
         }
     }
 
-    /// Time within which a connection comes up.
-    pub fn connect_timeout(&self) -> Duration {
-        self.connect_timeout
-    }
-
     /// Where an endpoint is, if it is listed.
     pub fn address(&self, endpoint: EndpointId) -> Option<SocketAddr> {
         self.endpoints
--- a/src/bin/simulator-adapter/actions.rs
+++ b/src/bin/simulator-adapter/actions.rs
@@ -10,9 +10,7 @@
     pub const GIVE_UP: u8 = 67;
     pub const REVOKE: u8 = 68;
     pub const REMIND: u8 = 69;
-    pub const SAMPLE: u8 = 70;
     pub const NOTIFY: u8 = 72;
-    pub const REMARK: u8 = 73;
     pub const TAIL: u8 = 75;
     pub const ADD_AND_GET: u8 = 77;
 }
@@ -54,17 +52,9 @@
                 .u64(*token)
                 .f64(*after_ms);
         }
-        Action::CheckHealth { endpoint } => {
-            reply.record(code::SAMPLE, instance).u32(*endpoint);
-        }
         Action::Gossip { to, body } => {
             reply.record(code::NOTIFY, instance).u32(*to).tail(body);
         }
-        Action::Log { message } => {
-            reply
-                .record(code::REMARK, instance)
-                .tail(message.as_bytes());
-        }
         Action::WatchEndpoints => {
             reply.record(code::TAIL, instance).u8(SUBSCRIBE);
         }
--- a/src/bin/simulator-adapter/adapter.rs
+++ b/src/bin/simulator-adapter/adapter.rs
@@ -3,7 +3,7 @@
 use crate::actions;
 use crate::events::{self, code, EndpointLists, RecordError};
 use crate::frame::{Batch, Fields, FrameError, Reply};
-use crate::setup::{self, LoadField};
+use crate::setup;
 use quota_gateway::{Action, Gateway};
 use std::collections::BTreeMap;
 use thiserror::Error;
@@ -19,16 +19,10 @@
     Write { batch: u32, error: std::io::Error },
 }
 
-struct Instance {
-    gateway: Gateway,
-    /// The values of a load report, in order.
-    load_fields: Vec<LoadField>,
-}
-
 /// Hands events to the gateways of a batch's instances and collects their actions.
 #[derive(Default)]
 pub struct Adapter {
-    instances: BTreeMap<u32, Instance>,
+    instances: BTreeMap<u32, Gateway>,
     lists: EndpointLists,
     /// Reused from event to event.
     actions: Vec<Action>,
@@ -76,15 +70,8 @@
         let seed = fields.u64()?;
         let text = std::str::from_utf8(fields.tail(1)?)
             .map_err(|error| RecordError::SettingsNotText { record, error })?;
-        let setup = setup::read(text)?;
-        let gateway = Gateway::new(setup.settings, seed, now);
-        self.instances.insert(
-            instance,
-            Instance {
-                gateway,
-                load_fields: setup.load_fields,
-            },
-        );
+        let gateway = Gateway::new(setup::read(text)?, seed, now);
+        self.instances.insert(instance, gateway);
         Ok(())
     }
 
@@ -97,14 +84,16 @@
         reply: &mut Reply,
     ) -> Result<(), RecordError> {
         let record = fields.position();
-        let Some(instance) = self.instances.get_mut(&number) else {
+        let Some(gateway) = self.instances.get_mut(&number) else {
             return Err(RecordError::UnknownInstance {
                 record,
                 instance: number,
             });
         };
-        let event = events::decode(code, fields, &self.lists, &instance.load_fields)?;
-        instance.gateway.handle(now, event, &mut self.actions);
+        let Some(event) = events::decode(code, fields, &self.lists)? else {
+            return Ok(());
+        };
+        gateway.handle(now, event, &mut self.actions);
         for action in self.actions.drain(..) {
             actions::encode(&action, number, reply);
         }
--- a/src/bin/simulator-adapter/events.rs
+++ b/src/bin/simulator-adapter/events.rs
@@ -1,8 +1,8 @@
 //! Records of the wire as events. Fields are read in the order of the wire.
 
 use crate::frame::{FieldError, Fields};
-use crate::setup::{LoadField, SettingsError};
-use quota_gateway::{AttemptEnd, Endpoint, EndpointState, Event, LoadReport, Outcome, Request};
+use crate::setup::SettingsError;
+use quota_gateway::{AttemptEnd, Endpoint, EndpointState, Event, Outcome, Request};
 use std::collections::BTreeMap;
 use std::str::Utf8Error;
 use thiserror::Error;
@@ -52,8 +52,6 @@
 
 /// Length of one entry of an endpoint list.
 const ENTRY_BYTES: usize = 21;
-/// Most values in a load report.
-const MAX_LOAD_VALUES: usize = 4;
 /// The bit in an incoming request's `attrs` that marks a client's retry.
 const RETRY_BIT: u8 = 2;
 
@@ -83,33 +81,36 @@
     UnknownState { record: usize, state: u8 },
 }
 
-/// Decodes the fields that follow the instance in a record of this code.
+/// Decodes the fields that follow the instance in a record of this code; none if the record is no event for a gateway.
 pub fn decode(
     code: u8,
     fields: &mut Fields,
     lists: &EndpointLists,
-    load_fields: &[LoadField],
-) -> Result<Event, RecordError> {
-    match code {
-        code::HEALTH => health(fields, load_fields),
-        code::ABORTED => Ok(Event::ClientDisconnected { id: fields.u64()? }),
-        code::COUNTER_REPLY => counter_reply(fields),
-        code::PEER => peer(fields),
-        code::ESTABLISHED => Ok(Event::ResponseStarted {
-            id: fields.u64()?,
-            attempt: fields.u8()?,
-        }),
-        code::FLEET => fleet(fields, lists),
-        code::BELL => Ok(Event::TimerFired {
+) -> Result<Option<Event>, RecordError> {
+    let event = match code {
+        // Gateways send no health checks, so its result is checked and passed over.
+        code::HEALTH => {
+            outcome(fields)?;
+            return Ok(None);
+        }
+        code::ABORTED => Event::ClientDisconnected { id: fields.u64()? },
+        code::COUNTER_REPLY => counter_reply(fields)?,
+        code::PEER => peer(fields)?,
+        code::ESTABLISHED => Event::ResponseStarted { id: fields.u64()? },
+        code::FLEET => fleet(fields, lists)?,
+        code::BELL => Event::TimerFired {
             token: fields.u64()?,
-        }),
-        code::FINISHED => finished(fields, load_fields),
-        code::INCOMING => incoming(fields),
-        code => Err(RecordError::UnknownCode {
-            record: fields.position(),
-            code,
-        }),
-    }
+        },
+        code::FINISHED => finished(fields)?,
+        code::INCOMING => incoming(fields)?,
+        code => {
+            return Err(RecordError::UnknownCode {
+                record: fields.position(),
+                code,
+            })
+        }
+    };
+    Ok(Some(event))
 }
 
 /// Decodes the entries of a `DEFINE_LIST` record, after the number of the list.
@@ -150,19 +151,6 @@
     })
 }
 
-fn health(fields: &mut Fields, load_fields: &[LoadField]) -> Result<Event, RecordError> {
-    let outcome = outcome(fields)?;
-    let endpoint = fields.u32()?;
-    let elapsed_ms = fields.f64()?;
-    let load = load_report(fields, load_fields)?;
-    Ok(Event::HealthCheckEnded {
-        endpoint,
-        outcome,
-        elapsed_ms,
-        load,
-    })
-}
-
 fn counter_reply(fields: &mut Fields) -> Result<Event, RecordError> {
     let outcome = outcome(fields)?;
     let key = fields.u64()?;
@@ -203,7 +191,7 @@
     })
 }
 
-fn finished(fields: &mut Fields, load_fields: &[LoadField]) -> Result<Event, RecordError> {
+fn finished(fields: &mut Fields) -> Result<Event, RecordError> {
     let id = fields.u64()?;
     let attempt = fields.u8()?;
     let request_answered = fields.u8()? != 0;
@@ -211,8 +199,6 @@
     let actual_units = Some(f64::from(fields.u16()?)).filter(|units| *units > 0.0);
     let elapsed_ms = fields.f64()?;
     let outcome = outcome(fields)?;
-    let _use_percent = fields.u16()?;
-    let load = load_report(fields, load_fields)?;
     Ok(Event::AttemptEnded(AttemptEnd {
         id,
         attempt,
@@ -221,7 +207,6 @@
         request_answered,
         actual_units,
         elapsed_ms,
-        load,
     }))
 }
 
@@ -263,21 +248,3 @@
         }),
     }
 }
-
-fn load_report(fields: &mut Fields, load_fields: &[LoadField]) -> Result<LoadReport, RecordError> {
-    let mut load = LoadReport::default();
-    let count = usize::from(fields.u8()?).min(MAX_LOAD_VALUES);
-    for load_field in load_fields.iter().take(count) {
-        let value = Some(fields.f32()?).filter(|value| value.is_finite());
-        match load_field {
-            LoadField::InFlight => load.in_flight = value,
-            LoadField::Queued => load.queued = value,
-            LoadField::Utilization => load.utilization = value,
-            LoadField::ServiceMs => load.service_ms = value,
-            LoadField::ServedPerSecond => load.served_per_s = value,
-            LoadField::ErrorsPerSecond => load.errors_per_s = value,
-            LoadField::Unknown => {}
-        }
-    }
-    Ok(load)
-}
--- a/src/bin/simulator-adapter/setup.rs
+++ b/src/bin/simulator-adapter/setup.rs
@@ -1,46 +1,11 @@
 //! The settings text, one path=value a line, translated to the library's settings.
 
 use quota_gateway::{
-    Class, CounterSettings, Idempotency, KeyScope, Limits, LoadReporting, Plan, Prices, Rules,
-    Settings,
+    Class, CounterSettings, Idempotency, KeyScope, Limits, Plan, Prices, Rules, Settings,
 };
 use std::collections::HashMap;
 use thiserror::Error;
 
-/// The settings of one instance, with what the adapter itself needs of them.
-pub struct Setup {
-    pub settings: Settings,
-    /// The values of a load report, in order.
-    pub load_fields: Vec<LoadField>,
-}
-
-/// A value of a load report.
-#[derive(Clone, Copy)]
-pub enum LoadField {
-    InFlight,
-    Queued,
-    Utilization,
-    ServiceMs,
-    ServedPerSecond,
-    ErrorsPerSecond,
-    /// New names can appear; they are skipped.
-    Unknown,
-}
-
-impl LoadField {
-    fn from_name(name: &str) -> Self {
-        match name {
-            "concurrent" => LoadField::InFlight,
-            "depth" => LoadField::Queued,
-            "load_share" => LoadField::Utilization,
-            "mean_ms" => LoadField::ServiceMs,
-            "tps" => LoadField::ServedPerSecond,
-            "err_ps" => LoadField::ErrorsPerSecond,
-            _ => LoadField::Unknown,
-        }
-    }
-}
-
 /// Settings that cannot be used.
 #[derive(Debug, Error)]
 pub enum SettingsError {
@@ -59,7 +24,7 @@
 }
 
 /// Reads the settings text.
-pub fn read(text: &str) -> Result<Setup, SettingsError> {
+pub fn read(text: &str) -> Result<Settings, SettingsError> {
     let text = SettingsText::new(text);
     let classes = (0..text.integer("categories.count")?)
         .map(|index| class(&text, index))
@@ -82,22 +47,19 @@
         limits: limits(&text)?,
         prices: prices(&text)?,
         rules: rules(&text)?,
-        load_reporting: load_reporting(&text)?,
         endpoints_polled: endpoints_polled(&text)?,
     };
-    Ok(Setup {
-        settings,
-        load_fields: load_fields(&text),
-    })
+    check_load_reporting(&text)?;
+    Ok(settings)
 }
 
 fn counter(text: &SettingsText) -> Result<Option<CounterSettings>, SettingsError> {
     if !text.boolean("domain.may-count")? {
         return Ok(None);
     }
+    text.number("domain.count-fee")?;
     Ok(Some(CounterSettings {
         timeout_ms: text.number("domain.counter-timeout-ms")?,
-        call_price: text.number("domain.count-fee")?,
     }))
 }
 
@@ -111,11 +73,11 @@
 }
 
 fn limits(text: &SettingsText) -> Result<Limits, SettingsError> {
+    text.boolean("limits.probing")?;
     Ok(Limits {
         max_attempts: text.integer("limits.try-limit")?,
         hedging: text.boolean("limits.may-duplicate")?,
         cancellation: text.boolean("limits.cancel")?,
-        health_checks: text.boolean("limits.probing")?,
         gossip: text.boolean("limits.peers")?,
         retry_after: text.boolean("limits.retry-after")?,
         max_retry_after_ms: text.number("limits.max-retry-after-ms")?,
@@ -126,45 +88,36 @@
 }
 
 fn prices(text: &SettingsText) -> Result<Prices, SettingsError> {
+    text.number("penalties.cross-zone")?;
+    text.number("penalties.probe")?;
     Ok(Prices {
-        cross_zone: text.number("penalties.cross-zone")?,
         waste: text.number("penalties.waste")?,
-        health_check: text.number("penalties.probe")?,
         handshake: text.number("penalties.handshake")?,
         late_failure: text.number("penalties.late-fail")?,
     })
 }
 
 fn rules(text: &SettingsText) -> Result<Rules, SettingsError> {
+    text.number("rules.answer-slack-ms")?;
+    text.number("rules.ask-within-ms")?;
     Ok(Rules {
-        response_slack_ms: text.number("rules.answer-slack-ms")?,
         slow_start_min_capacity: text.number("rules.cold-from")?,
         slow_start_ms: text.number("rules.warm-up-ms")?,
         drain_grace_ms: text.number("rules.drain-grace-ms")?,
         overload_multiple: text.number("rules.fall-multiple")?,
         overload_window_ms: text.number("rules.fall-ms")?,
-        max_poll_interval_ms: text.number("rules.ask-within-ms")?,
     })
 }
 
-fn load_reporting(text: &SettingsText) -> Result<LoadReporting, SettingsError> {
+/// Gateways read no load reports; how they would come is checked all the same.
+fn check_load_reporting(text: &SettingsText) -> Result<(), SettingsError> {
     let path = "report.how";
     match text.raw(path)? {
-        "off" => Ok(LoadReporting::Off),
-        "inline" => Ok(LoadReporting::Responses),
-        "on_probe" => Ok(LoadReporting::HealthChecks),
+        "off" | "inline" | "on_probe" => Ok(()),
         unknown => Err(unknown_value(path, unknown)),
     }
 }
 
-fn load_fields(text: &SettingsText) -> Vec<LoadField> {
-    let names = text.raw("report.names").unwrap_or("").split(',');
-    names
-        .filter(|name| !name.is_empty())
-        .map(LoadField::from_name)
-        .collect()
-}
-
 fn endpoints_polled(text: &SettingsText) -> Result<bool, SettingsError> {
     let path = "membership-mode";
     match text.raw(path)? {
@@ -177,13 +130,13 @@
 fn class(text: &SettingsText, index: u32) -> Result<Class, SettingsError> {
     let path = |key: &str| format!("categories.{index}.{key}");
     let idempotency = idempotency(text, index)?;
+    text.number(&path("value"))?;
+    text.boolean(&path("stream"))?;
     Ok(Class {
         latency_objective_ms: text.number(&path("aim-ms"))?,
         deadline_ms: text.number(&path("give-up-ms"))?,
-        priority_weight: text.number(&path("value"))?,
         late_weight: text.number(&path("late-worth"))?,
         idempotency,
-        streaming: text.boolean(&path("stream"))?,
     })
 }
 
@@ -212,16 +165,16 @@
 
 fn plan(text: &SettingsText, index: u32) -> Result<Plan, SettingsError> {
     let path = |key: &str| format!("tiers-of-service.{index}.{key}");
+    text.number(&path("pays"))?;
+    text.number(&path("ceiling-slack"))?;
     Ok(Plan {
         rate: text.number(&path("refill"))?,
         burst: text.number(&path("store-size"))?,
         max_concurrency: text.integer(&path("max-out"))?,
-        weight_multiplier: text.number(&path("pays"))?,
         over_quota_weight: text.number(&path("extra-worth"))?,
         over_quota_cost: text.number(&path("excess-cost"))?,
         ceiling_rate: text.number(&path("cap-rate"))?,
         ceiling_burst: text.number(&path("cap-depth"))?,
-        ceiling_slack: text.number(&path("ceiling-slack"))?,
     })
 }
 
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -71,7 +71,7 @@
                     requests.insert(open);
                 }
             }
-            Event::ResponseStarted { id, .. } => requests.update(id, |open| open.streaming = true),
+            Event::ResponseStarted { id } => requests.update(id, |open| open.streaming = true),
             Event::AttemptEnded(end) => {
                 requests.update(end.id, |open| forwarder.attempt_ended(cx, open, &end));
             }
@@ -85,7 +85,6 @@
                 }
                 Timer::Gossip => forwarder.quota.gossip.send(cx),
             },
-            Event::HealthCheckEnded { .. } => {}
             Event::CounterReply {
                 key,
                 outcome,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -12,14 +12,13 @@
 //! let class = Class {
 //!     latency_objective_ms: 500.0,
 //!     deadline_ms: 2000.0,
-//!     priority_weight: 1.0,
 //!     idempotency: Idempotency::Idempotent,
 //!     ..Class::default()
 //! };
 //! let settings = Settings {
 //!     gateway_count: 1,
 //!     classes: vec![class],
-//!     plans: vec![Plan { rate: 2.0, burst: 4.0, weight_multiplier: 1.0, ..Plan::default() }],
+//!     plans: vec![Plan { rate: 2.0, burst: 4.0, ..Plan::default() }],
 //!     limits: Limits { max_attempts: 3, ..Limits::default() },
 //!     ..Settings::default()
 //! };
--- a/src/state/request/tests.rs
+++ b/src/state/request/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::api::{Class, LoadReport, Plan};
+use crate::api::{Class, Plan};
 
 fn request(id: RequestId) -> Request {
     Request {
@@ -47,7 +47,6 @@
         request_answered: false,
         actual_units: None,
         elapsed_ms: 5.0,
-        load: LoadReport::default(),
     }
 }
 
--- a/tests/common.rs
+++ b/tests/common.rs
@@ -14,7 +14,6 @@
     let class = |idempotency| Class {
         latency_objective_ms: 500.0,
         deadline_ms: 2000.0,
-        priority_weight: 1.0,
         idempotency,
         ..Class::default()
     };
@@ -33,14 +32,10 @@
         plans: vec![Plan {
             rate: 2.0,
             burst: 10.0,
-            weight_multiplier: 1.0,
             over_quota_cost: 1.0,
             ..Plan::default()
         }],
-        counter: Some(CounterSettings {
-            timeout_ms: 80.0,
-            call_price: 0.01,
-        }),
+        counter: Some(CounterSettings { timeout_ms: 80.0 }),
         max_units: 4.0,
         settles_units: true,
         limits: Limits {
@@ -51,13 +46,11 @@
             ..Limits::default()
         },
         rules: Rules {
-            response_slack_ms: 8.0,
             slow_start_min_capacity: 0.25,
             slow_start_ms: 10_000.0,
             drain_grace_ms: 1000.0,
             overload_multiple: 3.0,
             overload_window_ms: 1000.0,
-            max_poll_interval_ms: 10_000.0,
         },
         ..Settings::default()
     }
@@ -67,11 +60,11 @@
     Endpoint {
         id,
         hash_key: id.into(),
-        zone,
         kind: 0,
+        weight: 1.0,
+        zone,
         cell: 0,
         state,
-        weight: 1.0,
         started_at: 0.0,
     }
 }
@@ -143,7 +136,6 @@
             request_answered: outcome == Outcome::Success,
             actual_units,
             elapsed_ms: 50.0,
-            load: LoadReport::default(),
         }))
     }
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -349,7 +349,6 @@
             request_answered: outcome == Outcome::Success,
             actual_units: None,
             elapsed_ms,
-            load: LoadReport::default(),
         };
         *attempt += 1;
         self.schedule(elapsed_ms, Step::AttemptEnd { gateway, end });
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -167,7 +167,6 @@
             request_answered: request.answered,
             actual_units: Some(2.0),
             elapsed_ms: self.now - attempt.started_at,
-            load: LoadReport::default(),
         };
         self.handle(Event::AttemptEnded(ended));
     }
@@ -201,18 +200,15 @@
     fn disturb(&mut self, rng: &mut fastrand::Rng) {
         let odd = [-1.0, f64::NAN, f64::INFINITY, 1e300, 3.0][rng.usize(0..5)];
         match rng.u32(0..20) {
+            // The reply to a call that nobody made.
             0 => {
                 let outcome =
                     [Outcome::Success, Outcome::Timeout, Outcome::ConnectFailed][rng.usize(0..3)];
-                self.handle(Event::HealthCheckEnded {
-                    endpoint: rng.u32(0..9),
+                self.handle(Event::CounterReply {
+                    key: rng.u32(0..9).into(),
                     outcome,
+                    total: odd,
                     elapsed_ms: odd,
-                    load: LoadReport {
-                        queued: Some(odd),
-                        service_ms: Some(odd),
-                        ..LoadReport::default()
-                    },
                 });
             }
             1 => {
@@ -331,11 +327,11 @@
     Endpoint {
         id,
         hash_key: id.into(),
-        zone: id % 2,
         kind: 0,
+        weight: 1.0,
+        zone: id % 2,
         cell: id,
         state,
-        weight: 1.0,
         started_at,
     }
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -134,7 +134,6 @@
     let mut settings = settings_without_quota();
     settings.plans[0].ceiling_rate = 4.0;
     settings.plans[0].ceiling_burst = 40.0;
-    settings.plans[0].ceiling_slack = 4.0;
     settings
 }
 
@@ -209,7 +208,6 @@
             request_answered: true,
             actual_units: None,
             elapsed_ms: 1900.0,
-            load: LoadReport::default(),
         };
         gateway.handle(Event::AttemptEnded(slow));
     }
