--- a/src/bin/quota-gateway/driver/attempts.rs
+++ b/src/bin/quota-gateway/driver/attempts.rs
@@ -5,7 +5,7 @@
 use super::messages::ForwardedRequest;
 use super::requests::{EndpointResponse, StartedAttempt};
 use super::Driver;
-use crate::socket::{Unread, WeakSocket};
+use crate::socket::{PeekResult, WeakSocket};
 use crate::upstream::{AttemptResult, CompleteResponse, OutgoingRequest, Settled, Target};
 use quota_gateway::{EndpointId, Outcome, RequestId};
 use std::cell::Cell;
@@ -36,9 +36,9 @@
             .requests
             .borrow()
             .client_socket(self.guarded.request)?;
-        let unread = client.unread();
+        let unread = client.peek();
         self.guarded.client.set(unread);
-        (unread == Unread::Bytes).then(|| {
+        (unread == PeekResult::Data).then(|| {
             let read = async move { self.guarded.client.set(read_what_came(client).await) };
             Box::pin(read) as Settled<'_>
         })
@@ -68,15 +68,15 @@
 
 /// Lets the client's connection read what has come: its end may lie behind that, and is known only then. It reads some
 /// 100 KB and more a turn. Returns what lies unread then.
-async fn read_what_came(client: WeakSocket) -> Unread {
+async fn read_what_came(client: WeakSocket) -> PeekResult {
     for _ in 0..MAX_READING_TURNS {
         yield_now().await;
-        let unread = client.unread();
-        if unread != Unread::Bytes {
+        let unread = client.peek();
+        if unread != PeekResult::Data {
             return unread;
         }
     }
-    Unread::Bytes
+    PeekResult::Data
 }
 
 impl Driver {
@@ -110,7 +110,7 @@
                 request,
                 target,
                 start_deadline: attempt.start_deadline,
-                client: Cell::new(Unread::Nothing),
+                client: Cell::new(PeekResult::Empty),
             },
             forwarded: attempt.forwarded,
             deadline: attempt.deadline,
--- a/src/bin/quota-gateway/driver/guard.rs
+++ b/src/bin/quota-gateway/driver/guard.rs
@@ -7,7 +7,7 @@
 use super::slow_start_check::SlowStartCheck;
 use super::Driver;
 use crate::metrics::{AttemptRefusal, Metrics, Rule};
-use crate::socket::Unread;
+use crate::socket::PeekResult;
 use crate::upstream::Target;
 use quota_gateway::{Outcome, RequestId, Rules};
 use std::cell::{Cell, RefCell};
@@ -35,7 +35,7 @@
     /// Its first byte must not be written after this.
     pub start_deadline: Instant,
     /// What lay unread in the client's socket right before the write.
-    pub client: Cell<Unread>,
+    pub client: Cell<PeekResult>,
 }
 
 /// What is known when an attempt has been written.
@@ -129,7 +129,7 @@
         let record = self.requests.borrow().record(attempt.request);
         let record = record.filter(|record| record.ended_at.is_none());
         let record = record.ok_or(AttemptRefusal::RequestAnswered)?;
-        if attempt.client.get() == Unread::End {
+        if attempt.client.get() == PeekResult::EndOfStream {
             return Err(AttemptRefusal::ClientGone);
         }
         if record.must_not_retry {
--- a/src/bin/quota-gateway/server/accept.rs
+++ b/src/bin/quota-gateway/server/accept.rs
@@ -5,7 +5,7 @@
 use crate::lifecycle::Phase;
 use crate::metrics::ConnectionEnd;
 use crate::rate_limited_warning::RateLimitedWarning;
-use crate::socket::{Socket, Unread};
+use crate::socket::{PeekResult, Socket};
 use crate::transient_errors::lacks_resources;
 use std::future::poll_fn;
 use std::io;
@@ -60,7 +60,7 @@
     /// When what a connection has sent by now may have come, if it had to wait in the queue.
     fn first_arrival(&self, socket: &Socket) -> Option<Instant> {
         self.held_up_since
-            .filter(|_| socket.unread() == Unread::Bytes)
+            .filter(|_| socket.peek() == PeekResult::Data)
     }
 }
 
--- a/src/bin/quota-gateway/server/disconnect.rs
+++ b/src/bin/quota-gateway/server/disconnect.rs
@@ -1,7 +1,7 @@
 //! A client's stream that shows its end while a request is being served, also behind bytes sent ahead.
 
 use super::client::Client;
-use crate::socket::{Socket, Unread};
+use crate::socket::{PeekResult, Socket};
 use bytes::BytesMut;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -201,7 +201,7 @@
 
     /// True if the system has bytes of the client that nobody has read, whether or not the runtime knows of them.
     pub fn has_unread_bytes(&self) -> bool {
-        self.inner.borrow().socket.unread() == Unread::Bytes
+        self.inner.borrow().socket.peek() == PeekResult::Data
     }
 
     /// True once the client is known to have closed its side, or the connection to be broken.
--- a/src/bin/quota-gateway/socket.rs
+++ b/src/bin/quota-gateway/socket.rs
@@ -108,18 +108,18 @@
     }
 
     /// What the system has received and nobody has read, whether or not the runtime knows of it.
-    pub fn unread(&self) -> Unread {
+    pub fn peek(&self) -> PeekResult {
         let mut byte = [MaybeUninit::uninit()];
         for _ in 0..MAX_LOOKS {
             match SockRef::from(&*self.stream).peek(&mut byte) {
-                Ok(0) => return Unread::End,
-                Ok(_) => return Unread::Bytes,
-                Err(error) if error.kind() == ErrorKind::WouldBlock => return Unread::Nothing,
+                Ok(0) => return PeekResult::EndOfStream,
+                Ok(_) => return PeekResult::Data,
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return PeekResult::Empty,
                 Err(error) if may_pass_for_transfer(&error) => {}
-                Err(_) => return Unread::End,
+                Err(_) => return PeekResult::EndOfStream,
             }
         }
-        Unread::Nothing
+        PeekResult::Empty
     }
 
     /// True if at least this many bytes lie unread.
@@ -163,27 +163,27 @@
 impl WeakSocket {
     /// What lies unread in the socket; its end if the peer has closed its side, whatever lies before that, and once it
     /// is closed here.
-    pub fn unread(&self) -> Unread {
+    pub fn peek(&self) -> PeekResult {
         let Some(stream) = self.stream.upgrade() else {
-            return Unread::End;
+            return PeekResult::EndOfStream;
         };
         let socket = Socket { stream };
-        match socket.unread() {
-            Unread::Bytes if socket.peer_has_closed() => Unread::End,
+        match socket.peek() {
+            PeekResult::Data if socket.peer_has_closed() => PeekResult::EndOfStream,
             unread => unread,
         }
     }
 }
 
-/// What lies unread in a socket.
+/// What a look into a socket's receive buffer shows, without reading from it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unread {
-    /// The peer has sent nothing more.
-    Nothing,
-    /// At least one byte.
-    Bytes,
+pub enum PeekResult {
+    /// The peer has sent nothing that was not read.
+    Empty,
+    /// At least one byte is unread.
+    Data,
     /// The peer has closed its side, or the connection is broken.
-    End,
+    EndOfStream,
 }
 
 impl AsyncRead for Socket {
--- a/src/bin/quota-gateway/upstream/connection.rs
+++ b/src/bin/quota-gateway/upstream/connection.rs
@@ -2,7 +2,7 @@
 
 use super::request::OutgoingRequest;
 use crate::http::Reader;
-use crate::socket::{Socket, Unread};
+use crate::socket::{PeekResult, Socket};
 use quota_gateway::Outcome;
 use std::cell::Cell;
 use std::io::{self, ErrorKind};
@@ -73,7 +73,7 @@
     /// would end as a reset, which may have been executed; and against bytes that came behind a response: they would be read
     /// as the next one. The socket itself is checked, as the runtime may not have seen it yet.
     pub fn is_usable(&self) -> bool {
-        !self.reader.has_unread_bytes() && self.reader.io.unread() == Unread::Nothing
+        !self.reader.has_unread_bytes() && self.reader.io.peek() == PeekResult::Empty
     }
 
     /// Writes a complete request, unless it is refused. Checks that again before each attempt to write the first
--- a/src/bin/quota-gateway/upstream/connection/tests.rs
+++ b/src/bin/quota-gateway/upstream/connection/tests.rs
@@ -1,7 +1,7 @@
 //! What happens to a connection between its choice and the first byte.
 
 use super::{Connection, OpenConnections, OutgoingRequest, Written};
-use crate::socket::{Socket, Unread};
+use crate::socket::{PeekResult, Socket};
 use crate::upstream::Settled;
 use quota_gateway::Outcome;
 use std::cell::RefCell;
@@ -18,7 +18,7 @@
     fn settle(&self) -> Option<Settled<'_>> {
         Some(Box::pin(async {
             drop(self.endpoint.take());
-            while self.connection.unread() != Unread::End {
+            while self.connection.peek() != PeekResult::EndOfStream {
                 tokio::task::yield_now().await;
             }
         }))
