--- a/src/bin/quota-gateway/config/error.rs
+++ b/src/bin/quota-gateway/config/error.rs
@@ -1,6 +1,7 @@
 //! What can be wrong with a configuration.
 
 use crate::transient_errors::may_pass;
+use quota_gateway::wire_settings::SettingProblem;
 use std::io;
 use thiserror::Error;
 
@@ -41,22 +42,10 @@
 /// What is wrong with a field that has the right type.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum FieldProblem {
-    #[error("out of range")]
-    OutOfRange,
+    #[error(transparent)]
+    Setting(#[from] SettingProblem),
     #[error("at least {minimum} are needed")]
     TooFewSockets { minimum: usize },
-    #[error("not below settings.balancers")]
-    NotBelowGatewayCount,
-    #[error("not a place in settings.zones")]
-    NotAZoneIndex,
-    #[error("empty")]
-    Empty,
-    #[error("missing for a keyed class")]
-    MissingForKeyedClass,
-    #[error("a refill needs a store above 0, and neither is below")]
-    RefillWithoutStore,
-    #[error("missing, though settings.domain.may-count is true")]
-    MissingCounter,
     #[error("one address for each gateway and peer_listen are needed")]
     IncompletePeers,
     #[error("not a hex number")]
--- a/src/bin/quota-gateway/config/mod.rs
+++ b/src/bin/quota-gateway/config/mod.rs
@@ -3,7 +3,6 @@
 
 mod error;
 mod file;
-mod settings;
 #[cfg(test)]
 mod tests;
 mod validate;
@@ -13,8 +12,9 @@
 use crate::discovery::list::EndpointList;
 use crate::retry::retry;
 use error::FieldProblem;
-use file::WireConfig;
+use file::{LibraryFile, Named, ProgramFile};
 use quota_gateway::Settings;
+use serde::Deserialize;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -80,51 +80,46 @@
     }
 }
 
-/// Reads the text of a configuration file.
+/// Reads the text of a configuration file: once for the program and once for the decision library, as both know keys of
+/// the same JSON objects.
 fn parse(text: &str) -> Result<Config, ConfigError> {
-    let mut json = serde_json::Deserializer::from_str(text);
-    let file: WireConfig =
-        serde_path_to_error::deserialize(&mut json).map_err(|error| ConfigError::Syntax {
-            field: error.path().to_string(),
-            source: error.into_inner(),
-        })?;
-    validate::validate(&file)?;
+    let file: ProgramFile = parse_part(text)?;
+    let wire = parse_part::<LibraryFile>(text)?.settings;
+    let settings = validate::validate(&file, &wire)?;
     let seed = u64::from_str_radix(&file.seed, 16)
         .map_err(|_| ConfigError::invalid("seed", FieldProblem::NotHexadecimal))?;
-    Ok(Config::new(file, seed))
+    Ok(Config {
+        listen: file.listen,
+        discovery: file.discovery,
+        counter: file.counter,
+        gossip: GossipConfig {
+            listen: file.peer_listen,
+            peers: file.peers,
+            broadcast: file.peers_all,
+            max_messages_per_second: file.settings.domain.peer_intake,
+        },
+        seed,
+        max_sockets: file.limits.sockets,
+        known_endpoints: file.known,
+        class_names: names(file.settings.categories),
+        plan_names: names(file.settings.tiers_of_service),
+        zone_names: wire.zone_names,
+        kind_names: file.settings.kinds,
+        connect_timeout_ms: file.settings.limits.connect_timeout_ms,
+        idle_timeout_ms: settings.limits.idle_timeout_ms,
+        settings,
+    })
 }
 
-impl Config {
-    fn new(file: WireConfig, seed: u64) -> Self {
-        let wire = file.settings;
-        Config {
-            listen: file.listen,
-            discovery: file.discovery,
-            counter: file.counter,
-            gossip: GossipConfig {
-                listen: file.peer_listen,
-                peers: file.peers,
-                broadcast: file.peers_all,
-                max_messages_per_second: wire.domain.peer_intake,
-            },
-            seed,
-            max_sockets: file.limits.sockets,
-            known_endpoints: file.known,
-            settings: settings::library_settings(&wire),
-            class_names: wire
-                .categories
-                .into_iter()
-                .map(|class| class.name)
-                .collect(),
-            plan_names: wire
-                .tiers_of_service
-                .into_iter()
-                .map(|plan| plan.name)
-                .collect(),
-            zone_names: wire.zones,
-            kind_names: wire.kinds,
-            connect_timeout_ms: wire.limits.connect_timeout_ms,
-            idle_timeout_ms: wire.limits.idle_close_ms,
-        }
-    }
+/// Reads the keys that this type knows.
+fn parse_part<'text, T: Deserialize<'text>>(text: &'text str) -> Result<T, ConfigError> {
+    let mut json = serde_json::Deserializer::from_str(text);
+    serde_path_to_error::deserialize(&mut json).map_err(|error| ConfigError::Syntax {
+        field: error.path().to_string(),
+        source: error.into_inner(),
+    })
+}
+
+fn names(entries: Vec<Named>) -> Vec<String> {
+    entries.into_iter().map(|entry| entry.name).collect()
 }
--- a/src/bin/simulator-adapter/events.rs
+++ b/src/bin/simulator-adapter/events.rs
@@ -1,7 +1,7 @@
 //! Records of the wire as events. Fields are read in the order of the wire.
 
 use crate::frame::{FieldError, Fields};
-use crate::setup::SettingsError;
+use crate::settings_text::SettingsError;
 use quota_gateway::{AttemptEnd, Endpoint, EndpointState, Event, Outcome, Request};
 use std::collections::BTreeMap;
 use std::str::Utf8Error;
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -5,6 +5,7 @@
 mod adapter;
 mod events;
 mod frame;
+mod settings_text;
 mod setup;
 
 use adapter::{Adapter, AdapterError};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -73,6 +73,7 @@
 mod policy;
 mod primitives;
 mod state;
+pub mod wire_settings;
 
 pub use api::*;
 pub use gateway::Gateway;
