--- a/src/bin/simulator-adapter/settings_text.rs
+++ b/src/bin/simulator-adapter/settings_text.rs
@@ -51,6 +51,11 @@
         )
     }
 
+    /// Takes a value out, if there is one.
+    pub fn remove(&mut self, path: &str) {
+        self.0.remove(path);
+    }
+
     /// Reads a value of any type from the whole text.
     pub fn read<'de, T: de::Deserialize<'de>>(&'de self) -> Result<T, SettingsError> {
         T::deserialize(Value {
@@ -88,7 +93,8 @@
         }
     }
 
-    fn integer(&self, path: &str) -> Result<u32, SettingsError> {
+    /// A whole number of 0 or more.
+    pub fn integer(&self, path: &str) -> Result<u32, SettingsError> {
         let text = self.raw(path)?;
         text.parse().map_err(|_| SettingsError::NotAnInteger {
             path: path.to_owned(),
--- a/src/bin/simulator-adapter/setup.rs
+++ b/src/bin/simulator-adapter/setup.rs
@@ -1,12 +1,13 @@
 //! The settings of an instance, from the text that starts it.
 
 use crate::settings_text::{SettingsError, SettingsText};
-use quota_gateway::wire_settings::{InvalidSetting, WireSettings};
+use quota_gateway::wire_settings::{unused_class_keys, InvalidSetting, WireSettings};
 use quota_gateway::Settings;
 
 /// Reads the settings text.
 pub fn read(text: &str) -> Result<Settings, SettingsError> {
-    let text = SettingsText::new(text);
+    let mut text = SettingsText::new(text);
+    remove_unused_class_keys(&mut text)?;
     let wire: WireSettings = text.read()?;
     wire.check_complete().map_err(missing)?;
     let settings = wire.to_settings();
@@ -15,6 +16,16 @@
     Ok(settings)
 }
 
+fn remove_unused_class_keys(text: &mut SettingsText) -> Result<(), SettingsError> {
+    for class in 0..text.integer("categories.count")? {
+        let effect = text.raw(&format!("categories.{class}.effect"))?;
+        for key in unused_class_keys(effect) {
+            text.remove(&format!("categories.{class}.{key}"));
+        }
+    }
+    Ok(())
+}
+
 fn missing(setting: InvalidSetting) -> SettingsError {
     SettingsError::Missing {
         path: setting.path.dotted(),
--- a/src/wire_settings/mod.rs
+++ b/src/wire_settings/mod.rs
@@ -11,7 +11,7 @@
 mod validation;
 
 pub use error::{InvalidSetting, SettingPath, SettingProblem};
-pub use model::WireSettings;
+pub use model::{unused_class_keys, WireSettings};
 pub use validation::is_valid_duration;
 
 #[cfg(test)]
--- a/src/wire_settings/model.rs
+++ b/src/wire_settings/model.rs
@@ -51,6 +51,16 @@
     Polled,
 }
 
+/// The keys of a class that have no meaning for a class of this `effect`. The simulator writes them for every class and
+/// may give them any text; whoever reads its text passes them over.
+#[must_use]
+pub fn unused_class_keys(effect: &str) -> &'static [&'static str] {
+    match effect {
+        "idempotency_key" => &[],
+        _ => &["group", "window-ms"],
+    }
+}
+
 /// A request class.
 #[derive(Debug, Deserialize)]
 pub(super) struct WireClass {
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -187,3 +187,16 @@
         "setting categories.0.effect",
     );
 }
+
+/// The simulator writes the scope and the window of an idempotency key for classes that have none, too: whatever stands
+/// there must not keep the instance from starting.
+#[test]
+fn the_figures_of_an_idempotency_key_count_for_a_class_with_one_alone() {
+    let unused = format!("{SETTINGS}categories.0.group=none\ncategories.0.window-ms=-1\n");
+    assert!(run(&provision(&unused)).status.success());
+    let keyed = unused.replace("read_like", "idempotency_key");
+    assert_fails_with(
+        &provision(&keyed),
+        "setting categories.0.group has an unknown",
+    );
+}
