--- a/emulator/src/clients.rs
+++ b/emulator/src/clients.rs
@@ -8,9 +8,9 @@
 
 /// Requests that a client makes at most, its retries included.
 const MAX_REQUESTS_PER_CLIENT: u32 = 4;
-/// How far the real cost of a request lies from its estimate.
+/// Actual units of a request, as multiples of its estimate.
 const COST_RATIO: std::ops::Range<f64> = 0.7..1.3;
-/// How far the delay before a retry lies from its mean.
+/// Range of the delay before a retry, as shares of its mean.
 const RETRY_DELAY_RATIO: std::ops::Range<f64> = 0.5..1.5;
 
 /// What a client asks for; the same over all its retries.
@@ -168,7 +168,7 @@
         })
 }
 
-/// Relative numbers of requests; hot gateways lie evenly among the others.
+/// Relative numbers of requests; hot gateways are spread evenly among the others.
 fn gateway_weights(experiment: &Experiment) -> Vec<f64> {
     let gateways = &experiment.gateways;
     let count = u64::from(gateways.count);
@@ -185,7 +185,7 @@
         .collect()
 }
 
-/// Running sums, as shares of the whole.
+/// Running sums, as shares of the total.
 fn cumulative_shares(shares: impl Iterator<Item = f64>) -> Vec<f64> {
     let mut sum = 0.0;
     let mut sums = Vec::new();
@@ -200,7 +200,7 @@
     sums
 }
 
-/// The entry whose part of the whole contains `draw`, which lies between 0 and 1.
+/// The entry whose part of the total contains `draw`, a number from 0 to 1.
 fn index_of(cumulative: &[f64], draw: f64) -> usize {
     cumulative
         .partition_point(|sum| *sum <= draw)
--- a/emulator/src/endpoint.rs
+++ b/emulator/src/endpoint.rs
@@ -93,7 +93,8 @@
         min + (1.0 - min) * age as f64 / self.slow_start as f64
     }
 
-    /// Requests that an endpoint with this share of its capacity bears within the rule's window, chance included.
+    /// Most requests within the rule's window that an endpoint with this share of its capacity survives. The allowance
+    /// for chance grows with the root of the expected number.
     fn overload_limit(&self, capacity: f64) -> f64 {
         let served_per_s = f64::from(self.slots) * 1000.0 / self.mean_service_ms * capacity;
         let expected = self.overload_multiple * served_per_s * self.overload_window as f64 / 1e6;
--- a/emulator/src/experiment/error.rs
+++ b/emulator/src/experiment/error.rs
@@ -36,7 +36,7 @@
         /// What the parser says, in one line.
         message: String,
     },
-    /// A figure lies outside its range.
+    /// A figure is outside its range.
     #[error("{field}: {value} is not within {min} to {max}")]
     OutOfRange {
         /// The field's path.
--- a/emulator/src/experiment/validation.rs
+++ b/emulator/src/experiment/validation.rs
@@ -1,4 +1,4 @@
-//! Checks that the figures of an experiment lie within their ranges: beyond these an experiment is a mistake.
+//! Checks that the figures of an experiment are within their ranges: beyond these an experiment is a mistake.
 
 use super::error::ExperimentError;
 use super::model::{
@@ -22,7 +22,7 @@
 
 type Checked = Result<(), ExperimentError>;
 
-/// Checks all figures; the first that lies outside its range is the error.
+/// Checks all figures; the first that is outside its range is the error.
 pub(super) fn check(experiment: &Experiment) -> Checked {
     within("seconds", experiment.seconds, ABOVE_ZERO, DAY_S)?;
     within(
--- a/emulator/src/report/mod.rs
+++ b/emulator/src/report/mod.rs
@@ -33,9 +33,9 @@
     pub counter: CounterFigures,
     /// The endpoint list.
     pub discovery: DiscoveryFigures,
-    /// Violations of the rules, over the whole time.
+    /// Violations of the rules, from the start of the experiment.
     pub violations: Violations,
-    /// Requests by how they ended in windows of 5 s, over the whole time.
+    /// Requests by how they ended in windows of 5 s, from the start of the experiment.
     pub windows: Vec<Window>,
 }
 
--- a/emulator/src/simulation/attempts.rs
+++ b/emulator/src/simulation/attempts.rs
@@ -177,7 +177,7 @@
             .or_default() += 1;
     }
 
-    /// Rule: nothing is sent for a client that has been gone for a while.
+    /// Rule: nothing is sent for a client that disconnected a while ago.
     fn check_disconnected(&mut self, gateway: u32, request: u64) {
         let now = self.queue.now();
         let Some(disconnected_at) = self.open_requests[&request].disconnected_at else {
--- a/emulator/src/simulation/event_queue.rs
+++ b/emulator/src/simulation/event_queue.rs
@@ -37,7 +37,7 @@
         self.serial
     }
 
-    /// Schedules an event; one that lies in the past happens now.
+    /// Schedules an event; one whose time has passed happens now.
     pub(super) fn schedule(&mut self, at: Micros, event: Event) {
         let serial = self.next_id();
         let slot = self.free_slots.pop().unwrap_or_else(|| {
--- a/emulator/src/simulation/gateway.rs
+++ b/emulator/src/simulation/gateway.rs
@@ -20,7 +20,7 @@
     pub(super) figures: LifetimeFigures,
 }
 
-/// What the report tells of a gateway, over all its processes.
+/// What the report says of a gateway, over all its processes.
 #[derive(Default)]
 pub(super) struct LifetimeFigures {
     pub(super) requests: u64,
--- a/emulator/src/simulation/recorder.rs
+++ b/emulator/src/simulation/recorder.rs
@@ -9,7 +9,7 @@
 
 /// Length of a window of the report.
 const WINDOW: Micros = 5_000_000;
-/// Largest latency that is told from larger ones.
+/// Largest latency that is recorded; larger ones count as this.
 const MAX_LATENCY: Micros = 3_600_000_000;
 /// Significant digits of latencies.
 const LATENCY_DIGITS: u8 = 3;
--- a/emulator/src/violations.rs
+++ b/emulator/src/violations.rs
@@ -1,4 +1,4 @@
-//! Violations of the rules, counted over the whole fleet.
+//! Violations of the rules, counted over the fleet.
 
 use serde::Serialize;
 
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -28,7 +28,7 @@
         /// The request.
         id: RequestId,
     },
-    /// A timer that [`Action::SetTimer`](crate::Action::SetTimer) asked for has run out.
+    /// A timer that was set by [`Action::SetTimer`](crate::Action::SetTimer) has fired.
     TimerFired {
         /// The token that the timer was set with.
         token: u64,
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -2,7 +2,7 @@
 
 use super::Millis;
 
-/// The settings of one gateway. All of them but its index and zone are the same for the whole fleet.
+/// The settings of one gateway. All of them but its index and zone are the same for all gateways of a fleet.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// Number of gateways in the fleet.
@@ -126,7 +126,7 @@
 /// What the operators charge for, as shares of the value of all requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Prices {
-    /// Work of endpoints that led to no response, relative to the work asked for.
+    /// Work of endpoints that led to no response, relative to all work of endpoints.
     pub waste: f64,
     /// One new connection to an endpoint for each request.
     pub handshake: f64,
@@ -143,8 +143,8 @@
     pub slow_start_ms: Millis,
     /// How long after a notice of draining or removal a new attempt may still be sent.
     pub drain_grace_ms: Millis,
-    /// An endpoint in slow start fails if it gets more than this multiple of its present capacity ...
+    /// Multiple of its present capacity that makes an endpoint fail while it warms up.
     pub overload_multiple: f64,
-    /// ... within this time.
+    /// Time over which that multiple is measured.
     pub overload_window_ms: Millis,
 }
--- a/src/bin/simulator-adapter/settings_text.rs
+++ b/src/bin/simulator-adapter/settings_text.rs
@@ -56,7 +56,7 @@
         self.0.remove(path);
     }
 
-    /// Reads a value of any type from the whole text.
+    /// Reads a value of any type, usually a struct, from all of the text.
     pub fn read<'de, T: de::Deserialize<'de>>(&'de self) -> Result<T, SettingsError> {
         T::deserialize(Value {
             text: self,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// A whole number of 0 or more.
+    /// An integer of 0 or more.
     pub fn integer(&self, path: &str) -> Result<u32, SettingsError> {
         let text = self.raw(path)?;
         text.parse().map_err(|_| SettingsError::NotAnInteger {
