--- a/src/policy/forwarding.rs
+++ b/src/policy/forwarding.rs
@@ -5,23 +5,17 @@
 };
 use crate::policy::load_balancer::LoadBalancer;
 use crate::policy::quota::QuotaLedger;
+use crate::policy::retry::{self, AttemptDecision, AttemptInputs};
+use crate::policy::retry::{RetryBudget, RetryDecision, RetryInputs};
 use crate::primitives::load_estimate::{LoadEstimate, LoadParameters};
-use crate::primitives::token_bucket::TokenBucket;
 use crate::state::{Attempt, Context, OpenRequest};
 
-/// Retries allowed for each first attempt.
-const RETRIES_PER_REQUEST: f64 = 0.1;
-/// Unused retries saved up at most.
-const MAX_SAVED_RETRIES: f64 = 10.0;
 /// An attempt that earns nothing after its latency objective ends this long before it, in ms ...
 const EARLY_TIMEOUT_MS: f64 = 4.0;
 /// ... and this number of ticks.
 const EARLY_TIMEOUT_TICKS: f64 = 2.0;
 /// Advice to a client whose request found no endpoint or failed, as a share of the latency objective.
 const RETRY_AFTER_SHARE: f64 = 0.5;
-/// A retry is written this long before the key's window ends, in ms: the program may stall for so long
-/// between its last look at the clock and the write.
-const WRITE_DELAY_MS: f64 = 150.0;
 /// How the load of the fleet is estimated.
 const FLEET_LOAD: LoadParameters = LoadParameters {
     averaging_ms: 1500.0, // some dozens of requests
@@ -36,7 +30,7 @@
     pub(crate) quota: QuotaLedger,
     pub(crate) load_balancer: LoadBalancer,
     pub(super) load: LoadEstimate,
-    retry_budget: TokenBucket,
+    retry_budget: RetryBudget,
 }
 
 impl Forwarder {
@@ -45,7 +39,7 @@
             quota: QuotaLedger::new(now),
             load_balancer: LoadBalancer::new(settings, now),
             load: LoadEstimate::new(&FLEET_LOAD, now),
-            retry_budget: TokenBucket::new(MAX_SAVED_RETRIES),
+            retry_budget: RetryBudget::new(),
         }
     }
 
@@ -66,8 +60,11 @@
     /// Sends the request's next attempt, if it may have one and an endpoint is there for it.
     pub(crate) fn forward(&mut self, cx: &mut Context, open: &mut OpenRequest) {
         let endpoint = self.load_balancer.choose(cx, open);
-        if let Some(endpoint) = endpoint.filter(|_| self.may_attempt(cx, open)) {
-            return self.start_attempt(cx, open, endpoint);
+        let decision = retry::decide_attempt(&self.attempt_inputs(cx, open));
+        if let (Some(endpoint), AttemptDecision::Allowed { start_timeout_ms }) =
+            (endpoint, decision)
+        {
+            return self.start_attempt(cx, open, endpoint, start_timeout_ms);
         }
         if open.attempts.is_empty() {
             self.refund(cx, open);
@@ -77,20 +74,26 @@
         }
     }
 
-    /// Whether time, the rules of its class and the customer's ceiling allow the request another attempt.
-    fn may_attempt(&self, cx: &Context, open: &OpenRequest) -> bool {
-        let attempts = open.attempts.len() as u32;
-        if open.deadline <= cx.now || attempts >= cx.settings.limits.max_attempts.max(1) {
-            return false;
-        }
-        if retry_time_left(cx, open) <= 0.0 {
-            return false;
-        }
+    fn attempt_inputs(&self, cx: &Context, open: &OpenRequest) -> AttemptInputs {
         let has_ceiling = cx.plan(open.account()).ceiling_rate > 0.0;
-        attempts > 0 || !has_ceiling || self.quota.customers.fits_ceiling(&open.request)
+        AttemptInputs {
+            now: cx.now,
+            deadline: open.deadline,
+            attempts: open.attempts.len() as u32,
+            max_attempts: cx.settings.limits.max_attempts,
+            idempotency: cx.class(&open.request).idempotency,
+            first_execution_at: open.first_execution.map(|first| first.started_at),
+            fits_ceiling: !has_ceiling || self.quota.customers.fits_ceiling(&open.request),
+        }
     }
 
-    fn start_attempt(&mut self, cx: &mut Context, open: &mut OpenRequest, endpoint: EndpointId) {
+    fn start_attempt(
+        &mut self,
+        cx: &mut Context,
+        open: &mut OpenRequest,
+        endpoint: EndpointId,
+        start_timeout_ms: Millis,
+    ) {
         let first = open.attempts.is_empty();
         let endpoint_in_flight = self.load_balancer.attempt_started(cx.now, endpoint, first);
         self.quota.customers.attempt_started(&open.request, first);
@@ -101,7 +104,6 @@
             in_flight: true,
         });
         let timeout_ms = attempt_timeout(cx, open);
-        let start_timeout_ms = retry_time_left(cx, open);
         cx.actions.push(Action::SendAttempt {
             id: open.request.id,
             endpoint,
@@ -110,8 +112,7 @@
         });
         self.load.request_started(cx.now);
         if first {
-            self.retry_budget
-                .refill(RETRIES_PER_REQUEST, MAX_SAVED_RETRIES);
+            self.retry_budget.deposit();
         }
     }
 
@@ -168,29 +169,32 @@
     }
 
     fn retry_or_finish(&mut self, cx: &mut Context, open: &mut OpenRequest, outcome: Outcome) {
-        if !self.may_retry(cx, open, outcome) {
-            return self.finish_unserved(cx, open);
-        }
-        if !outcome.never_executed() && outcome != Outcome::Cancelled {
-            self.retry_budget.take(1.0);
+        match retry::decide_retry(&self.retry_inputs(cx, open, outcome)) {
+            RetryDecision::Denied(_) => self.finish_unserved(cx, open),
+            RetryDecision::Allowed { uses_budget } => {
+                if uses_budget {
+                    self.retry_budget.withdraw();
+                }
+                self.forward(cx, open);
+            }
         }
-        self.forward(cx, open);
     }
 
-    fn may_retry(&self, cx: &Context, open: &OpenRequest, outcome: Outcome) -> bool {
-        if outcome == Outcome::NotSent || open.streaming || open.deadline <= cx.now {
-            return false;
-        }
+    fn retry_inputs(&self, cx: &Context, open: &OpenRequest, outcome: Outcome) -> RetryInputs {
         let class = cx.class(&open.request);
-        let baseline_ms = self
-            .load_balancer
-            .baseline_latency(open.request.class as usize);
-        // After the latency objective a response may earn nothing.
-        if class.late_weight <= 0.0 && cx.now + baseline_ms >= open.objective_deadline {
-            return false;
+        RetryInputs {
+            now: cx.now,
+            outcome,
+            response_started: open.streaming,
+            deadline: open.deadline,
+            objective_deadline: open.objective_deadline,
+            baseline_latency_ms: self
+                .load_balancer
+                .baseline_latency(open.request.class as usize),
+            late_weight: class.late_weight,
+            idempotency: class.idempotency,
+            budget_has_retry: self.retry_budget.has_retry(),
         }
-        let idempotent = class.idempotency != Idempotency::NotIdempotent;
-        outcome.never_executed() || idempotent && self.retry_budget.has(1.0)
     }
 
     /// Ends a request that no endpoint has served.
@@ -248,17 +252,6 @@
     }
 }
 
-/// Time in which another attempt may be written, in ms: an endpoint recognises a retry within the key's
-/// window only. Infinite where nothing can be executed twice by that.
-fn retry_time_left(cx: &Context, open: &OpenRequest) -> Millis {
-    match (cx.class(&open.request).idempotency, open.first_execution) {
-        (Idempotency::WithKey { window_ms, .. }, Some(first)) => {
-            first.started_at + window_ms - WRITE_DELAY_MS - cx.now
-        }
-        _ => f64::INFINITY,
-    }
-}
-
 /// How long an attempt that starts now may take, in ms.
 fn attempt_timeout(cx: &Context, open: &OpenRequest) -> Millis {
     let remaining_ms = open.deadline - cx.now;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -15,5 +15,6 @@
 mod outlier;
 mod overload;
 mod quota;
+mod retry;
 mod slow_start;
 mod subset;
