--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -3,7 +3,8 @@
 //! The ordinary way: a request's estimated units are added to the customer's shared count before it is
 //! forwarded. Over the quota it is rejected at once. A counter that fails lets requests through.
 
-use crate::api::{Action, Request};
+use crate::api::Request;
+use crate::policy::final_response::{EndReason, UnservedResponse};
 use crate::policy::forwarding::Forwarder;
 use crate::state::{Context, OpenRequest, Timer};
 
@@ -21,10 +22,8 @@
     ) -> Option<OpenRequest> {
         let id = request.id;
         let Some(mut open) = OpenRequest::new(request, cx.settings, cx.now) else {
-            cx.actions.push(Action::Reject {
-                id,
-                retry_after_ms: 0.0,
-            });
+            let response = UnservedResponse::to_invalid_request();
+            cx.actions.push(response.action(id));
             return None;
         };
         self.admit(cx, &mut open);
@@ -46,7 +45,7 @@
             return self.reject_over_quota(cx, open);
         }
         if self.expected_latency(cx, open) > MAX_EXPECTED_SHARE * open.objective_ms.max(0.0) {
-            return self.finish(cx, open, baseline_ms);
+            return self.finish(cx, open, EndReason::Overloaded);
         }
         if !self.quota.charge(cx, open) {
             return self.forward_within_quota(cx, open);
@@ -99,7 +98,6 @@
             open.within_quota = false;
             return self.forward(cx, open);
         }
-        let retry_after_ms = self.quota.retry_after(cx, open);
-        self.finish(cx, open, retry_after_ms);
+        self.finish(cx, open, EndReason::OverLimit);
     }
 }
--- a/src/policy/forwarding.rs
+++ b/src/policy/forwarding.rs
@@ -1,8 +1,8 @@
 //! What becomes of an admitted request: its attempts, retries, and its final answer.
 
-use crate::api::{
-    Action, AttemptEnd, EndpointId, Idempotency, KeyScope, Millis, Outcome, Settings,
-};
+use crate::api::{Action, AttemptEnd, EndpointId, Millis, Outcome, Settings};
+use crate::policy::attempt_timeout::{attempt_timeout, TimeoutInputs};
+use crate::policy::final_response::{self, EndReason, ResponseInputs};
 use crate::policy::load_balancer::LoadBalancer;
 use crate::policy::quota::QuotaLedger;
 use crate::policy::retry::{self, AttemptDecision, AttemptInputs};
@@ -10,12 +10,6 @@
 use crate::primitives::load_estimate::{LoadEstimate, LoadParameters};
 use crate::state::{Attempt, Context, OpenRequest};
 
-/// An attempt that earns nothing after its latency objective ends this long before it, in ms ...
-const EARLY_TIMEOUT_MS: f64 = 4.0;
-/// ... and this number of ticks.
-const EARLY_TIMEOUT_TICKS: f64 = 2.0;
-/// Advice to a client whose request found no endpoint or failed, as a share of the latency objective.
-const RETRY_AFTER_SHARE: f64 = 0.5;
 /// How the load of the fleet is estimated.
 const FLEET_LOAD: LoadParameters = LoadParameters {
     averaging_ms: 1500.0, // some dozens of requests
@@ -61,17 +55,17 @@
     pub(crate) fn forward(&mut self, cx: &mut Context, open: &mut OpenRequest) {
         let endpoint = self.load_balancer.choose(cx, open);
         let decision = retry::decide_attempt(&self.attempt_inputs(cx, open));
-        if let (Some(endpoint), AttemptDecision::Allowed { start_timeout_ms }) =
-            (endpoint, decision)
-        {
-            return self.start_attempt(cx, open, endpoint, start_timeout_ms);
-        }
+        let reason = match (endpoint, decision) {
+            (Some(endpoint), AttemptDecision::Allowed { start_timeout_ms }) => {
+                return self.start_attempt(cx, open, endpoint, start_timeout_ms);
+            }
+            (Some(_), AttemptDecision::Denied(denial)) => EndReason::AttemptDenied(denial),
+            (None, _) => EndReason::NoEndpoint,
+        };
         if open.attempts.is_empty() {
             self.refund(cx, open);
         }
-        if !open.has_attempt_in_flight() {
-            self.finish_unserved(cx, open);
-        }
+        self.finish(cx, open, reason);
     }
 
     fn attempt_inputs(&self, cx: &Context, open: &OpenRequest) -> AttemptInputs {
@@ -103,7 +97,7 @@
             endpoint_in_flight,
             in_flight: true,
         });
-        let timeout_ms = attempt_timeout(cx, open);
+        let timeout_ms = attempt_timeout(&timeout_inputs(cx, open));
         cx.actions.push(Action::SendAttempt {
             id: open.request.id,
             endpoint,
@@ -170,7 +164,9 @@
 
     fn retry_or_finish(&mut self, cx: &mut Context, open: &mut OpenRequest, outcome: Outcome) {
         match retry::decide_retry(&self.retry_inputs(cx, open, outcome)) {
-            RetryDecision::Denied(_) => self.finish_unserved(cx, open),
+            RetryDecision::Denied(denial) => {
+                self.finish(cx, open, EndReason::RetryDenied(denial));
+            }
             RetryDecision::Allowed { uses_budget } => {
                 if uses_budget {
                     self.retry_budget.withdraw();
@@ -198,35 +194,20 @@
     }
 
     /// Ends a request that no endpoint has served.
-    fn finish_unserved(&mut self, cx: &mut Context, open: &mut OpenRequest) {
-        let retry_after_ms = cx.class(&open.request).latency_objective_ms * RETRY_AFTER_SHARE;
-        self.finish(cx, open, retry_after_ms);
-    }
-
-    /// Ends the request: rejected if the client may safely retry it, failed if it may have been executed.
-    pub(crate) fn finish(
-        &mut self,
-        cx: &mut Context,
-        open: &mut OpenRequest,
-        retry_after_ms: Millis,
-    ) {
-        let id = open.request.id;
-        let safe_to_repeat = match cx.class(&open.request).idempotency {
-            Idempotency::Idempotent
-            | Idempotency::WithKey {
-                scope: KeyScope::All,
-                ..
-            } => true,
-            _ => open.first_execution.is_none() && !open.has_attempt_in_flight(),
-        };
-        if safe_to_repeat {
-            let limits = &cx.settings.limits;
-            let capped = retry_after_ms.clamp(0.0, limits.max_retry_after_ms.max(0.0));
-            let retry_after_ms = if limits.retry_after { capped } else { 0.0 };
-            cx.actions.push(Action::Reject { id, retry_after_ms });
-        } else {
-            cx.actions.push(Action::Fail { id });
-        }
+    pub(super) fn finish(&mut self, cx: &mut Context, open: &mut OpenRequest, reason: EndReason) {
+        let class = cx.class(&open.request);
+        let response = final_response::decide_response(&ResponseInputs {
+            reason,
+            idempotency: class.idempotency,
+            may_have_executed: open.first_execution.is_some() || open.has_attempt_in_flight(),
+            quota_retry_after_ms: self.quota.retry_after(cx, open),
+            baseline_latency_ms: self
+                .load_balancer
+                .baseline_latency(open.request.class as usize),
+            latency_objective_ms: class.latency_objective_ms,
+            limits: &cx.settings.limits,
+        });
+        cx.actions.push(response.action(open.request.id));
         self.close(cx, open);
     }
 
@@ -252,16 +233,13 @@
     }
 }
 
-/// How long an attempt that starts now may take, in ms.
-fn attempt_timeout(cx: &Context, open: &OpenRequest) -> Millis {
-    let remaining_ms = open.deadline - cx.now;
-    // Where a late response earns nothing, the attempt ends before its latency objective. The endpoint does
-    // the work all the same: only where that waste is priced below a late failure.
-    let prices = &cx.settings.prices;
-    if cx.class(&open.request).late_weight > 0.0 || prices.waste >= prices.late_failure {
-        return remaining_ms;
+fn timeout_inputs<'a>(cx: &Context<'a>, open: &OpenRequest) -> TimeoutInputs<'a> {
+    TimeoutInputs {
+        now: cx.now,
+        deadline: open.deadline,
+        objective_deadline: open.objective_deadline,
+        late_weight: cx.class(&open.request).late_weight,
+        prices: &cx.settings.prices,
+        tick_ms: cx.settings.tick_ms,
     }
-    let objective_ms = open.objective_deadline - cx.now;
-    let early_ms = objective_ms - EARLY_TIMEOUT_MS - EARLY_TIMEOUT_TICKS * cx.settings.tick_ms;
-    remaining_ms.min(early_ms.max(1.0))
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -4,11 +4,13 @@
 //! [`forwarding`] sends it to the endpoint that [`load_balancer`] chooses, retries and ends it.
 
 mod admission;
+mod attempt_timeout;
 mod call_limiter;
 mod candidate;
 mod connections;
 mod counter_calls;
 pub(crate) mod endpoints;
+mod final_response;
 pub(crate) mod forwarding;
 mod latency;
 mod load_balancer;
