--- a/src/policy/forwarding.rs
+++ b/src/policy/forwarding.rs
@@ -4,26 +4,18 @@
 use crate::policy::attempt_timeout::{attempt_timeout, TimeoutInputs};
 use crate::policy::final_response::{self, EndReason, ResponseInputs};
 use crate::policy::load_balancer::LoadBalancer;
+use crate::policy::load_estimate::LoadEstimate;
+use crate::policy::overload::{self, FleetInputs};
 use crate::policy::quota::QuotaLedger;
 use crate::policy::retry::{self, AttemptDecision, AttemptInputs};
 use crate::policy::retry::{RetryBudget, RetryDecision, RetryInputs};
-use crate::primitives::load_estimate::{LoadEstimate, LoadParameters};
 use crate::state::{Attempt, Context, OpenRequest};
 
-/// How the load of the fleet is estimated.
-const FLEET_LOAD: LoadParameters = LoadParameters {
-    averaging_ms: 1500.0, // some dozens of requests
-    responses_for_half_weight: 20.0,
-    latency_share_gain: 0.1, // about the last ten count, however long ago
-    initial_latency_share: 0.2,
-    latency_share_factor: 1.5,
-};
-
 /// Forwards admitted requests to endpoints and sees each through to its final answer.
 pub(crate) struct Forwarder {
     pub(crate) quota: QuotaLedger,
     pub(crate) load_balancer: LoadBalancer,
-    pub(super) load: LoadEstimate,
+    load: LoadEstimate,
     retry_budget: RetryBudget,
 }
 
@@ -32,7 +24,7 @@
         Forwarder {
             quota: QuotaLedger::new(now),
             load_balancer: LoadBalancer::new(settings, now),
-            load: LoadEstimate::new(&FLEET_LOAD, now),
+            load: LoadEstimate::new(now),
             retry_budget: RetryBudget::new(),
         }
     }
@@ -44,6 +36,20 @@
         self.quota.forget_idle(cx.now, cx.settings);
     }
 
+    /// Expected time to the response of the request if it is admitted now, in ms.
+    pub(super) fn expected_latency(&mut self, cx: &Context, open: &OpenRequest) -> Millis {
+        let fleet = FleetInputs {
+            now: cx.now,
+            ready_endpoints: self.load_balancer.ready_count(),
+            gateway_count: cx.settings.gateway_count,
+            baseline_latency_ms: self
+                .load_balancer
+                .baseline_latency(open.request.class as usize),
+            latency_objective_ms: cx.class(&open.request).latency_objective_ms,
+        };
+        overload::expected_latency(&mut self.load, &fleet)
+    }
+
     /// Forwards a request within its quota.
     pub(crate) fn forward_within_quota(&mut self, cx: &mut Context, open: &mut OpenRequest) {
         self.quota
@@ -104,7 +110,7 @@
             timeout_ms,
             start_timeout_ms,
         });
-        self.load.request_started(cx.now);
+        self.load.attempt_started(cx.now);
         if first {
             self.retry_budget.deposit();
         }
@@ -123,7 +129,7 @@
         let latency_ms = cx.now - attempt.started_at;
         self.settle_attempt(cx, open, ended.actual_units);
         self.load
-            .request_ended(cx.now, ended.outcome == Outcome::Success);
+            .attempt_ended(cx.now, ended.outcome == Outcome::Success);
         if matches!(ended.outcome, Outcome::Success | Outcome::Timeout) {
             self.load
                 .record_latency(latency_ms, cx.class(&open.request).latency_objective_ms);
--- a/src/primitives/load_estimate/tests.rs
+++ b/src/policy/load_estimate/tests.rs
@@ -1,25 +1,17 @@
 use super::*;
 
-const PARAMETERS: LoadParameters = LoadParameters {
-    averaging_ms: 1000.0,
-    responses_for_half_weight: 10.0,
-    latency_share_gain: 0.1,
-    initial_latency_share: 0.2,
-    latency_share_factor: 1.5,
-};
-
 /// The estimate after ten seconds of 100 requests per second that take `latency_ms` each.
 fn under_steady_load(latency_ms: f64) -> LoadEstimate {
-    let mut load = LoadEstimate::new(&PARAMETERS, 0.0);
+    let mut load = LoadEstimate::new(0.0);
     let mut ends = std::collections::VecDeque::new();
     for request in 0..1000 {
         let now = f64::from(request) * 10.0;
         while ends.front().is_some_and(|end| *end <= now) {
             ends.pop_front();
-            load.request_ended(now, true);
+            load.attempt_ended(now, true);
             load.record_latency(latency_ms, 500.0);
         }
-        load.request_started(now);
+        load.attempt_started(now);
         ends.push_back(now + latency_ms);
     }
     load
@@ -27,7 +19,7 @@
 
 #[test]
 fn without_responses_it_is_the_initial_share_of_the_objective() {
-    let load = LoadEstimate::new(&PARAMETERS, 0.0);
+    let load = LoadEstimate::new(0.0);
     assert!((load.expected_latency(50.0, 1000.0) - 300.0).abs() < 1e-9);
 }
 
@@ -47,7 +39,7 @@
     let mut load = under_steady_load(100.0);
     let before_ms = load.expected_latency(50.0, 500.0);
     for _ in 0..10 {
-        load.request_started(10_000.0);
+        load.attempt_started(10_000.0);
     }
     assert!(load.expected_latency(50.0, 500.0) > before_ms * 1.3);
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -14,6 +14,7 @@
 pub(crate) mod forwarding;
 mod latency;
 mod load_balancer;
+mod load_estimate;
 mod outlier;
 mod overload;
 mod quota;
--- a/src/policy/overload.rs
+++ b/src/policy/overload.rs
@@ -1,30 +1,47 @@
-//! The expected latency of a request, from the load of the fleet as this gateway's own requests show it.
+//! The expected latency of a request that is admitted now, by which the gateway sheds load.
+//!
+//! It rests on this gateway's own attempts and so shows whatever slows the fleet: other gateways, neighbours
+//! on its machines, costly requests. It rises at once with each attempt that is sent.
 
 use crate::api::Millis;
-use crate::policy::forwarding::Forwarder;
-use crate::state::{Context, OpenRequest};
+use crate::policy::load_estimate::LoadEstimate;
 
-/// Attempts in flight per endpoint, over all gateways, that are always admitted: a few that hang must not
-/// make the gateway reject everything, and without responses it would learn nothing.
+/// Attempts in flight per endpoint, over all gateways, that are always admitted. Without a minimum a few
+/// attempts that hang would make the gateway reject everything, and without responses it would learn nothing.
 const ALWAYS_ADMITTED_PER_ENDPOINT: f64 = 3.0;
 
-impl Forwarder {
-    /// Expected time to the response of the request if it is admitted now, in ms. It rises at once with what
-    /// is admitted, whatever slows the fleet: other gateways, neighbours, costly requests.
-    pub(super) fn expected_latency(&mut self, cx: &Context, open: &OpenRequest) -> Millis {
-        self.load.advance(cx.now);
-        let ready = self.load_balancer.ready_count() as f64;
-        if ready == 0.0 {
-            return f64::INFINITY;
-        }
-        let gateways = f64::from(cx.settings.gateway_count.max(1));
-        if self.load.in_flight() < (ready * ALWAYS_ADMITTED_PER_ENDPOINT / gateways).max(1.0) {
-            return 0.0;
-        }
-        let baseline_ms = self
-            .load_balancer
-            .baseline_latency(open.request.class as usize);
-        self.load
-            .expected_latency(baseline_ms, cx.class(&open.request).latency_objective_ms)
+/// What the expected latency rests on besides the load. Moments and spans are in ms.
+pub(super) struct FleetInputs {
+    pub(super) now: Millis,
+    /// Endpoints that take requests.
+    pub(super) ready_endpoints: usize,
+    /// Gateways that share them.
+    pub(super) gateway_count: u32,
+    /// Latency of the request's class at an idle endpoint.
+    pub(super) baseline_latency_ms: Millis,
+    /// Latency objective of the request's class.
+    pub(super) latency_objective_ms: Millis,
+}
+
+/// Expected time to the response of a request that is admitted now, in ms: 0 while little is in flight,
+/// infinite without endpoints. Brings the load up to now.
+pub(super) fn expected_latency(load: &mut LoadEstimate, fleet: &FleetInputs) -> Millis {
+    load.advance(fleet.now);
+    if fleet.ready_endpoints == 0 {
+        return f64::INFINITY;
+    }
+    if load.in_flight() < always_admitted(fleet) {
+        return 0.0;
     }
+    load.expected_latency(fleet.baseline_latency_ms, fleet.latency_objective_ms)
 }
+
+/// Attempts in flight at this gateway below which any request is admitted.
+fn always_admitted(fleet: &FleetInputs) -> f64 {
+    let endpoints = fleet.ready_endpoints as f64;
+    let gateways = f64::from(fleet.gateway_count.max(1));
+    (endpoints * ALWAYS_ADMITTED_PER_ENDPOINT / gateways).max(1.0)
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/primitives/mod.rs
+++ b/src/primitives/mod.rs
@@ -3,7 +3,6 @@
 pub(crate) mod adaptive_timeout;
 pub(crate) mod decay;
 pub(crate) mod ejection;
-pub(crate) mod load_estimate;
 pub(crate) mod mean;
 pub(crate) mod ramp;
 pub(crate) mod ring;
