--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,7 +1,7 @@
 //! The entry point of the library: events in, actions out. Their types are in `src/api`, the decisions in `src/policy`.
 
 use crate::api::{Action, EndpointId, Event, Millis, Settings};
-use crate::policy::{endpoints::PollRetry, forwarding::Forwarder};
+use crate::policy::{endpoints::PollRetry, request_handler::RequestHandler};
 use crate::state::{Context, CounterReply, OpenRequests, Timer};
 
 /// Time between two runs of the periodic housekeeping, in ms.
@@ -14,7 +14,7 @@
     started: bool,
     poll_retry: PollRetry,
     requests: OpenRequests,
-    forwarder: Forwarder,
+    handler: RequestHandler,
 }
 
 impl Gateway {
@@ -22,7 +22,7 @@
     #[must_use]
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Self {
         Gateway {
-            forwarder: Forwarder::new(&settings, now),
+            handler: RequestHandler::new(&settings, now),
             settings,
             rng: fastrand::Rng::with_seed(seed),
             started: false,
@@ -34,12 +34,12 @@
     /// The number of customers remembered now.
     #[must_use]
     pub fn customer_count(&self) -> usize {
-        self.forwarder.quota.customers.len()
+        self.handler.quota.customers.len()
     }
 
     /// The endpoints that this gateway sends to at present.
     pub fn subset(&mut self) -> &[EndpointId] {
-        self.forwarder.load_balancer.subset()
+        self.handler.forwarder.load_balancer.subset()
     }
 
     /// Takes in one event and appends what is to be done.
@@ -50,7 +50,7 @@
             rng: &mut self.rng,
             actions,
         };
-        let forwarder = &mut self.forwarder;
+        let handler = &mut self.handler;
         let requests = &mut self.requests;
         if !std::mem::replace(&mut self.started, true) {
             start(cx);
@@ -60,30 +60,31 @@
                 complete,
                 endpoints,
             } => {
-                forwarder
+                handler
+                    .forwarder
                     .load_balancer
                     .update_endpoints(cx, complete, endpoints);
             }
             Event::EndpointPollFailed => self.poll_retry.poll_failed(now, cx.rng),
             Event::Request(request) if requests.contains(request.id) => {}
             Event::Request(request) => {
-                if let Some(open) = forwarder.request_arrived(cx, request) {
+                if let Some(open) = handler.request_arrived(cx, request) {
                     requests.insert(open);
                 }
             }
             Event::ResponseStarted { id } => requests.update(id, |open| open.streaming = true),
             Event::AttemptEnded(end) => {
-                requests.update(end.id, |open| forwarder.attempt_ended(cx, open, &end));
+                requests.update(end.id, |open| handler.attempt_ended(cx, open, &end));
             }
             Event::ClientDisconnected { id } => {
-                requests.update(id, |open| forwarder.client_disconnected(cx, open));
+                requests.update(id, |open| handler.client_disconnected(cx, open));
             }
             Event::TimerFired { token } => match Timer::from_token(token) {
-                Timer::Housekeeping => keep_house(cx, forwarder, &mut self.poll_retry),
+                Timer::Housekeeping => keep_house(cx, handler, &mut self.poll_retry),
                 Timer::CounterWait(id) => {
-                    requests.update(id, |open| forwarder.counter_wait_expired(cx, open));
+                    requests.update(id, |open| handler.counter_wait_expired(cx, open));
                 }
-                Timer::Gossip => forwarder.quota.gossip.send(cx),
+                Timer::Gossip => handler.quota.gossip.send(cx),
             },
             Event::CounterReply {
                 key,
@@ -97,11 +98,11 @@
                     total,
                     elapsed_ms,
                 };
-                if let Some(id) = forwarder.quota.counter_replied(cx, &reply) {
-                    requests.update(id, |open| forwarder.counter_replied(cx, open));
+                if let Some(id) = handler.quota.counter_replied(cx, &reply) {
+                    requests.update(id, |open| handler.counter_replied(cx, open));
                 }
             }
-            Event::Gossip { from, body } => forwarder.quota.receive_gossip(cx, from, &body),
+            Event::Gossip { from, body } => handler.quota.receive_gossip(cx, from, &body),
         }
     }
 }
@@ -115,10 +116,10 @@
 }
 
 /// The periodic housekeeping, and a retry of a failed poll of the endpoint list where one is due.
-fn keep_house(cx: &mut Context, forwarder: &mut Forwarder, poll_retry: &mut PollRetry) {
+fn keep_house(cx: &mut Context, handler: &mut RequestHandler, poll_retry: &mut PollRetry) {
     cx.set_timer(Timer::Housekeeping, TICK_MS);
     if poll_retry.take_due(cx.now) {
         cx.actions.push(Action::WatchEndpoints);
     }
-    forwarder.tick(cx);
+    handler.tick(cx);
 }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,103 +1,135 @@
-//! Whether a request is admitted: its customer's quota comes first, then the load of the fleet.
+//! Whether a request is admitted: the limits of its customer come first, then the load of the fleet.
 //!
-//! The ordinary way: a request's estimated units are added to the customer's shared count before it is
-//! forwarded. Over the quota it is rejected at once. A counter that fails lets requests through.
+//! A request within its customer's quota is charged at the shared counter before it is forwarded. If it has
+//! to wait for the reply, there is a second decision after the wait. A request over a limit is rejected at
+//! once, unless it is worth more than it costs and the fleet has capacity for it.
+//!
+//! The functions only decide; `policy::request_handler` gathers their inputs and carries their decisions out.
 
-use crate::api::Request;
-use crate::policy::final_response::{EndReason, UnservedResponse};
-use crate::policy::forwarding::Forwarder;
-use crate::state::{Context, OpenRequest, Timer};
+use crate::api::Millis;
 
-/// A request is rejected early if its expected latency passes this share of its latency objective.
+/// A request is rejected if its expected latency is above this share of its latency objective.
 const MAX_EXPECTED_SHARE: f64 = 0.4;
-/// A request over its quota is forwarded, where that pays, below this share of the objective.
-const MAX_EXPECTED_SHARE_OVER_QUOTA: f64 = 0.35;
+/// A request over a limit is forwarded, where that pays, only if its expected latency is below this share of
+/// its latency objective.
+const MAX_EXPECTED_SHARE_OVER_LIMIT: f64 = 0.35;
 
-impl Forwarder {
-    /// A request has come in. One with an unknown class or plan, or no time left, is rejected at once.
-    pub(crate) fn request_arrived(
-        &mut self,
-        cx: &mut Context,
-        request: Request,
-    ) -> Option<OpenRequest> {
-        let id = request.id;
-        let Some(mut open) = OpenRequest::new(request, cx.settings, cx.now) else {
-            let response = UnservedResponse::to_invalid_request();
-            cx.actions.push(response.action(id));
-            return None;
-        };
-        self.admit(cx, &mut open);
-        Some(open)
-    }
+/// What becomes of a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Admission {
+    /// It is charged at the shared counter. It waits for the reply, or is forwarded at once where there is
+    /// none to wait for.
+    Charge,
+    /// It is forwarded within its quota.
+    Forward,
+    /// It is forwarded though its customer is over this limit. Nothing is charged.
+    ForwardOverLimit(Limit),
+    /// It is rejected.
+    Reject(RejectReason),
+}
+
+/// A limit of a customer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Limit {
+    /// The units that it may use.
+    Quota,
+    /// Its attempts in flight.
+    Concurrency,
+}
 
-    /// Forwards the request, rejects it, or has it wait for the counter.
-    fn admit(&mut self, cx: &mut Context, open: &mut OpenRequest) {
-        let plan = cx.plan(open.account());
-        let baseline_ms = self
-            .load_balancer
-            .baseline_latency(open.request.class as usize);
-        let over_quota = self.quota.available_units(cx, open) < open.request.units;
-        let in_flight = self.quota.concurrent_attempts(open, baseline_ms);
-        let over_concurrency =
-            plan.max_concurrency > 0 && in_flight >= f64::from(plan.max_concurrency);
-        if plan.rate > 0.0 && over_quota || over_concurrency {
-            self.quota.query_total(cx, open);
-            return self.reject_over_quota(cx, open);
-        }
-        if self.expected_latency(cx, open) > MAX_EXPECTED_SHARE * open.objective_ms.max(0.0) {
-            return self.finish(cx, open, EndReason::Overloaded);
-        }
-        if !self.quota.charge(cx, open) {
-            return self.forward_within_quota(cx, open);
-        }
-        self.quota.customers.reserve(open);
-        cx.set_timer(
-            Timer::CounterWait(open.request.id),
-            self.quota.max_wait(open),
-        );
+/// Why a request is rejected when it arrives or has waited for the counter.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum RejectReason {
+    /// Its customer is over this limit.
+    OverLimit(Limit),
+    /// Its expected latency is too long.
+    Overloaded,
+}
+
+impl Admission {
+    /// Whether the customer is over a limit.
+    pub(super) fn is_over_limit(self) -> bool {
+        matches!(
+            self,
+            Admission::ForwardOverLimit(_) | Admission::Reject(RejectReason::OverLimit(_))
+        )
     }
+}
+
+/// What a customer uses, and may use.
+pub(super) struct CustomerInputs {
+    /// The customer's plan has a quota.
+    pub(super) has_quota: bool,
+    /// Units that the request takes.
+    pub(super) units: f64,
+    /// Units left of the quota.
+    pub(super) available_units: f64,
+    /// Attempts in flight at all gateways.
+    pub(super) concurrent_attempts: f64,
+    /// Most attempts in flight; 0 for no limit.
+    pub(super) max_concurrency: u32,
+}
+
+/// The load of the fleet, and what the request is worth. Spans are in ms.
+pub(super) struct LoadInputs {
+    /// Time to the response if the request is forwarded now.
+    pub(super) expected_latency_ms: Millis,
+    /// Latency objective of the request's class.
+    pub(super) latency_objective_ms: Millis,
+    /// Time from the request's arrival to its latency objective or its client's time-out, whichever is first.
+    pub(super) objective_ms: Millis,
+    /// Share of its value that a request served over a limit has.
+    pub(super) over_quota_weight: f64,
+    /// Share of its value that a request forwarded over a limit costs.
+    pub(super) over_quota_cost: f64,
+}
 
-    /// The call to the counter that was made for the request has ended.
-    pub(crate) fn counter_replied(&mut self, cx: &mut Context, open: &mut OpenRequest) {
-        // The charge of a rejected request would keep the other gateways from quota that is there. While the
-        // counter is well it is taken back at once, otherwise with the next charge.
-        if open.awaiting_counter && !self.decide_after_wait(cx, open) {
-            self.quota.settle_now(cx, open);
-        }
+/// Decides on a request that has just arrived.
+pub(super) fn decide_on_arrival(customer: &CustomerInputs, load: &LoadInputs) -> Admission {
+    if let Some(limit) = exceeded_limit(customer) {
+        return decide_over_limit(limit, load);
     }
+    if load.expected_latency_ms > MAX_EXPECTED_SHARE * load.objective_ms.max(0.0) {
+        return Admission::Reject(RejectReason::Overloaded);
+    }
+    Admission::Charge
+}
 
-    /// The request has waited for the counter for as long as it may: this gateway's own usage must do.
-    pub(crate) fn counter_wait_expired(&mut self, cx: &mut Context, open: &mut OpenRequest) {
-        if open.awaiting_counter {
-            self.decide_after_wait(cx, open);
-        }
+/// Decides on a request that has waited for the counter, until the reply or for as long as it may. The load
+/// is asked only if the customer is over its quota.
+pub(super) fn decide_after_wait(
+    units: f64,
+    counted_units: f64,
+    load: impl FnOnce() -> LoadInputs,
+) -> Admission {
+    if counted_units >= units {
+        return Admission::Forward;
     }
+    decide_over_limit(Limit::Quota, &load())
+}
 
-    /// Decides on a request that waited for the counter. Returns whether it was within the quota.
-    fn decide_after_wait(&mut self, cx: &mut Context, open: &mut OpenRequest) -> bool {
-        self.quota.customers.release(open);
-        let within_quota = self.quota.counted_units(cx, open) >= open.request.units;
-        if within_quota {
-            self.forward_within_quota(cx, open);
-        } else {
-            self.quota
-                .settle_later(cx, open.account(), -open.request.units);
-            self.reject_over_quota(cx, open);
-        }
-        within_quota
+/// The limit that the customer would exceed with the request, if any.
+fn exceeded_limit(customer: &CustomerInputs) -> Option<Limit> {
+    if customer.has_quota && customer.available_units < customer.units {
+        return Some(Limit::Quota);
+    }
+    let max_concurrency = f64::from(customer.max_concurrency);
+    if customer.max_concurrency > 0 && customer.concurrent_attempts >= max_concurrency {
+        return Some(Limit::Concurrency);
     }
+    None
+}
 
-    /// Rejects a request over its quota, unless it earns more than it costs and the fleet has capacity.
-    fn reject_over_quota(&mut self, cx: &mut Context, open: &mut OpenRequest) {
-        let expected_ms = self.expected_latency(cx, open);
-        let max_expected_ms =
-            MAX_EXPECTED_SHARE_OVER_QUOTA * cx.class(&open.request).latency_objective_ms;
-        let plan = cx.plan(open.account());
-        if plan.over_quota_weight > plan.over_quota_cost && expected_ms < max_expected_ms {
-            // Nothing is charged for it, so nothing is settled later.
-            open.within_quota = false;
-            return self.forward(cx, open);
-        }
-        self.finish(cx, open, EndReason::OverLimit);
+/// Decides on a request over a limit.
+fn decide_over_limit(limit: Limit, load: &LoadInputs) -> Admission {
+    let pays = load.over_quota_weight > load.over_quota_cost;
+    let max_expected_ms = MAX_EXPECTED_SHARE_OVER_LIMIT * load.latency_objective_ms;
+    if pays && load.expected_latency_ms < max_expected_ms {
+        Admission::ForwardOverLimit(limit)
+    } else {
+        Admission::Reject(RejectReason::OverLimit(limit))
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/policy/final_response.rs
+++ b/src/policy/final_response.rs
@@ -4,6 +4,7 @@
 //! other request has failed: its client has to find out for itself whether it was executed.
 
 use crate::api::{Action, Idempotency, KeyScope, Limits, Millis, RequestId};
+use crate::policy::admission::RejectReason;
 use crate::policy::retry::{AttemptDenial, RetryDenial};
 
 /// Advice to a client whose request found no endpoint or failed, as a share of the latency objective.
@@ -14,10 +15,8 @@
 /// Why a request ends that no endpoint has served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EndReason {
-    /// Its customer is over its quota or its limit of concurrency.
-    OverLimit,
-    /// Its expected latency is too long.
-    Overloaded,
+    /// It was not admitted.
+    Rejected(RejectReason),
     /// No endpoint takes it.
     NoEndpoint,
     /// An endpoint was there, but the request may not be sent.
@@ -117,8 +116,8 @@
         return NO_ADVICE_MS;
     }
     let retry_after_ms = match inputs.reason {
-        EndReason::OverLimit => inputs.quota_retry_after_ms,
-        EndReason::Overloaded => inputs.baseline_latency_ms,
+        EndReason::Rejected(RejectReason::OverLimit(_)) => inputs.quota_retry_after_ms,
+        EndReason::Rejected(RejectReason::Overloaded) => inputs.baseline_latency_ms,
         EndReason::NoEndpoint | EndReason::AttemptDenied(_) | EndReason::RetryDenied(_) => {
             inputs.latency_objective_ms * RETRY_AFTER_SHARE
         }
--- a/src/policy/final_response/tests.rs
+++ b/src/policy/final_response/tests.rs
@@ -1,4 +1,7 @@
 use super::*;
+use crate::policy::admission::Limit;
+
+const OVER_QUOTA: EndReason = EndReason::Rejected(RejectReason::OverLimit(Limit::Quota));
 
 const LIMITS: Limits = Limits {
     max_attempts: 3,
@@ -39,8 +42,8 @@
     }
 }
 
-/// A client that is told "rejected" sends its request again. If an endpoint has executed the first one, an order
-/// would be placed twice; it has to fail instead.
+/// A client that is told "rejected" sends its request again. If an endpoint has executed the first one, an
+/// order would be placed twice; it has to fail instead.
 #[test]
 fn a_request_that_may_have_been_executed_is_rejected_only_if_a_retry_is_safe() {
     for (idempotency, expected) in [
@@ -84,8 +87,8 @@
 #[test]
 fn the_advice_follows_from_the_reason() {
     for (reason, expected_ms) in [
-        (EndReason::OverLimit, 700.0),
-        (EndReason::Overloaded, 60.0),
+        (OVER_QUOTA, 700.0),
+        (EndReason::Rejected(RejectReason::Overloaded), 60.0),
         (EndReason::NoEndpoint, 250.0),
         (
             EndReason::AttemptDenied(AttemptDenial::CeilingReached),
@@ -118,7 +121,7 @@
         (&no_longest_advice, 0.0),
     ] {
         let inputs = ResponseInputs {
-            reason: EndReason::OverLimit,
+            reason: OVER_QUOTA,
             quota_retry_after_ms: 9000.0,
             may_have_executed: false,
             limits,
--- a/src/policy/overload/tests.rs
+++ b/src/policy/overload/tests.rs
@@ -25,8 +25,8 @@
     assert_eq!(expected_latency(&mut load(0), &fleet(0, 1)), f64::INFINITY);
 }
 
-/// A few attempts hang, so no response comes from which the gateway could learn that others are served. It has to
-/// go on admitting, up to its share of a few attempts on each endpoint.
+/// A few attempts hang, so no response comes from which the gateway could learn that others are served. It
+/// has to go on admitting, up to its share of a few attempts on each endpoint.
 #[test]
 fn little_in_flight_is_no_overload_whatever_the_latency() {
     for (in_flight, ready_endpoints, gateway_count, admitted) in [
--- /dev/null
+++ b/src/policy/request_handler.rs
@@ -0,0 +1,253 @@
+//! The way of a request: what becomes of it at each event, from its arrival to its end.
+//!
+//! This module decides nothing. It gathers the inputs of a decision, asks the module that makes it, and
+//! carries the decision out: charges, timers, attempts and responses.
+
+use crate::api::{Action, AttemptEnd, Millis, Outcome, Request, Settings};
+use crate::policy::admission::{self, Admission, CustomerInputs, LoadInputs};
+use crate::policy::final_response::{self, EndReason, ResponseInputs, UnservedResponse};
+use crate::policy::forwarding::Forwarder;
+use crate::policy::quota::QuotaLedger;
+use crate::policy::retry::RetryDecision;
+use crate::state::{Context, Customers, OpenRequest, Timer};
+
+/// The two sides that a request meets: its customer's quota, and the fleet.
+pub(crate) struct RequestHandler {
+    pub(crate) quota: QuotaLedger,
+    pub(crate) forwarder: Forwarder,
+}
+
+impl RequestHandler {
+    pub(crate) fn new(settings: &Settings, now: Millis) -> Self {
+        RequestHandler {
+            quota: QuotaLedger::new(now),
+            forwarder: Forwarder::new(settings, now),
+        }
+    }
+
+    /// Periodic housekeeping.
+    pub(crate) fn tick(&mut self, cx: &Context) {
+        self.forwarder.tick(cx);
+        self.quota.forget_idle(cx.now, cx.settings);
+    }
+
+    /// A request has arrived. One that can't be interpreted is rejected at once, and none is returned.
+    pub(crate) fn request_arrived(
+        &mut self,
+        cx: &mut Context,
+        request: Request,
+    ) -> Option<OpenRequest> {
+        let id = request.id;
+        let Some(mut open) = OpenRequest::new(request, cx.settings, cx.now) else {
+            let response = UnservedResponse::to_invalid_request();
+            cx.actions.push(response.action(id));
+            return None;
+        };
+        let customer = customer_inputs(cx, &mut self.quota, &self.forwarder, &open);
+        let load = load_inputs(cx, &mut self.forwarder, &open);
+        let admission = admission::decide_on_arrival(&customer, &load);
+        if admission.is_over_limit() {
+            // Nothing is charged, so that no reply would say when the quota has units again.
+            self.quota.query_total(cx, &open);
+        }
+        self.carry_out(cx, &mut open, admission);
+        Some(open)
+    }
+
+    /// The call to the counter that was made for the request has ended.
+    pub(crate) fn counter_replied(&mut self, cx: &mut Context, open: &mut OpenRequest) {
+        // The charge of a rejected request would keep the other gateways from quota that is there. While the
+        // counter is well it is taken back at once, otherwise with the next charge.
+        if open.awaiting_counter && self.decide_after_wait(cx, open) != Admission::Forward {
+            self.quota.settle_now(cx, open);
+        }
+    }
+
+    /// The request has waited for the counter for as long as it may: this gateway's own usage must do.
+    pub(crate) fn counter_wait_expired(&mut self, cx: &mut Context, open: &mut OpenRequest) {
+        if open.awaiting_counter {
+            self.decide_after_wait(cx, open);
+        }
+    }
+
+    /// Decides on a request that waited for the counter, and carries the decision out.
+    fn decide_after_wait(&mut self, cx: &mut Context, open: &mut OpenRequest) -> Admission {
+        self.quota.customers.release(open);
+        let counted_units = self.quota.counted_units(cx, open);
+        let admission = admission::decide_after_wait(open.request.units, counted_units, || {
+            load_inputs(cx, &mut self.forwarder, open)
+        });
+        if admission.is_over_limit() {
+            let refund = -open.request.units;
+            self.quota.settle_later(cx, open.account(), refund);
+        }
+        self.carry_out(cx, open, admission);
+        admission
+    }
+
+    fn carry_out(&mut self, cx: &mut Context, open: &mut OpenRequest, admission: Admission) {
+        match admission {
+            Admission::Charge => self.charge(cx, open),
+            Admission::Forward => self.forward_within_quota(cx, open),
+            Admission::ForwardOverLimit(_) => {
+                // Nothing is charged for it, so nothing is settled later.
+                open.within_quota = false;
+                self.forward(cx, open);
+            }
+            Admission::Reject(reason) => self.end_unserved(cx, open, EndReason::Rejected(reason)),
+        }
+    }
+
+    /// Charges the request at the counter. It waits for the reply, if there is one to wait for.
+    fn charge(&mut self, cx: &mut Context, open: &mut OpenRequest) {
+        let awaits_reply = self.quota.charge(cx, open);
+        if !awaits_reply {
+            return self.forward_within_quota(cx, open);
+        }
+        self.quota.customers.reserve(open);
+        let max_wait_ms = self.quota.max_wait(open);
+        cx.set_timer(Timer::CounterWait(open.request.id), max_wait_ms);
+    }
+
+    fn forward_within_quota(&mut self, cx: &mut Context, open: &mut OpenRequest) {
+        let units = open.request.units;
+        self.quota.record_usage(cx, open.account(), units);
+        self.forward(cx, open);
+    }
+
+    /// Sends the request's next attempt, or ends the request if none can be sent.
+    fn forward(&mut self, cx: &mut Context, open: &mut OpenRequest) {
+        let customers = &mut self.quota.customers;
+        if let Err(reason) = self.forwarder.send_attempt(cx, customers, open) {
+            if open.attempts.is_empty() {
+                refund(cx, &mut self.quota, open);
+            }
+            self.end_unserved(cx, open, reason);
+        }
+    }
+
+    /// An attempt has ended: its request is settled, and retried unless it has its response.
+    pub(crate) fn attempt_ended(
+        &mut self,
+        cx: &mut Context,
+        open: &mut OpenRequest,
+        ended: &AttemptEnd,
+    ) {
+        let Some(attempt) = open.end_attempt(ended) else {
+            return;
+        };
+        let latency_ms = cx.now - attempt.started_at;
+        settle_attempt(cx, &mut self.quota, open, ended.actual_units);
+        self.forwarder.attempt_ended(cx, open, ended, latency_ms);
+        if ended.request_answered || open.closed {
+            close(cx, &mut self.quota.customers, open);
+        } else if !open.has_attempt_in_flight() {
+            self.retry_or_end(cx, open, ended.outcome);
+        }
+    }
+
+    fn retry_or_end(&mut self, cx: &mut Context, open: &mut OpenRequest, outcome: Outcome) {
+        match self.forwarder.decide_retry(cx, open, outcome) {
+            RetryDecision::Allowed { .. } => self.forward(cx, open),
+            RetryDecision::Denied(denial) => {
+                self.end_unserved(cx, open, EndReason::RetryDenied(denial));
+            }
+        }
+    }
+
+    /// The client has disconnected. If its request awaited the counter, the charge is refunded with the
+    /// next one.
+    pub(crate) fn client_disconnected(&mut self, cx: &mut Context, open: &mut OpenRequest) {
+        if open.awaiting_counter {
+            let refund = -open.request.units;
+            self.quota.settle_later(cx, open.account(), refund);
+        }
+        close(cx, &mut self.quota.customers, open);
+    }
+
+    /// Ends a request that no endpoint has served.
+    fn end_unserved(&mut self, cx: &mut Context, open: &mut OpenRequest, reason: EndReason) {
+        let class = cx.class(&open.request);
+        let response = final_response::decide_response(&ResponseInputs {
+            reason,
+            idempotency: class.idempotency,
+            may_have_executed: open.may_have_executed(),
+            quota_retry_after_ms: self.quota.retry_after(cx, open),
+            baseline_latency_ms: self.forwarder.baseline_latency(&open.request),
+            latency_objective_ms: class.latency_objective_ms,
+            limits: &cx.settings.limits,
+        });
+        cx.actions.push(response.action(open.request.id));
+        close(cx, &mut self.quota.customers, open);
+    }
+}
+
+/// Takes in the request's units and refills its customer's quota.
+fn customer_inputs(
+    cx: &Context,
+    quota: &mut QuotaLedger,
+    forwarder: &Forwarder,
+    open: &OpenRequest,
+) -> CustomerInputs {
+    let plan = cx.plan(open.account());
+    // In this order: the first adds a customer that is not known yet, and takes in the request's units.
+    let available_units = quota.available_units(cx, open);
+    let baseline_ms = forwarder.baseline_latency(&open.request);
+    let concurrent_attempts = quota.concurrent_attempts(open, baseline_ms);
+    CustomerInputs {
+        has_quota: plan.rate > 0.0,
+        units: open.request.units,
+        available_units,
+        concurrent_attempts,
+        max_concurrency: plan.max_concurrency,
+    }
+}
+
+/// Brings the load of the fleet up to now.
+fn load_inputs(cx: &Context, forwarder: &mut Forwarder, open: &OpenRequest) -> LoadInputs {
+    let plan = cx.plan(open.account());
+    LoadInputs {
+        expected_latency_ms: forwarder.expected_latency(cx, &open.request),
+        latency_objective_ms: cx.class(&open.request).latency_objective_ms,
+        objective_ms: open.objective_ms,
+        over_quota_weight: plan.over_quota_weight,
+        over_quota_cost: plan.over_quota_cost,
+    }
+}
+
+/// Settles the request's units: the difference to the actual ones, or all of them if it was never sent.
+fn settle_attempt(
+    cx: &mut Context,
+    quota: &mut QuotaLedger,
+    open: &mut OpenRequest,
+    actual_units: Option<f64>,
+) {
+    quota.customers.attempt_ended(&open.request);
+    match actual_units.filter(|units| units.is_finite()) {
+        Some(units) if cx.settings.settles_units && open.within_quota => {
+            open.within_quota = false;
+            quota.settle(cx, open.account(), units - open.request.units);
+        }
+        _ if open.was_never_sent() => refund(cx, quota, open),
+        _ => {}
+    }
+}
+
+/// The request was never sent, so it used nothing.
+fn refund(cx: &mut Context, quota: &mut QuotaLedger, open: &mut OpenRequest) {
+    if std::mem::take(&mut open.within_quota) {
+        quota.settle(cx, open.account(), -open.request.units);
+    }
+}
+
+/// The request has its response or needs none any more: no attempt follows.
+fn close(cx: &mut Context, customers: &mut Customers, open: &mut OpenRequest) {
+    customers.release(open);
+    if !std::mem::replace(&mut open.closed, true) && cx.settings.limits.cancellation {
+        let cancel = |attempt| Action::CancelAttempt {
+            id: open.request.id,
+            attempt,
+        };
+        cx.actions.extend(open.attempts_in_flight().map(cancel));
+    }
+}
--- a/src/policy/retry/tests.rs
+++ b/src/policy/retry/tests.rs
@@ -133,7 +133,8 @@
     }
 }
 
-/// A program that stalls between its decision and the first byte must not send a retry after the key's window.
+/// A program that stalls between its decision and the first byte must not send a retry after the key's
+/// window.
 #[test]
 fn a_retry_with_a_key_has_to_start_within_the_window_less_a_stall() {
     let start_timeout_ms = WINDOW_MS - 300.0 - MAX_WRITE_DELAY_MS;
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -96,6 +96,11 @@
         !self.forwarded && !self.has_attempt_in_flight()
     }
 
+    /// Whether an endpoint may have executed it.
+    pub(crate) fn may_have_executed(&self) -> bool {
+        self.first_execution.is_some() || self.has_attempt_in_flight()
+    }
+
     /// Records the end of an attempt, and returns the attempt; none if it is unknown or had ended before.
     pub(crate) fn end_attempt(&mut self, ended: &AttemptEnd) -> Option<&Attempt> {
         let attempt = self.attempts.get_mut(usize::from(ended.attempt))?;
