--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -5,12 +5,13 @@
 use crate::state::{Context, CounterReply, OpenRequests, Timer};
 
 /// Time between two runs of the periodic housekeeping, in ms.
-const TICK_MS: f64 = 1000.0;
+const HOUSEKEEPING_INTERVAL_MS: Millis = 1000.0;
 
 /// The decisions of one gateway.
 pub struct Gateway {
     settings: Settings,
     rng: fastrand::Rng,
+    /// It has taken in its first event.
     started: bool,
     poll_retry: PollRetry,
     requests: OpenRequests,
@@ -18,7 +19,7 @@
 }
 
 impl Gateway {
-    /// A gateway that starts now and knows its settings alone.
+    /// A gateway that starts now and knows only its settings. The same seed and events lead to the same actions.
     #[must_use]
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Self {
         Gateway {
@@ -66,26 +67,26 @@
                     .update_endpoints(cx, complete, endpoints);
             }
             Event::EndpointPollFailed => self.poll_retry.poll_failed(now, cx.rng),
+            // The host has repeated the event: the request that is open must not be charged or sent twice.
             Event::Request(request) if requests.contains(request.id) => {}
             Event::Request(request) => {
                 if let Some(open) = handler.request_arrived(cx, request) {
                     requests.insert(open);
                 }
             }
-            Event::ResponseStarted { id } => requests.update(id, |open| open.streaming = true),
+            Event::ResponseStarted { id } => requests.update(id, |open| {
+                open.response_started = true;
+            }),
             Event::AttemptEnded(end) => {
                 requests.update(end.id, |open| handler.attempt_ended(cx, open, &end));
             }
             Event::ClientDisconnected { id } => {
                 requests.update(id, |open| handler.client_disconnected(cx, open));
             }
-            Event::TimerFired { token } => match Timer::from_token(token) {
-                Timer::Housekeeping => keep_house(cx, handler, &mut self.poll_retry),
-                Timer::CounterWait(id) => {
-                    requests.update(id, |open| handler.counter_wait_expired(cx, open));
-                }
-                Timer::Gossip => handler.quota.gossip.send(cx),
-            },
+            Event::TimerFired { token } => {
+                let timer = Timer::from_token(token);
+                timer_fired(cx, timer, handler, requests, &mut self.poll_retry);
+            }
             Event::CounterReply {
                 key,
                 outcome,
@@ -107,17 +108,33 @@
     }
 }
 
-/// The first event of a process: starts the housekeeping, and the watch where the endpoint list is polled.
+/// Starts the housekeeping, and where the endpoint list is polled, its watch.
 fn start(cx: &mut Context) {
-    cx.set_timer(Timer::Housekeeping, TICK_MS);
+    cx.set_timer(Timer::Housekeeping, HOUSEKEEPING_INTERVAL_MS);
     if cx.settings.endpoints_polled {
         cx.actions.push(Action::WatchEndpoints);
     }
 }
 
-/// The periodic housekeeping, and a retry of a failed poll of the endpoint list where one is due.
-fn keep_house(cx: &mut Context, handler: &mut RequestHandler, poll_retry: &mut PollRetry) {
-    cx.set_timer(Timer::Housekeeping, TICK_MS);
+fn timer_fired(
+    cx: &mut Context,
+    timer: Timer,
+    handler: &mut RequestHandler,
+    requests: &mut OpenRequests,
+    poll_retry: &mut PollRetry,
+) {
+    match timer {
+        Timer::Housekeeping => run_housekeeping(cx, handler, poll_retry),
+        Timer::CounterWait(id) => {
+            requests.update(id, |open| handler.counter_wait_expired(cx, open));
+        }
+        Timer::Gossip => handler.quota.gossip.send(cx),
+    }
+}
+
+/// Runs the periodic housekeeping, and repeats a failed poll of the endpoint list where that is due.
+fn run_housekeeping(cx: &mut Context, handler: &mut RequestHandler, poll_retry: &mut PollRetry) {
+    cx.set_timer(Timer::Housekeeping, HOUSEKEEPING_INTERVAL_MS);
     if poll_retry.take_due(cx.now) {
         cx.actions.push(Action::WatchEndpoints);
     }
--- a/src/policy/final_response.rs
+++ b/src/policy/final_response.rs
@@ -6,6 +6,7 @@
 use crate::api::{Action, Idempotency, KeyScope, Limits, Millis, RequestId};
 use crate::policy::admission::RejectReason;
 use crate::policy::retry::{AttemptDenial, RetryDenial};
+use crate::state::InvalidRequest;
 
 /// Advice to a client whose request found no endpoint or failed, as a share of the latency objective.
 const RETRY_AFTER_SHARE: f64 = 0.5;
@@ -65,11 +66,15 @@
 }
 
 impl UnservedResponse {
-    /// The response to a request that can't be interpreted: it was never sent.
-    pub(super) fn to_invalid_request() -> Self {
-        UnservedResponse::Rejected {
-            safety: RetrySafety::NeverExecuted,
-            retry_after_ms: NO_ADVICE_MS,
+    /// The response to an invalid request. There is no advice, as a retry would be rejected as well.
+    pub(super) fn invalid(reason: InvalidRequest) -> Self {
+        match reason {
+            InvalidRequest::UnknownClass
+            | InvalidRequest::UnknownPlan
+            | InvalidRequest::NoTimeLeft => UnservedResponse::Rejected {
+                safety: RetrySafety::NeverExecuted,
+                retry_after_ms: NO_ADVICE_MS,
+            },
         }
     }
 
--- a/src/policy/final_response/tests.rs
+++ b/src/policy/final_response/tests.rs
@@ -133,7 +133,7 @@
 
 #[test]
 fn each_response_is_one_action() {
-    let rejected = UnservedResponse::to_invalid_request();
+    let rejected = UnservedResponse::invalid(InvalidRequest::UnknownClass);
     let expected = Action::Reject {
         id: 3,
         retry_after_ms: 0.0,
--- a/src/policy/forwarding.rs
+++ b/src/policy/forwarding.rs
@@ -135,7 +135,7 @@
         RetryInputs {
             now: cx.now,
             outcome,
-            response_started: open.streaming,
+            response_started: open.response_started,
             deadline: open.deadline,
             objective_deadline: open.objective_deadline,
             baseline_latency_ms: self.baseline_latency(&open.request),
--- a/src/policy/request_handler.rs
+++ b/src/policy/request_handler.rs
@@ -31,17 +31,20 @@
         self.quota.forget_idle(cx.now, cx.settings);
     }
 
-    /// A request has arrived. One that can't be interpreted is rejected at once, and none is returned.
+    /// A request has arrived. It is returned unless it is invalid, when it is rejected at once.
     pub(crate) fn request_arrived(
         &mut self,
         cx: &mut Context,
         request: Request,
     ) -> Option<OpenRequest> {
         let id = request.id;
-        let Some(mut open) = OpenRequest::new(request, cx.settings, cx.now) else {
-            let response = UnservedResponse::to_invalid_request();
-            cx.actions.push(response.action(id));
-            return None;
+        let mut open = match OpenRequest::new(request, cx.settings, cx.now) {
+            Ok(open) => open,
+            Err(reason) => {
+                cx.actions
+                    .push(UnservedResponse::invalid(reason).action(id));
+                return None;
+            }
         };
         let customer = customer_inputs(cx, &mut self.quota, &self.forwarder, &open);
         let load = load_inputs(cx, &mut self.forwarder, &open);
@@ -91,7 +94,7 @@
             Admission::Forward => self.forward_within_quota(cx, open),
             Admission::ForwardOverLimit(_) => {
                 // Nothing is charged for it, so nothing is settled later.
-                open.within_quota = false;
+                open.settlement_due = false;
                 self.forward(cx, open);
             }
             Admission::Reject(reason) => self.end_unserved(cx, open, EndReason::Rejected(reason)),
@@ -224,8 +227,8 @@
 ) {
     quota.customers.attempt_ended(&open.request);
     match actual_units.filter(|units| units.is_finite()) {
-        Some(units) if cx.settings.settles_units && open.within_quota => {
-            open.within_quota = false;
+        Some(units) if cx.settings.settles_units && open.settlement_due => {
+            open.settlement_due = false;
             quota.settle(cx, open.account(), units - open.request.units);
         }
         _ if open.was_never_sent() => refund(cx, quota, open),
@@ -235,7 +238,7 @@
 
 /// The request was never sent, so it used nothing.
 fn refund(cx: &mut Context, quota: &mut QuotaLedger, open: &mut OpenRequest) {
-    if std::mem::take(&mut open.within_quota) {
+    if std::mem::take(&mut open.settlement_due) {
         quota.settle(cx, open.account(), -open.request.units);
     }
 }
--- a/src/primitives/token_bucket.rs
+++ b/src/primitives/token_bucket.rs
@@ -1,4 +1,4 @@
-//! A store of tokens that is refilled up to its capacity and drawn on by what it permits.
+//! A token bucket: tokens are added up to a capacity, and whatever the bucket permits takes some.
 
 /// A token bucket. Rate and capacity are the caller's, as they may change from one refill to the next.
 #[derive(Clone, Copy, Debug)]
@@ -7,6 +7,7 @@
 }
 
 impl TokenBucket {
+    /// A bucket that holds these tokens.
     pub(crate) fn new(tokens: f64) -> Self {
         TokenBucket { tokens }
     }
@@ -16,6 +17,7 @@
         self.tokens = (self.tokens + tokens).min(capacity);
     }
 
+    /// Whether it holds at least these tokens.
     pub(crate) fn has(self, tokens: f64) -> bool {
         self.tokens >= tokens
     }
--- a/src/state/context.rs
+++ b/src/state/context.rs
@@ -4,7 +4,7 @@
 use crate::state::{Account, Timer};
 use fastrand::Rng;
 
-/// The time of an event, the settings, the random numbers and the actions that the event leads to.
+/// The time of an event, the settings, the random numbers, and the actions that the event leads to so far.
 pub(crate) struct Context<'a> {
     pub(crate) now: Millis,
     pub(crate) settings: &'a Settings,
@@ -23,6 +23,7 @@
         &self.settings.plans[account.plan]
     }
 
+    /// Has [`Timer`] fire after this time.
     pub(crate) fn set_timer(&mut self, timer: Timer, after_ms: Millis) {
         self.actions.push(Action::SetTimer {
             token: timer.token(),
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -20,7 +20,7 @@
 pub(crate) use customer::{Customer, Customers};
 pub(crate) use endpoint::{EndpointHealth, TrackedEndpoint};
 pub(crate) use endpoint_table::EndpointTable;
-pub(crate) use request::{Attempt, OpenRequest, OpenRequests};
+pub(crate) use request::{Attempt, InvalidRequest, OpenRequest, OpenRequests};
 pub(crate) use subset_load::SubsetLoad;
 pub(crate) use timer::Timer;
 pub(crate) use warming_members::WarmingMembers;
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -1,4 +1,4 @@
-//! Requests that have no final answer yet or have attempts in flight.
+//! Requests that have no final response yet or have attempts in flight.
 
 use crate::api::{AttemptEnd, EndpointId, Millis, Outcome, Request, RequestId, Settings};
 use crate::state::Account;
@@ -10,9 +10,21 @@
     pub(crate) started_at: Millis,
     /// This gateway's attempts in flight at the endpoint when it was sent, this one included.
     pub(crate) endpoint_in_flight: f64,
+    /// It has not ended yet.
     pub(crate) in_flight: bool,
 }
 
+/// Why a request can't be served at all.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum InvalidRequest {
+    /// The settings have no class with its index.
+    UnknownClass,
+    /// The settings have no plan with its index.
+    UnknownPlan,
+    /// Its client no longer waits.
+    NoTimeLeft,
+}
+
 /// The first attempt of a request that may have been executed. Retries that rely on an idempotency key are
 /// bound to its endpoint's zone or cell, and to a time after it.
 #[derive(Clone, Copy)]
@@ -21,49 +33,61 @@
     pub(crate) endpoint: EndpointId,
 }
 
-/// A request that has not ended.
+/// A request that has no final response yet, or has attempts in flight.
 pub(crate) struct OpenRequest {
     pub(crate) request: Request,
+    /// When its client gives up.
     pub(crate) deadline: Millis,
     /// Time from its arrival to its latency objective or its client's time-out, whichever is first.
     pub(crate) objective_ms: Millis,
     /// A response after this misses the latency objective.
     pub(crate) objective_deadline: Millis,
-    /// It waits for the counter's answer.
+    /// It waits for the counter's reply.
     pub(crate) awaiting_counter: bool,
-    /// Its units are charged and may still be settled or refunded.
-    pub(crate) within_quota: bool,
-    /// At least one attempt has ended that had left the gateway.
-    pub(crate) forwarded: bool,
-    /// It has its final answer, or its client has left.
+    /// Its units are taken from the quota when it is forwarded, and have not been settled or refunded.
+    pub(crate) settlement_due: bool,
+    /// An attempt that was sent has ended.
+    pub(crate) was_sent: bool,
+    /// It has its final response, or its client has disconnected.
     pub(crate) closed: bool,
-    /// Its response is being streamed.
-    pub(crate) streaming: bool,
+    /// Part of a response has been passed on to the client.
+    pub(crate) response_started: bool,
     pub(crate) attempts: Vec<Attempt>,
     pub(crate) first_execution: Option<FirstExecution>,
 }
 
 impl OpenRequest {
-    /// A request that has just come in; none if its class or plan is unknown or its client no longer waits.
-    pub(crate) fn new(mut request: Request, settings: &Settings, now: Millis) -> Option<Self> {
+    /// A request that has just arrived. Units and times that are negative or not finite count as 0.
+    ///
+    /// # Errors
+    ///
+    /// Why it can't be served.
+    pub(crate) fn new(
+        mut request: Request,
+        settings: &Settings,
+        now: Millis,
+    ) -> Result<Self, InvalidRequest> {
         request.units = finite_or_zero(request.units);
         request.timeout_ms = finite_or_zero(request.timeout_ms);
-        let class = settings.classes.get(request.class as usize)?;
-        settings.plans.get(request.plan as usize)?;
+        let class = settings.classes.get(request.class as usize);
+        let class = class.ok_or(InvalidRequest::UnknownClass)?;
+        if settings.plans.len() <= request.plan as usize {
+            return Err(InvalidRequest::UnknownPlan);
+        }
         if request.timeout_ms <= 0.0 {
-            return None;
+            return Err(InvalidRequest::NoTimeLeft);
         }
         let objective_ms = class.latency_objective_ms.min(request.timeout_ms);
-        Some(OpenRequest {
+        Ok(OpenRequest {
             objective_ms,
             objective_deadline: now + objective_ms,
             deadline: now + request.timeout_ms,
             request,
             awaiting_counter: false,
-            within_quota: true,
-            forwarded: false,
+            settlement_due: true,
+            was_sent: false,
             closed: false,
-            streaming: false,
+            response_started: false,
             attempts: Vec::new(),
             first_execution: None,
         })
@@ -86,14 +110,14 @@
             .map(|(number, _)| number)
     }
 
-    /// Whether nothing more is to be sent, answered or awaited.
+    /// Whether nothing more is to be sent, responded or awaited.
     pub(crate) fn has_ended(&self) -> bool {
         self.closed && !self.has_attempt_in_flight()
     }
 
-    /// Whether no attempt of it has left the gateway or still may.
+    /// Whether no attempt of it was sent or may still be.
     pub(crate) fn was_never_sent(&self) -> bool {
-        !self.forwarded && !self.has_attempt_in_flight()
+        !self.was_sent && !self.has_attempt_in_flight()
     }
 
     /// Whether an endpoint may have executed it.
@@ -115,13 +139,13 @@
             self.first_execution = Some(first);
         }
         if ended.outcome != Outcome::NotSent {
-            self.forwarded = true;
+            self.was_sent = true;
         }
         Some(attempt)
     }
 }
 
-/// The requests that have not ended, by number.
+/// The requests that have not ended, by id.
 #[derive(Default)]
 pub(crate) struct OpenRequests(BTreeMap<RequestId, OpenRequest>);
 
@@ -137,7 +161,7 @@
         }
     }
 
-    /// Changes a request, if it is there, and forgets it once it has ended.
+    /// Changes a request, if it is there, and removes it once it has ended.
     pub(crate) fn update(&mut self, id: RequestId, change: impl FnOnce(&mut OpenRequest)) {
         let Some(open) = self.0.get_mut(&id) else {
             return;
--- a/src/state/request/tests.rs
+++ b/src/state/request/tests.rs
@@ -14,7 +14,7 @@
     }
 }
 
-fn open(request: Request) -> Option<OpenRequest> {
+fn open(request: Request) -> Result<OpenRequest, InvalidRequest> {
     let classes = vec![Class {
         latency_objective_ms: 500.0,
         ..Class::default()
@@ -27,8 +27,12 @@
     OpenRequest::new(request, &settings, 1000.0)
 }
 
+fn opened(request: Request) -> OpenRequest {
+    open(request).unwrap_or_else(|invalid| panic!("{invalid:?}"))
+}
+
 fn with_attempt() -> OpenRequest {
-    let mut open = open(request(1)).unwrap();
+    let mut open = opened(request(1));
     open.attempts.push(Attempt {
         endpoint: 7,
         started_at: 1000.0,
@@ -52,36 +56,32 @@
 
 #[test]
 fn a_request_is_opened_only_if_its_class_and_plan_are_known_and_time_is_left() {
-    let opened = open(request(1)).unwrap();
-    assert_eq!(
-        (opened.deadline, opened.objective_deadline),
-        (1300.0, 1300.0)
-    );
-    assert!(open(Request {
+    let valid = opened(request(1));
+    assert_eq!((valid.deadline, valid.objective_deadline), (1300.0, 1300.0));
+    let unknown_class = Request {
         class: 1,
         ..request(1)
-    })
-    .is_none());
-    assert!(open(Request {
+    };
+    let unknown_plan = Request {
         plan: 1,
         ..request(1)
-    })
-    .is_none());
-    assert!(open(Request {
+    };
+    let no_time_left = Request {
         timeout_ms: f64::NAN,
         ..request(1)
-    })
-    .is_none());
-    assert_eq!(
-        open(Request {
-            units: f64::INFINITY,
-            ..request(1)
-        })
-        .unwrap()
-        .request
-        .units,
-        0.0
-    );
+    };
+    for (request, expected) in [
+        (unknown_class, InvalidRequest::UnknownClass),
+        (unknown_plan, InvalidRequest::UnknownPlan),
+        (no_time_left, InvalidRequest::NoTimeLeft),
+    ] {
+        assert_eq!(open(request).err(), Some(expected));
+    }
+    let infinite_units = Request {
+        units: f64::INFINITY,
+        ..request(1)
+    };
+    assert_eq!(opened(infinite_units).request.units, 0.0);
 }
 
 #[test]
--- a/src/state/timer.rs
+++ b/src/state/timer.rs
@@ -2,6 +2,7 @@
 
 use crate::api::RequestId;
 
+/// The highest bits of a token say which timer it is, the rest is a request's id.
 const HOUSEKEEPING_TOKEN: u64 = 0;
 const COUNTER_WAIT_FLAG: u64 = 1 << 60;
 const GOSSIP_FLAG: u64 = 1 << 61;
@@ -10,6 +11,7 @@
 /// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Timer {
+    /// The periodic housekeeping.
     Housekeeping,
     /// The request has waited for the counter for as long as it may.
     CounterWait(RequestId),
