--- a/src/policy/attempt_timeout.rs
+++ b/src/policy/attempt_timeout.rs
@@ -6,10 +6,11 @@
 
 use crate::api::{Millis, Prices};
 
-/// An early time-out comes this long before the latency objective, in ms.
+/// An early time-out comes this long before the latency objective, in ms, for the final response to be in
+/// time.
 const EARLY_TIMEOUT_MARGIN_MS: Millis = 4.0;
-/// An early time-out comes earlier by this many ticks, the shortest time between two calls of the library: it
-/// may be noticed, and its response given, only at the next tick.
+/// An early time-out comes earlier by this many ticks, the shortest time between two calls of the library:
+/// one may pass before the time-out is noticed, and one before the response is given.
 const EARLY_TIMEOUT_MARGIN_TICKS: f64 = 2.0;
 /// An attempt that starts with less time than this before its early time-out takes this long, in ms.
 const MIN_EARLY_TIMEOUT_MS: Millis = 1.0;
--- a/src/policy/forwarding.rs
+++ b/src/policy/forwarding.rs
@@ -7,14 +7,14 @@
 use crate::policy::load_estimate::LoadEstimate;
 use crate::policy::overload::{self, FleetInputs};
 use crate::policy::retry::{self, AttemptDecision, AttemptInputs};
-use crate::policy::retry::{RetryBudget, RetryDecision, RetryInputs};
+use crate::policy::retry::{RetryBudget, RetryInputs};
 use crate::state::{Attempt, Context, Customers, OpenRequest};
 
 /// The side of the fleet: the endpoints, their load by this gateway's attempts, and the budget for retries.
 pub(crate) struct Forwarder {
     pub(crate) load_balancer: LoadBalancer,
     load: LoadEstimate,
-    retry_budget: RetryBudget,
+    pub(super) retry_budget: RetryBudget,
 }
 
 impl Forwarder {
@@ -116,21 +116,13 @@
         self.load_balancer.attempt_ended(cx, open, ended);
     }
 
-    /// Decides whether the request is retried after an attempt with this outcome, and pays for the retry.
-    pub(super) fn decide_retry(
-        &mut self,
+    /// What the decision on a retry rests on, after an attempt with this outcome.
+    pub(super) fn retry_inputs(
+        &self,
         cx: &Context,
         open: &OpenRequest,
         outcome: Outcome,
-    ) -> RetryDecision {
-        let decision = retry::decide_retry(&self.retry_inputs(cx, open, outcome));
-        if decision == (RetryDecision::Allowed { uses_budget: true }) {
-            self.retry_budget.withdraw();
-        }
-        decision
-    }
-
-    fn retry_inputs(&self, cx: &Context, open: &OpenRequest, outcome: Outcome) -> RetryInputs {
+    ) -> RetryInputs {
         let class = cx.class(&open.request);
         RetryInputs {
             now: cx.now,
--- a/src/policy/request_handler.rs
+++ b/src/policy/request_handler.rs
@@ -8,7 +8,7 @@
 use crate::policy::final_response::{self, EndReason, ResponseInputs, UnservedResponse};
 use crate::policy::forwarding::Forwarder;
 use crate::policy::quota::QuotaLedger;
-use crate::policy::retry::RetryDecision;
+use crate::policy::retry::{self, RetryDecision};
 use crate::state::{Context, Customers, OpenRequest, Timer};
 
 /// The two sides that a request meets: its customer's quota, and the fleet.
@@ -46,8 +46,10 @@
                 return None;
             }
         };
-        let customer = customer_inputs(cx, &mut self.quota, &self.forwarder, &open);
-        let load = load_inputs(cx, &mut self.forwarder, &open);
+        let baseline_ms = self.forwarder.baseline_latency(&open.request);
+        let customer = customer_inputs(cx, &mut self.quota, &open, baseline_ms);
+        let expected_ms = self.forwarder.expected_latency(cx, &open.request);
+        let load = load_inputs(cx, &open, expected_ms);
         let admission = admission::decide_on_arrival(&customer, &load);
         if admission.is_over_limit() {
             // Nothing is charged, so that no reply would say when the quota has units again.
@@ -78,7 +80,8 @@
         self.quota.customers.release(open);
         let counted_units = self.quota.counted_units(cx, open);
         let admission = admission::decide_after_wait(open.request.units, counted_units, || {
-            load_inputs(cx, &mut self.forwarder, open)
+            let expected_ms = self.forwarder.expected_latency(cx, &open.request);
+            load_inputs(cx, open, expected_ms)
         });
         if admission.is_over_limit() {
             let refund = -open.request.units;
@@ -150,8 +153,14 @@
     }
 
     fn retry_or_end(&mut self, cx: &mut Context, open: &mut OpenRequest, outcome: Outcome) {
-        match self.forwarder.decide_retry(cx, open, outcome) {
-            RetryDecision::Allowed { .. } => self.forward(cx, open),
+        let inputs = self.forwarder.retry_inputs(cx, open, outcome);
+        match retry::decide_retry(&inputs) {
+            RetryDecision::Allowed { uses_budget } => {
+                if uses_budget {
+                    self.forwarder.retry_budget.withdraw();
+                }
+                self.forward(cx, open);
+            }
             RetryDecision::Denied(denial) => {
                 self.end_unserved(cx, open, EndReason::RetryDenied(denial));
             }
@@ -185,17 +194,17 @@
     }
 }
 
-/// Takes in the request's units and refills its customer's quota.
+/// What the customer uses and may use, where an attempt takes `baseline_ms`. Refills the customer's quota.
 fn customer_inputs(
     cx: &Context,
     quota: &mut QuotaLedger,
-    forwarder: &Forwarder,
     open: &OpenRequest,
+    baseline_ms: Millis,
 ) -> CustomerInputs {
     let plan = cx.plan(open.account());
-    // In this order: the first adds a customer that is not known yet, and takes in the request's units.
+    // In this order: the first adds a customer that is not known yet, and counts the request in the mean
+    // units.
     let available_units = quota.available_units(cx, open);
-    let baseline_ms = forwarder.baseline_latency(&open.request);
     let concurrent_attempts = quota.concurrent_attempts(open, baseline_ms);
     CustomerInputs {
         has_quota: plan.rate > 0.0,
@@ -206,11 +215,11 @@
     }
 }
 
-/// Brings the load of the fleet up to now.
-fn load_inputs(cx: &Context, forwarder: &mut Forwarder, open: &OpenRequest) -> LoadInputs {
+/// The load of the fleet, by the latency that is expected of the request, and what the request is worth.
+fn load_inputs(cx: &Context, open: &OpenRequest, expected_latency_ms: Millis) -> LoadInputs {
     let plan = cx.plan(open.account());
     LoadInputs {
-        expected_latency_ms: forwarder.expected_latency(cx, &open.request),
+        expected_latency_ms,
         latency_objective_ms: cx.class(&open.request).latency_objective_ms,
         objective_ms: open.objective_ms,
         over_quota_weight: plan.over_quota_weight,
