--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! What is harmless in one gateway and harmful in all: many gateways, whose attempts together are held against the
-//! rules.
+//! What is harmless at one gateway and harmful at all of them: the attempts of many gateways together are checked
+//! against the rules.
 // Tests fail by panicking.
 #![allow(clippy::unwrap_used)]
 
@@ -67,15 +67,15 @@
 const START: f64 = 1000.0;
 /// When the new endpoints start, in ms.
 const RELEASE: f64 = 9000.0;
-/// When the gateways hear of the release, in ms.
+/// When the gateways are notified of the release, in ms.
 const LIST_UPDATE: f64 = RELEASE + 1000.0;
 /// When one gateway restarts, in ms.
 const GATEWAY_RESTART: f64 = RELEASE + 4000.0;
-/// End of the play, in ms.
+/// End of the simulation, in ms.
 const END: f64 = RELEASE + 12_000.0;
-/// Pause of a client after a rejection, in ms.
-const CLIENT_PAUSE_MS: f64 = 400.0;
-/// Marks the number of a request that has come again.
+/// How long a client waits after a rejection before its retry, in ms.
+const CLIENT_BACKOFF_MS: f64 = 400.0;
+/// Marks the id of a request that is a client's retry.
 const RETRY_MARK: u64 = 1 << 40;
 
 /// A release: half of the warm endpoints are removed, and as many start cold in their place.
@@ -99,10 +99,10 @@
 }
 
 impl Release {
-    /// Plays the release with a gateway that restarts during the warm-up, endpoints that fail a few requests, and clients
-    /// that come again once after a rejection. In the window that the rules name, a warming endpoint may be sent
+    /// Simulates the release with a gateway that restarts during the warm-up, endpoints that fail a few requests, and
+    /// clients that retry once after a rejection. In the window that the rules name, a warming endpoint may be sent
     /// N + 2 x root of N + 2 attempts, N being the multiple of its capacity at which it is overloaded.
-    fn play(&self) -> ReleaseLoad {
+    fn simulate(&self) -> ReleaseLoad {
         let mut simulation = Simulation::new(self);
         simulation.run();
         let allowed = |at: f64| {
@@ -179,7 +179,7 @@
     AttemptEnd { gateway: usize, end: AttemptEnd },
 }
 
-/// One play of a release.
+/// One simulation of a release.
 struct Simulation<'a> {
     release: &'a Release,
     settings: Settings,
@@ -192,7 +192,7 @@
     requests: u64,
     /// Attempts sent so far, by request.
     attempts: BTreeMap<u64, u8>,
-    /// When each endpoint has served what it has been sent, by its number.
+    /// When each endpoint has served what it has been sent, by its id.
     free_at: Vec<f64>,
     /// Times of the attempts to each new endpoint.
     sent_to_new: Vec<Vec<f64>>,
@@ -321,7 +321,7 @@
                 }
                 Action::Reject { id, .. } if id < RETRY_MARK => {
                     self.schedule(
-                        CLIENT_PAUSE_MS,
+                        CLIENT_BACKOFF_MS,
                         Step::ClientRetry {
                             id: id | RETRY_MARK,
                         },
@@ -354,7 +354,7 @@
         self.schedule(elapsed_ms, Step::AttemptEnd { gateway, end });
     }
 
-    /// An endpoint of this capacity takes a request in: how that ends, and after which time in ms.
+    /// An endpoint of this capacity takes a request: its outcome, and the time to it in ms.
     fn serve(&mut self, endpoint: u32, capacity: f64) -> (Outcome, f64) {
         let free_at = &mut self.free_at[endpoint as usize];
         let queue_ms = (*free_at - self.now).max(0.0);
@@ -372,7 +372,7 @@
     }
 }
 
-/// A release with half of the load that the warm endpoints bear before it, and with nearly all of it.
+/// A release at half of the capacity of the warm endpoints before it, and at nearly all of it.
 fn no_warming_endpoint_is_overloaded_by(gateways: u32, staying: u32) {
     for load in [0.5, 0.92] {
         for (seed, (overload_multiple, overload_window_ms)) in
@@ -395,7 +395,7 @@
     let ReleaseLoad {
         worst: WindowLoad { sent, allowed },
         sent: all,
-    } = release.play();
+    } = release.simulate();
     assert!(
         sent as f64 <= allowed,
         "{rate} a second: {sent} sent where {allowed} are allowed"
@@ -403,11 +403,12 @@
     assert!(all > 500, "warming endpoints are used: {all}");
 }
 
-/// With more endpoints than a gateway uses, each has some gateways that may send to it. With one overload multiple
-/// only, as it takes its time.
+/// There are more endpoints than one gateway uses, so only some gateways send to each, and none knows how many. If each
+/// took its share for larger than it is, warming endpoints would be overloaded. One overload multiple only, as the
+/// simulation takes long.
 #[test]
 fn gateways_with_a_subset_overload_no_warming_endpoint() {
-    let play = |load: f64, gateways| {
+    let simulate = |load: f64, gateways| {
         assert_no_overload(&Release {
             gateways,
             seed: 9,
@@ -418,12 +419,15 @@
         });
     };
     std::thread::scope(|scope| {
-        scope.spawn(|| play(0.5, 40));
-        scope.spawn(|| play(0.92, 40));
-        scope.spawn(|| play(0.92, 120));
+        scope.spawn(|| simulate(0.5, 40));
+        scope.spawn(|| simulate(0.92, 40));
+        scope.spawn(|| simulate(0.92, 120));
     });
 }
 
+/// In the releases below half of the endpoints start cold. Each gateway sends them what is harmless by itself, while one
+/// gateway restarts and knows nothing, and clients retry. All gateways together must not overload any of the endpoints,
+/// however many gateways there are.
 #[test]
 fn three_gateways_overload_no_warming_endpoint() {
     no_warming_endpoint_is_overloaded_by(3, 30);
@@ -454,19 +458,19 @@
 /// The burst of the customers' quota, in units.
 const QUOTA_BURST: f64 = 12.0;
 
-/// A customer, with its quota reckoned exactly.
+/// A customer, with its exact quota.
 struct Customer {
     /// Requests per second.
     request_rate: f64,
-    /// Whether it asks for more than its quota.
+    /// Whether it requests more than its quota.
     is_heavy: bool,
-    /// Units left in its quota, and when that was reckoned.
+    /// Units left in its quota at `updated_at`.
     units: f64,
     updated_at: f64,
 }
 
 impl Customer {
-    /// One in ten asks for three times its rate, the others for well below it.
+    /// One in ten requests three times its rate, the others well below it.
     fn new(number: usize, now: f64) -> Self {
         let is_heavy = number % 10 == 0;
         let request_rate = if is_heavy { 12.0 } else { 1.5 };
@@ -486,7 +490,7 @@
     }
 }
 
-/// Requests of a day, by what became of them.
+/// Requests by what became of them.
 #[derive(Default)]
 struct QuotaTotals {
     sent_within: u32,
@@ -510,8 +514,9 @@
     }
 }
 
-/// A quiet day: most customers ask well below their rate, one in ten for three times as much. The counter is well.
-/// What all gateways together let through beyond the quotas, and what they reject inside them, stays small.
+/// The counter works, most customers request well below their rate, and one in ten requests three times as much. Each
+/// gateway knows the usage at the others only from its own calls, so some could grant too much and reject what is within
+/// the quota. Both stay small over the fleet.
 #[test]
 fn quotas_hold_over_the_fleet_on_a_quiet_day() {
     let QuotaTotals {
@@ -527,12 +532,12 @@
     );
     assert!(
         light_rejected_within * 25 <= light_sent_within,
-        "{light_rejected_within} rejected of those who ask little, {light_sent_within} inside"
+        "{light_rejected_within} rejected of those who request little, {light_sent_within} inside"
     );
     // Six customers, a burst of 12 and 4 a second for a minute.
     assert!(
         heavy_sent_within * 10 >= 6 * (12 + 4 * 60) * 8,
-        "{heavy_sent_within} to those who ask more than they may"
+        "{heavy_sent_within} to those who request more than their quota"
     );
 }
 
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -40,9 +40,11 @@
     );
 }
 
+/// A gateway of a large fleet first hears of a customer long after the counter's window began. It took the
+/// quota for full, so that half of the usage was over quota. One total has to show what the others have
+/// used.
 #[test]
 fn one_total_gives_the_level_to_a_gateway_that_never_called_before() {
-    // Found in a large fleet: after a quiet time in a long window, half of the usage was over quota.
     let mut shared = SharedCounter::default();
     let mut one = TestGateway::new(settings());
     let mut two = TestGateway::new(settings());
@@ -82,6 +84,8 @@
     );
 }
 
+/// A request of long ago left unsettled units. Charged in full with the customer's next request they would
+/// take quota that has been refilled since. They decay like any usage.
 #[test]
 fn unsettled_units_decay_like_any_usage() {
     let mut gateway = TestGateway::new(settings());
@@ -99,6 +103,8 @@
     );
 }
 
+/// The counter doesn't reply at all. Requests must not wait for it, and without any limit a customer could
+/// use far more than its quota. What this gateway itself has forwarded limits the customer.
 #[test]
 fn without_a_counter_reply_the_gateways_own_usage_limits_requests() {
     let mut gateway = TestGateway::new(settings());
@@ -113,10 +119,10 @@
     assert_eq!(forwarded, 5, "10 units, 2 for each request");
 }
 
+/// The counter has capacity for half of the fleet's calls. Gateways recovered within two calls of a
+/// failure, and one call in five was rejected. Each gateway finds the rate that is its part.
 #[test]
 fn a_hundred_gateways_find_their_part_of_an_overloaded_counter() {
-    // Found in a large fleet: gateways recovered within two calls of a failure, and one call in five was
-    // rejected.
     let mut gateways: Vec<_> = (0..100u32)
         .map(|index| {
             let settings = Settings {
@@ -165,6 +171,8 @@
     );
 }
 
+/// The counter rejects a charge, and the request is forwarded without it. Its units would never be counted.
+/// The customer's next charge carries them.
 #[test]
 fn a_rejected_charge_is_added_to_the_next() {
     let mut gateway = TestGateway::new(settings());
@@ -174,6 +182,8 @@
     assert!((amount / first - 1.5).abs() < 1e-6);
 }
 
+/// The counter restarts and counts from 0 again. A gateway that believed the low total would grant the
+/// customer its burst a second time. A total below the gateway's own usage is known to be wrong.
 #[test]
 fn a_counter_that_lost_its_count_grants_no_new_quota() {
     let mut gateway = TestGateway::new(settings());
@@ -206,10 +216,10 @@
     calls
 }
 
+/// The counter is overloaded. Calls were limited per customer, and each customer came once, so that nearly
+/// all calls timed out. Calls are limited as a whole, and rise again when the counter replies.
 #[test]
 fn an_overloaded_counter_is_called_less_often_and_trusted_again() {
-    // Found in a large fleet: calls were limited per customer, and each came once; nearly all calls timed
-    // out.
     let mut gateway = TestGateway::new(settings());
     let healthy = calls_in_a_second(&mut gateway, 1, Outcome::Success);
     calls_in_a_second(&mut gateway, 1000, Outcome::Rejected);
@@ -257,6 +267,8 @@
     messages.next().expect("a message for all gateways")
 }
 
+/// The counter rejects all calls. Each gateway would grant a customer its full quota by itself. The
+/// gateways send each other their usage, and count what the others used.
 #[test]
 fn gateways_exchange_usage_while_the_counter_has_no_capacity() {
     let mut one = gateway_with_overloaded_counter(0);
@@ -282,6 +294,8 @@
     );
 }
 
+/// A message from another gateway is cut short, too long or damaged, or comes from a sender that can't be.
+/// Taken for usage it would reject requests within the quota, or end the process. It is ignored.
 #[test]
 fn lost_or_invalid_gossip_messages_let_requests_through() {
     let mut one = gateway_with_overloaded_counter(0);
@@ -334,6 +348,8 @@
     chosen
 }
 
+/// Responses fail all over the fleet, as with a bad release. Ejecting every endpoint that fails would leave
+/// none. Only an endpoint that fails more often than the others is ejected.
 #[test]
 fn only_an_endpoint_that_fails_more_than_the_others_is_ejected() {
     let mut gateway = TestGateway::new(settings());
@@ -366,8 +382,8 @@
     );
 }
 
-/// A request that ends between its charge and its first attempt used nothing: its units are refunded with the
-/// next charge.
+/// A client disconnects between the charge of its request and the first attempt. The request used nothing,
+/// but its customer would pay for it, again and again. Its units are refunded with the next charge.
 #[test]
 fn a_request_that_ends_before_it_is_sent_is_refunded() {
     let mut shared = SharedCounter::default();
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -10,8 +10,8 @@
 /// How long after its deadline a request may still be answered, in ms.
 const RESPONSE_SLACK_MS: f64 = 8.0;
 
-/// An attempt as the world outside the gateway sees it.
-struct WorldAttempt {
+/// An attempt as the host of the gateway sees it.
+struct SentAttempt {
     endpoint: u32,
     started_at: f64,
     times_out_at: f64,
@@ -20,31 +20,32 @@
     executed: bool,
 }
 
-struct WorldRequest {
+/// A request as its client sees it.
+struct ClientRequest {
     class: usize,
     deadline: f64,
     answered: bool,
-    attempts: Vec<WorldAttempt>,
+    attempts: Vec<SentAttempt>,
 }
 
-/// A gateway with clients, endpoints, a counter and timers around it. It checks each action against the rules.
-struct World {
+/// The host of a gateway: clients, endpoints, a counter and timers. It checks each action against the rules.
+struct Host {
     gateway: Gateway,
     settings: Settings,
     now: f64,
-    requests: BTreeMap<u64, WorldRequest>,
+    requests: BTreeMap<u64, ClientRequest>,
     endpoints: BTreeMap<u32, EndpointState>,
     counter_calls: Vec<(u64, f64)>,
     timers: Vec<(f64, u64)>,
 }
 
-impl World {
-    fn new(seed: u64, hedging: bool) -> World {
+impl Host {
+    fn new(seed: u64, hedging: bool) -> Host {
         let mut settings = settings();
         settings.limits.hedging = hedging;
         settings.plans[0].max_concurrency = 8;
         settings.limits.gossip = true;
-        World {
+        Host {
             gateway: Gateway::new(settings.clone(), seed, 0.0),
             settings,
             now: 0.0,
@@ -109,7 +110,7 @@
             "sent to an endpoint that is not ready"
         );
         let request = self.requests.get_mut(&id).expect("a known request");
-        assert!(!request.answered, "sent after the final answer");
+        assert!(!request.answered, "sent after the final response");
         assert!(timeout_ms > 0.0 && self.now + timeout_ms <= request.deadline + 1e-6);
         assert!((request.attempts.len() as u32) < self.settings.limits.max_attempts);
         let hedging = self.settings.limits.hedging;
@@ -144,7 +145,7 @@
                 }
             }
         }
-        request.attempts.push(WorldAttempt {
+        request.attempts.push(SentAttempt {
             endpoint,
             started_at: self.now,
             times_out_at: self.now + timeout_ms,
@@ -196,8 +197,8 @@
             .retain(|_, r| !r.answered || r.attempts.iter().any(|attempt| attempt.in_flight));
     }
 
-    /// An event that a faulty endpoint or gateway might cause, now and then.
-    fn disturb(&mut self, rng: &mut fastrand::Rng) {
+    /// Now and then hands in an event that a faulty counter or gateway might cause.
+    fn inject_fault(&mut self, rng: &mut fastrand::Rng) {
         let odd = [-1.0, f64::NAN, f64::INFINITY, 1e300, 3.0][rng.usize(0..5)];
         match rng.u32(0..20) {
             // The reply to a call that nobody made.
@@ -234,7 +235,7 @@
     fn send_request(&mut self, id: u64, rng: &mut fastrand::Rng) {
         let class = rng.usize(0..3);
         let timeout_ms = 20.0 + rng.f64() * 2000.0;
-        let request = WorldRequest {
+        let request = ClientRequest {
             class,
             deadline: self.now + timeout_ms,
             answered: false,
@@ -254,7 +255,7 @@
     }
 
     fn end_any_attempt(&mut self, rng: &mut fastrand::Rng) {
-        let numbered = |(id, request): (&u64, &WorldRequest)| {
+        let numbered = |(id, request): (&u64, &ClientRequest)| {
             let id = *id;
             let in_flight = request
                 .attempts
@@ -338,33 +339,36 @@
 
 fn run(seed: u64, hedging: bool) {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut world = World::new(seed, hedging);
+    let mut host = Host::new(seed, hedging);
     let endpoints = (1..=6)
         .map(|id| endpoint(id, EndpointState::Ready, 0.0))
         .collect();
-    world.handle(Event::EndpointUpdate {
+    host.handle(Event::EndpointUpdate {
         complete: true,
         endpoints,
     });
     for id in 1..4000 {
-        world.advance(rng.f64() * 8.0);
-        world.disturb(&mut rng);
+        host.advance(rng.f64() * 8.0);
+        host.inject_fault(&mut rng);
         match rng.u32(0..10) {
-            0..=3 => world.send_request(id, &mut rng),
-            4..=7 => world.end_any_attempt(&mut rng),
-            8 => world.answer_counter_calls(&mut rng),
-            _ => world.change_any_endpoint(&mut rng),
+            0..=3 => host.send_request(id, &mut rng),
+            4..=7 => host.end_any_attempt(&mut rng),
+            8 => host.answer_counter_calls(&mut rng),
+            _ => host.change_any_endpoint(&mut rng),
         }
     }
     for _ in 0..300 {
-        world.advance(10.0);
+        host.advance(10.0);
     }
     assert!(
-        world.requests.values().all(|request| request.answered),
-        "every request has its answer"
+        host.requests.values().all(|request| request.answered),
+        "every request has its response"
     );
 }
 
+/// Events come in any order: attempts end while endpoints drain, replies are late or never come, messages are damaged.
+/// One order that nobody thought of could execute a request twice or leave a client without a response. The rules
+/// hold in all of them.
 #[test]
 fn the_rules_hold_on_random_legal_events() {
     for seed in 0..30 {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -18,6 +18,9 @@
 /// The deadline of a request after its arrival, in ms.
 const DEADLINE_MS: f64 = 2000.0;
 
+/// An endpoint does not respond to an order before the deadline, and may have executed it. A rejection
+/// would have the client place the order again, and a late response must not be a second final one. The
+/// request is failed, once.
 #[test]
 fn a_request_that_may_have_been_executed_is_failed_once_at_its_deadline() {
     let mut gateway = TestGateway::new(settings_without_quota());
@@ -35,6 +38,8 @@
     );
 }
 
+/// The shared counter hangs. Requests that wait for it would miss their latency objective though the fleet
+/// is well. After a short wait each is forwarded by what this gateway knows of the quota.
 #[test]
 fn a_request_is_forwarded_when_the_counter_does_not_answer_in_time() {
     let mut gateway = TestGateway::new(settings());
@@ -49,6 +54,9 @@
     assert!(sent_to(&gateway.handle(Event::TimerFired { token })).is_some());
 }
 
+/// An attempt of an order ends without a response. If the connection broke, the order may have been
+/// executed, and a retry would execute it twice; it is failed. A retry is sent only if the endpoint can't
+/// have executed it.
 #[test]
 fn a_non_idempotent_request_is_retried_only_if_it_was_never_executed() {
     for (outcome, retried) in [
@@ -64,6 +72,9 @@
     }
 }
 
+/// A connection breaks under a request with an idempotency key. Endpoints of other zones don't know the
+/// key, and those of the zone forget it, so that a retry there or later would execute the request twice. A
+/// retry stays in the zone and within the window; otherwise the request is failed.
 #[test]
 fn a_request_with_an_idempotency_key_is_retried_only_in_its_scope_and_window() {
     for (elapsed_ms, retried) in [(10.0, true), (1600.0, false)] {
@@ -80,6 +91,8 @@
     }
 }
 
+/// Endpoints drain or are removed from the list. An attempt that is sent to them is lost when they exit.
+/// The others get the requests, and without others requests are rejected.
 #[test]
 fn no_attempt_goes_to_a_draining_or_removed_endpoint() {
     let mut gateway = TestGateway::new(settings_without_quota());
@@ -105,6 +118,8 @@
     );
 }
 
+/// An endpoint has just started and looks idle, so that each request would be sent there. It is overloaded
+/// before it is warm, and fails. It gets about what its present capacity permits.
 #[test]
 fn slow_start_limits_the_attempts_to_a_cold_endpoint() {
     let mut gateway = TestGateway::new(settings_without_quota());
@@ -150,6 +165,9 @@
     units
 }
 
+/// A customer asks for far more than its hard ceiling, and a gateway restarts meanwhile. The new process
+/// knows nothing of what was forwarded before, and a full share would exceed the ceiling. Its share starts
+/// empty.
 #[test]
 fn each_gateway_enforces_its_share_of_a_hard_ceiling_across_a_restart() {
     let mut gateway = TestGateway::new(ceiling_settings());
@@ -166,6 +184,9 @@
     );
 }
 
+/// Another gateway reports again and again that a customer used nothing there. Gossip may be lost or wrong,
+/// so a gateway that took over that share would let the customer exceed its hard ceiling. The share stays
+/// as it is.
 #[test]
 fn gossip_does_not_raise_the_share_of_a_hard_ceiling() {
     let mut settings = ceiling_settings();
@@ -190,10 +211,11 @@
     );
 }
 
+/// With little traffic a few attempts take very long. Without responses the expected latency grew without
+/// end, so the gateway rejected every request and never learned that the fleet responds again; a baseline
+/// latency above the limit did the same with one response at a time. A few requests are always admitted.
 #[test]
 fn a_few_slow_attempts_do_not_make_the_gateway_reject_everything() {
-    // Found with little traffic: without responses the expected latency grew without end and every request
-    // was rejected; and a baseline latency above the limit blocked a gateway with one response at a time.
     let mut gateway = TestGateway::new(settings_without_quota());
     for id in 1..=200 {
         let actions = gateway.request(id, 0, 1.0);
@@ -220,10 +242,10 @@
     );
 }
 
+/// At two requests per second one attempt hangs. It moves an average over time more than all responses do,
+/// and the gateway rejected requests though the fleet was idle. One attempt must not weigh that much.
 #[test]
 fn one_attempt_that_hangs_does_not_make_a_quiet_gateway_reject() {
-    // Found in a large fleet: at two requests per second one attempt that hangs moves an average over time
-    // most.
     let mut gateway = TestGateway::new(Settings {
         gateway_count: 200,
         ..settings_without_quota()
@@ -239,10 +261,11 @@
     assert!(sent_to(&gateway.request(22, 0, 1.0)).is_some());
 }
 
+/// In a large fleet a gateway uses an endpoint every tens of seconds, so no response has come from it since
+/// a slow attempt began. Every slow attempt seemed to hang, and hedged requests overloaded the fleet
+/// further. A slow attempt is left alone.
 #[test]
 fn a_slow_attempt_is_neither_hedged_nor_cancelled() {
-    // Found in a large fleet: an endpoint used every tens of seconds has sent no response since, so all slow
-    // attempts seemed to hang, and hedged requests overloaded the fleet further.
     for hedging in [false, true] {
         let mut settings = settings_without_quota();
         settings.limits.hedging = hedging;
@@ -261,9 +284,11 @@
     }
 }
 
+/// Endpoints reject requests of one plan and serve the others. They were avoided for all plans, which
+/// wasted their capacity, and for 200 ms only, so that a quiet gateway asked them again each time. An
+/// endpoint is avoided for that plan alone, and for long enough.
 #[test]
 fn an_endpoint_that_rejects_one_plan_still_serves_the_others() {
-    // Found where endpoints rejected one plan: they were avoided for all plans, and for 200 ms only.
     let mut settings = settings_without_quota();
     settings.plans.push(settings.plans[0]);
     let mut gateway = TestGateway::new(settings);
@@ -340,6 +365,8 @@
     requests
 }
 
+/// Gateways that know equally little of the endpoints choose by the same rule. If all came to the same
+/// endpoint, it would be overloaded while the others are idle. Their choices spread.
 #[test]
 fn a_hundred_gateways_do_not_all_choose_the_same_endpoint() {
     let requests = requests_per_endpoint_of_a_hundred_gateways(0);
@@ -349,6 +376,9 @@
     );
 }
 
+/// One endpoint starts in a large fleet. Each gateway sends it only a few requests, but all of them
+/// together could overload it while it is warming up. It gets hardly more than a warm one, and is used all
+/// the same.
 #[test]
 fn a_hundred_gateways_do_not_overload_a_cold_endpoint() {
     let requests = requests_per_endpoint_of_a_hundred_gateways(1);
@@ -362,10 +392,11 @@
     assert!(requests[1] >= 3, "it is used: {requests:?}");
 }
 
+/// Most endpoints of a large fleet start at once. They were chosen by chance among all, so that they got a
+/// part of the part that they may be sent, and six in ten endpoints were idle while the others were
+/// overloaded. They get what they may be sent.
 #[test]
 fn a_hundred_gateways_use_the_warm_capacity_of_many_cold_endpoints() {
-    // Found in a large fleet: cold endpoints were chosen by chance among all, so that they got a part of the
-    // part that they may be sent, and six in ten endpoints were idle while the others were overloaded.
     let requests = requests_per_endpoint_of_a_hundred_gateways(24);
     let cold = requests[1..=24].iter().sum::<usize>();
     // Over the 15 s the 24 have 0.75 of their capacity on average and the 16 warm ones all of theirs: their
@@ -381,10 +412,11 @@
     );
 }
 
+/// In a large fleet each request went to any of 60 endpoints. Each endpoint was used every ten seconds
+/// only, and one request in three opened a connection. A gateway keeps to endpoints that it is connected
+/// to, and none stays idle.
 #[test]
 fn a_hundred_gateways_reuse_their_connections() {
-    // Found in a large fleet: each request went to any of 60 endpoints, so one in three opened a connection,
-    // and each endpoint was used every ten seconds only.
     let mut requests = vec![0; 41];
     let mut opened = 0;
     for index in 0..100u32 {
@@ -469,6 +501,9 @@
     assert!(counter_call(&actions).is_none_or(|(_, amount)| amount.is_finite()));
 }
 
+/// Settings contradict each other, such as an index beyond the number of gateways. A request that is
+/// neither forwarded nor answered would leave its client waiting. Each request gets an attempt or a
+/// response.
 #[test]
 fn contradictory_settings_leave_no_request_without_an_answer() {
     let cases: [fn(&mut Settings); 5] = [
@@ -516,6 +551,8 @@
     }
 }
 
+/// A release drains the endpoints pair by pair. Attempts that are sent to those that drain are lost when
+/// they exit. Each update takes effect with the next request.
 #[test]
 fn endpoints_that_drain_in_waves_get_no_attempts_after_the_update() {
     let mut gateway = TestGateway::new(settings_without_quota());
@@ -545,8 +582,9 @@
     }
 }
 
-/// Clients can make up customer numbers, a new one with each request: they must not fill the memory, and
-/// customers with attempts in flight are not forgotten.
+/// Clients can make up customer numbers, a new one with each request, until the memory is full. Idle
+/// customers are removed in time, but customers with attempts in flight are kept, as their units are still
+/// to be settled.
 #[test]
 fn made_up_customer_numbers_do_not_fill_the_memory() {
     let mut gateway = TestGateway::new(settings());
