--- a/src/policy/request_handler.rs
+++ b/src/policy/request_handler.rs
@@ -68,7 +68,8 @@
         }
     }
 
-    /// The request has waited for the counter for as long as it may: this gateway's own usage must do.
+    /// The request has waited for the counter for as long as it may: what this gateway knows of the usage
+    /// decides.
     pub(crate) fn counter_wait_expired(&mut self, cx: &mut Context, open: &mut OpenRequest) {
         if open.awaiting_counter {
             self.decide_after_wait(cx, open);
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -4,8 +4,8 @@
 //! safe and worth while. Then, as before a first attempt, [`decide_attempt`] says whether the limits of the
 //! request permit an attempt now, and until when its first byte may be written.
 //!
-//! This is the rule. The program enforces it at the socket, as time passes after the decision:
-//! `driver::requests` checks that an attempt may still start, `driver::guard` that it may still be written.
+//! This is the rule. The program's `driver::enforcement` enforces it when an attempt starts and right
+//! before its first byte, as time passes and endpoints change after the decision.
 
 use crate::api::{Idempotency, Millis, Outcome};
 use crate::primitives::token_bucket::TokenBucket;
