--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,28 +1,29 @@
 //! The entry point of the library: events in, actions out. Their types are in `src/api`, the decisions in `src/policy`.
 
 use crate::api::{Action, EndpointId, Event, Millis, Settings};
-use crate::policy::{endpoints::PollRetry, forwarding::Forwarder};
+use crate::policy::{endpoints::PollRetry, request_handler::RequestHandler};
 use crate::state::{Context, CounterReply, OpenRequests, Timer};
 
 /// Time between two runs of the periodic housekeeping, in ms.
-const TICK_MS: f64 = 1000.0;
+const HOUSEKEEPING_INTERVAL_MS: Millis = 1000.0;
 
 /// The decisions of one gateway.
 pub struct Gateway {
     settings: Settings,
     rng: fastrand::Rng,
+    /// It has taken in its first event.
     started: bool,
     poll_retry: PollRetry,
     requests: OpenRequests,
-    forwarder: Forwarder,
+    handler: RequestHandler,
 }
 
 impl Gateway {
-    /// A gateway that starts now and knows its settings alone.
+    /// A gateway that starts now and knows only its settings. The same seed and events lead to the same actions.
     #[must_use]
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Self {
         Gateway {
-            forwarder: Forwarder::new(&settings, now),
+            handler: RequestHandler::new(&settings, now),
             settings,
             rng: fastrand::Rng::with_seed(seed),
             started: false,
@@ -34,12 +35,12 @@
     /// The number of customers remembered now.
     #[must_use]
     pub fn customer_count(&self) -> usize {
-        self.forwarder.quota.customers.len()
+        self.handler.quota.customers.len()
     }
 
     /// The endpoints that this gateway sends to at present.
     pub fn subset(&mut self) -> &[EndpointId] {
-        self.forwarder.load_balancer.subset()
+        self.handler.forwarder.load_balancer.subset()
     }
 
     /// Takes in one event and appends what is to be done.
@@ -50,7 +51,7 @@
             rng: &mut self.rng,
             actions,
         };
-        let forwarder = &mut self.forwarder;
+        let handler = &mut self.handler;
         let requests = &mut self.requests;
         if !std::mem::replace(&mut self.started, true) {
             start(cx);
@@ -60,31 +61,32 @@
                 complete,
                 endpoints,
             } => {
-                forwarder
+                handler
+                    .forwarder
                     .load_balancer
                     .update_endpoints(cx, complete, endpoints);
             }
             Event::EndpointPollFailed => self.poll_retry.poll_failed(now, cx.rng),
+            // The host has repeated the event: the request that is open must not be charged or sent twice.
             Event::Request(request) if requests.contains(request.id) => {}
             Event::Request(request) => {
-                if let Some(open) = forwarder.request_arrived(cx, request) {
+                if let Some(open) = handler.request_arrived(cx, request) {
                     requests.insert(open);
                 }
             }
-            Event::ResponseStarted { id } => requests.update(id, |open| open.streaming = true),
+            Event::ResponseStarted { id } => requests.update(id, |open| {
+                open.response_started = true;
+            }),
             Event::AttemptEnded(end) => {
-                requests.update(end.id, |open| forwarder.attempt_ended(cx, open, &end));
+                requests.update(end.id, |open| handler.attempt_ended(cx, open, &end));
             }
             Event::ClientDisconnected { id } => {
-                requests.update(id, |open| forwarder.client_disconnected(cx, open));
+                requests.update(id, |open| handler.client_disconnected(cx, open));
+            }
+            Event::TimerFired { token } => {
+                let timer = Timer::from_token(token);
+                timer_fired(cx, timer, handler, requests, &mut self.poll_retry);
             }
-            Event::TimerFired { token } => match Timer::from_token(token) {
-                Timer::Housekeeping => keep_house(cx, forwarder, &mut self.poll_retry),
-                Timer::CounterWait(id) => {
-                    requests.update(id, |open| forwarder.counter_wait_expired(cx, open));
-                }
-                Timer::Gossip => forwarder.quota.gossip.send(cx),
-            },
             Event::CounterReply {
                 key,
                 outcome,
@@ -97,28 +99,44 @@
                     total,
                     elapsed_ms,
                 };
-                if let Some(id) = forwarder.quota.counter_replied(cx, &reply) {
-                    requests.update(id, |open| forwarder.counter_replied(cx, open));
+                if let Some(id) = handler.quota.counter_replied(cx, &reply) {
+                    requests.update(id, |open| handler.counter_replied(cx, open));
                 }
             }
-            Event::Gossip { from, body } => forwarder.quota.receive_gossip(cx, from, &body),
+            Event::Gossip { from, body } => handler.quota.receive_gossip(cx, from, &body),
         }
     }
 }
 
-/// The first event of a process: starts the housekeeping, and the watch where the endpoint list is polled.
+/// Starts the housekeeping, and where the endpoint list is polled, its watch.
 fn start(cx: &mut Context) {
-    cx.set_timer(Timer::Housekeeping, TICK_MS);
+    cx.set_timer(Timer::Housekeeping, HOUSEKEEPING_INTERVAL_MS);
     if cx.settings.endpoints_polled {
         cx.actions.push(Action::WatchEndpoints);
     }
 }
 
-/// The periodic housekeeping, and a retry of a failed poll of the endpoint list where one is due.
-fn keep_house(cx: &mut Context, forwarder: &mut Forwarder, poll_retry: &mut PollRetry) {
-    cx.set_timer(Timer::Housekeeping, TICK_MS);
+fn timer_fired(
+    cx: &mut Context,
+    timer: Timer,
+    handler: &mut RequestHandler,
+    requests: &mut OpenRequests,
+    poll_retry: &mut PollRetry,
+) {
+    match timer {
+        Timer::Housekeeping => run_housekeeping(cx, handler, poll_retry),
+        Timer::CounterWait(id) => {
+            requests.update(id, |open| handler.counter_wait_expired(cx, open));
+        }
+        Timer::Gossip => handler.quota.gossip.send(cx),
+    }
+}
+
+/// Runs the periodic housekeeping, and repeats a failed poll of the endpoint list where that is due.
+fn run_housekeeping(cx: &mut Context, handler: &mut RequestHandler, poll_retry: &mut PollRetry) {
+    cx.set_timer(Timer::Housekeeping, HOUSEKEEPING_INTERVAL_MS);
     if poll_retry.take_due(cx.now) {
         cx.actions.push(Action::WatchEndpoints);
     }
-    forwarder.tick(cx);
+    handler.tick(cx);
 }
