--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -15,5 +15,6 @@
 mod outlier;
 mod overload;
 mod quota;
+mod shared_quota;
 mod slow_start;
 mod subset;
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -4,33 +4,20 @@
 use crate::gossip::UsageExchange;
 use crate::policy::call_limiter::CallPriority;
 use crate::policy::counter_calls::CounterCalls;
-use crate::primitives::mean::ExponentialMean;
-use crate::primitives::shared_bucket::{
-    BucketLimits, RemoteUsage, SharedBucket, SharedBucketParameters,
+use crate::policy::shared_quota::{
+    key_ttl_ms, refill_time_s, time_constant_s, PeerUsage, QuotaLimits,
 };
+use crate::primitives::mean::ExponentialMean;
 use crate::primitives::token_bucket::TokenBucket;
 use crate::state::{counter_key, CounterCall, CounterReply, OpenRequest, PendingCounterCalls};
-use crate::state::{Account, Context, Customer, Customers};
+use crate::state::{Account, Context, Customer, Customers, SharedQuota};
 
-/// How a customer's quota is rebuilt from the counter.
-const QUOTA_COUNT: SharedBucketParameters = SharedBucketParameters {
-    decay_bursts: 1.25,  // more is kinder to chance, less to sudden bursts
-    window_decays: 20.0, // longer windows have fewer edges, where usage may go unseen
-    min_window_ms: 100.0,
-    max_window_ms: 50_000.0, // less than the longest life of a key at the counter
-    lost_count_share: 0.99,
-    remote_rate_ms: 2000.0, // a few of a customer's requests
-    projection_ms: 10_000.0,
-};
-/// Longest life of a key, in ms, as the counter allows it.
-const MAX_KEY_TTL_MS: f64 = 60_000.0;
-/// The quota falls below 0 by the units of one request, or by this share of the burst.
-const MAX_DEFICIT_PER_BURST: f64 = 0.25;
 /// Least time between two calls that only ask for a customer's total, in ms.
 const MIN_TOTAL_QUERY_INTERVAL_MS: f64 = 100.0;
-/// A customer idle for this many decay times of its usage is forgotten: its quota must be full again.
-const IDLE_DECAYS: f64 = 3.0;
-/// The shortest such time, in ms.
+/// A customer is forgotten once it was idle for this many time constants in which its usage decays: its quota
+/// must be full again.
+const IDLE_TIME_CONSTANTS: f64 = 3.0;
+/// Shortest idle time after which a customer is forgotten, in ms.
 const MIN_IDLE_MS: f64 = 1000.0;
 /// Retry-After of a request over its quota: half the time in which the missing units are refilled.
 const RETRY_AFTER_MS_PER_REFILL_SECOND: f64 = 500.0;
@@ -68,7 +55,7 @@
         self.mean_units.update(open.request.units);
         let gossip_active = self.gossip.is_active(cx);
         let customer = self.refresh(cx, open.account(), open.request.gateway_set_size);
-        let level = customer.quota.level().min(cx.plan(open.account()).burst);
+        let level = customer.quota.level.min(cx.plan(open.account()).burst);
         let level = if gossip_active {
             customer.gossip_level
         } else {
@@ -81,7 +68,7 @@
     pub(crate) fn counted_units(&mut self, cx: &Context, open: &OpenRequest) -> f64 {
         let gossip_active = self.gossip.is_active(cx);
         let customer = self.refresh(cx, open.account(), open.request.gateway_set_size);
-        let level = customer.quota.level();
+        let level = customer.quota.level;
         if gossip_active {
             return level.min(customer.gossip_level);
         }
@@ -93,7 +80,7 @@
         let mean_units = self.mean_units.value().max(MIN_MEAN_UNITS);
         let customer = self.customers.get(open.request.customer);
         customer.map_or(0.0, |customer| {
-            customer.concurrent_attempts(mean_units, baseline_ms)
+            concurrent_attempts(customer, mean_units, baseline_ms)
         })
     }
 
@@ -108,16 +95,16 @@
         let customer = self.customers.get_or_insert_with(account.customer, || {
             // A restarted gateway can't know what it sent before: its share of a ceiling starts empty.
             let ceiling = (uptime_s * plan.ceiling_rate * ceiling_share).min(ceiling_capacity);
-            let quota = SharedBucket::new(&QUOTA_COUNT, account.customer, cx.now, plan.burst);
+            let quota = SharedQuota::new(account.customer, cx.now, plan.burst);
             Customer::new(cx.now, quota, TokenBucket::new(ceiling))
         });
         let exhausted = self.counter.limiter.is_exhausted();
-        let remote_usage = if exhausted {
-            RemoteUsage::Projected
+        let peer_usage = if exhausted {
+            PeerUsage::Extrapolate
         } else {
-            RemoteUsage::Ignored
+            PeerUsage::AwaitTotal
         };
-        let elapsed_s = customer.refill(cx.now, bucket_limits(cx, account), remote_usage);
+        let elapsed_s = refill(customer, cx.now, quota_limits(cx, account), peer_usage);
         customer.ceiling.refill(
             elapsed_s * plan.ceiling_rate * ceiling_share,
             ceiling_capacity,
@@ -137,7 +124,7 @@
         if let Some(customer) = self.customers.get_mut(account.customer) {
             customer
                 .quota
-                .settle_later(cx.now, units, bucket_limits(cx, account));
+                .settle_later(cx.now, units, quota_limits(cx, account));
         }
     }
 
@@ -156,7 +143,7 @@
         let level = self
             .customers
             .get(open.request.customer)
-            .map_or(0.0, |customer| customer.quota.level());
+            .map_or(0.0, |customer| customer.quota.level);
         let missing = open.request.units.min(plan.burst) - level;
         (missing / plan.rate * RETRY_AFTER_MS_PER_REFILL_SECOND).max(0.0)
     }
@@ -214,16 +201,14 @@
         };
         let charge = customer
             .quota
-            .charge(cx.now, units, bucket_limits(cx, account));
+            .charge(cx.now, units, quota_limits(cx, account));
         customer.pending_calls += 1;
         customer.last_call_at = cx.now;
         let key = counter_key(account.customer, charge.window);
-        let ttl_ms =
-            (charge.remaining_ms + MAX_KEY_TTL_MS - QUOTA_COUNT.max_window_ms).min(MAX_KEY_TTL_MS);
         cx.actions.push(Action::AddToCounter {
             key,
-            amount: charge.amount,
-            ttl_ms,
+            amount: charge.weighted_units,
+            ttl_ms: key_ttl_ms(&charge),
         });
         self.pending_calls.push(
             key,
@@ -254,22 +239,22 @@
         let Some(customer) = self.customers.get_mut(call.account.customer) else {
             return;
         };
-        let limits = bucket_limits(cx, call.account);
+        let limits = quota_limits(cx, call.account);
         customer.pending_calls = customer.pending_calls.saturating_sub(1);
         if let Some(total) = reply.valid_total() {
-            customer.refill(cx.now, limits, RemoteUsage::Ignored);
+            refill(customer, cx.now, limits, PeerUsage::AwaitTotal);
             let applied = customer
                 .quota
                 .apply_total(cx.now, call.charge, total, limits);
             // All usage is on the count unless gateways exchange it.
             if applied && !self.gossip.is_active(cx) {
-                customer.gossip_level = customer.quota.level();
+                customer.gossip_level = customer.quota.level;
             }
         } else if reply.outcome.never_executed() {
             // A call that timed out may have been counted, and is not repeated.
             customer
                 .quota
-                .settle_later(cx.now, call.charge.tokens, limits);
+                .settle_later(cx.now, call.charge.units, limits);
         }
     }
 
@@ -293,11 +278,9 @@
 
     /// Forgets the customers whose quotas must be full again.
     pub(crate) fn forget_idle(&mut self, now: Millis, settings: &Settings) {
-        let refill_s = |burst: f64, rate: f64| if rate > 0.0 { burst / rate } else { 0.0 };
         let idle_ms = settings.plans.iter().map(|plan| {
-            let decay_ms =
-                refill_s(plan.burst, plan.rate) * QUOTA_COUNT.decay_bursts * IDLE_DECAYS * 1000.0;
-            decay_ms.max(refill_s(plan.ceiling_burst, plan.ceiling_rate) * 1000.0)
+            let quota_full_ms = time_constant_s(plan) * IDLE_TIME_CONSTANTS * 1000.0;
+            quota_full_ms.max(refill_time_s(plan.ceiling_burst, plan.ceiling_rate) * 1000.0)
         });
         let longest_ms = idle_ms.fold(MIN_IDLE_MS, f64::max);
         self.customers
@@ -305,17 +288,22 @@
     }
 }
 
-fn bucket_limits(cx: &Context, account: Account) -> BucketLimits {
-    let plan = cx.plan(account);
-    let max_deficit = cx
-        .settings
-        .max_units
-        .max(plan.burst * MAX_DEFICIT_PER_BURST);
-    BucketLimits {
-        rate: plan.rate,
-        burst: plan.burst,
-        max_deficit,
-    }
+/// Refills the levels of the quota up to now and returns the time since they were last refilled, in s.
+fn refill(customer: &mut Customer, now: Millis, limits: QuotaLimits, peer_usage: PeerUsage) -> f64 {
+    let elapsed_s = customer.quota.refill(now, limits, peer_usage);
+    customer.gossip_level = (customer.gossip_level + elapsed_s * limits.rate).min(limits.burst);
+    elapsed_s
+}
+
+/// Attempts in flight at all gateways. Those of this one are counted; those of its peers are estimated by
+/// Little's law from their rate of usage, the mean units of a request and the duration of an attempt.
+fn concurrent_attempts(customer: &Customer, mean_units: f64, duration_ms: Millis) -> f64 {
+    let at_peers = customer.quota.peer_rate / mean_units * duration_ms / 1000.0;
+    f64::from(customer.in_flight + customer.pending_calls) + at_peers.round()
+}
+
+fn quota_limits(cx: &Context, account: Account) -> QuotaLimits {
+    QuotaLimits::new(cx.settings, cx.plan(account))
 }
 
 /// Whether the counter holds the customer's usage.
--- a/src/state/counter_call.rs
+++ b/src/state/counter_call.rs
@@ -1,7 +1,7 @@
 //! Calls to the shared counter.
 
 use crate::api::{CustomerId, Outcome, Request, RequestId};
-use crate::primitives::shared_bucket::Charge;
+use crate::state::Charge;
 use std::collections::{BTreeMap, VecDeque};
 
 /// A customer under a plan: what a charge is made to.
--- a/src/state/customer.rs
+++ b/src/state/customer.rs
@@ -1,16 +1,15 @@
 //! What the gateway knows of its customers.
 
 use crate::api::{CustomerId, Millis, Request};
-use crate::primitives::shared_bucket::{BucketLimits, RemoteUsage, SharedBucket};
 use crate::primitives::token_bucket::TokenBucket;
-use crate::state::OpenRequest;
+use crate::state::{OpenRequest, SharedQuota};
 use std::collections::BTreeMap;
 
 /// One customer as this gateway sees it.
 pub(crate) struct Customer {
     pub(crate) last_seen_at: Millis,
     /// The quota, as this gateway knows it from the counter and its own usage.
-    pub(crate) quota: SharedBucket,
+    pub(crate) quota: SharedQuota,
     /// Units left of the quota, as the gateways' messages to each other tell.
     pub(crate) gossip_level: f64,
     /// This gateway's share of the plan's hard ceiling.
@@ -26,10 +25,10 @@
 
 impl Customer {
     /// A customer not seen before.
-    pub(crate) fn new(now: Millis, quota: SharedBucket, ceiling: TokenBucket) -> Self {
+    pub(crate) fn new(now: Millis, quota: SharedQuota, ceiling: TokenBucket) -> Self {
         Customer {
             last_seen_at: now,
-            gossip_level: quota.level(),
+            gossip_level: quota.level,
             quota,
             ceiling,
             reserved_units: 0.0,
@@ -39,25 +38,6 @@
         }
     }
 
-    /// Refills the levels up to now; the time since they were last refilled, in s.
-    pub(crate) fn refill(
-        &mut self,
-        now: Millis,
-        limits: BucketLimits,
-        remote_usage: RemoteUsage,
-    ) -> f64 {
-        let elapsed_s = self.quota.refill(now, limits, remote_usage);
-        self.gossip_level = (self.gossip_level + elapsed_s * limits.rate).min(limits.burst);
-        elapsed_s
-    }
-
-    /// Attempts in flight at all gateways. This one's are counted; those of the others are estimated from
-    /// their usage, the units of a request and its duration.
-    pub(crate) fn concurrent_attempts(&self, mean_units: f64, duration_ms: Millis) -> f64 {
-        let remote = self.quota.remote_rate() / mean_units * duration_ms / 1000.0;
-        f64::from(self.in_flight + self.pending_calls) + remote.round()
-    }
-
     /// Whether the customer has no work and no counter call in flight.
     pub(crate) fn is_idle(&self) -> bool {
         self.pending_calls == 0 && self.in_flight == 0 && self.reserved_units <= 0.0
--- a/src/state/customer/tests.rs
+++ b/src/state/customer/tests.rs
@@ -1,12 +1,7 @@
 use super::*;
-use crate::primitives::shared_bucket::tests::PARAMETERS;
 
 fn customer(id: CustomerId, now: Millis) -> Customer {
-    Customer::new(
-        now,
-        SharedBucket::new(&PARAMETERS, id, now, 10.0),
-        TokenBucket::new(0.0),
-    )
+    Customer::new(now, SharedQuota::new(id, now, 10.0), TokenBucket::new(0.0))
 }
 
 #[test]
