--- /dev/null
+++ b/src/policy/avoidance.rs
@@ -0,0 +1,46 @@
+//! Endpoints that reject requests are avoided for a time: they are a last resort for the plans that they are
+//! likely to reject.
+
+use crate::api::{Millis, Outcome};
+use crate::state::EndpointHealth;
+
+/// Shortest time for which an endpoint is avoided, in ms.
+const MIN_AVOIDANCE_MS: Millis = 200.0;
+/// Least number of requests of this gateway that come while an endpoint is avoided. For a quiet gateway the
+/// shortest time alone would be over before each next request.
+const MIN_AVOIDANCE_REQUESTS: f64 = 20.0;
+
+/// How long an endpoint is avoided, in ms, at this rate of requests per second.
+fn avoidance_ms(request_rate: f64) -> Millis {
+    MIN_AVOIDANCE_MS.max(MIN_AVOIDANCE_REQUESTS * 1000.0 / request_rate.max(1.0))
+}
+
+/// Whom an attempt that has ended shows to be rejected by its endpoint.
+pub(super) enum Rejection {
+    /// Requests of this plan.
+    Plan(usize),
+    /// Requests of any of this number of plans.
+    AllPlans(usize),
+}
+
+impl Rejection {
+    pub(super) fn new(outcome: Outcome, plan: usize, plan_count: usize) -> Option<Self> {
+        match outcome {
+            Outcome::Rejected => Some(Rejection::Plan(plan)),
+            // What accepts no connection accepts no request of any plan.
+            Outcome::ConnectFailed => Some(Rejection::AllPlans(plan_count)),
+            _ => None,
+        }
+    }
+}
+
+impl EndpointHealth {
+    /// Has the endpoint avoided from now on.
+    pub(super) fn avoid(&mut self, now: Millis, rejection: &Rejection, request_rate: f64) {
+        let until = now + avoidance_ms(request_rate);
+        match *rejection {
+            Rejection::Plan(plan) => self.set_rejecting(plan..plan + 1, until),
+            Rejection::AllPlans(count) => self.set_rejecting(0..count, until),
+        }
+    }
+}
--- a/src/policy/counter_calls.rs
+++ b/src/policy/counter_calls.rs
@@ -1,40 +1,56 @@
-//! When the shared counter is called, and for how long a request waits for its answer.
+//! The calls to the shared counter: their pace, the wait for their replies, and what a reply says of the
+//! counter's capacity.
 
-use crate::api::{Millis, Outcome};
+use crate::api::{Action, Millis, Outcome};
 use crate::policy::call_limiter::CallLimiter;
-use crate::primitives::adaptive_timeout::{AdaptiveTimeout, TimeoutParameters};
-use crate::state::{Context, CounterReply};
+use crate::policy::counter_wait::CounterWait;
+use crate::policy::shared_quota::key_ttl_ms;
+use crate::state::{counter_key, Context, CounterReply, PendingCharge, PendingCharges};
 
-/// How long requests wait for the counter: small beside the work itself, unless its replies take longer.
-const WAIT: TimeoutParameters = TimeoutParameters {
-    multiple: 3.0,
-    min_share: 0.05,
-    max_share: 0.2,
-    gain: 0.05,
-};
-
-/// Paces the calls to the counter, and bounds the wait for their answers.
-pub(crate) struct CounterCalls {
-    pub(crate) limiter: CallLimiter,
-    pub(crate) wait: AdaptiveTimeout,
+/// Paces the calls to the counter, and keeps those in flight.
+pub(super) struct CounterCalls {
+    pub(super) limiter: CallLimiter,
+    wait: CounterWait,
+    pending: PendingCharges,
 }
 
 impl CounterCalls {
-    pub(crate) fn new(now: Millis) -> Self {
+    pub(super) fn new(now: Millis) -> Self {
         CounterCalls {
             limiter: CallLimiter::new(now),
-            wait: AdaptiveTimeout::new(&WAIT),
+            wait: CounterWait::default(),
+            pending: PendingCharges::default(),
         }
     }
 
-    /// Learns from a reply. Returns whether it shows that the counter has no capacity for all calls.
-    pub(crate) fn record_reply(&mut self, cx: &Context, reply: &CounterReply) -> bool {
-        let objectives = cx
-            .settings
-            .classes
-            .iter()
-            .map(|class| class.latency_objective_ms);
-        let max_wait_ms = self.wait.timeout(objectives.fold(f64::INFINITY, f64::min));
+    /// Longest time that a request with this latency objective waits for a reply, in ms.
+    pub(super) fn max_wait_ms(&self, objective_ms: Millis) -> Millis {
+        self.wait.max_ms(objective_ms)
+    }
+
+    /// Makes a call that the limiter has permitted.
+    pub(super) fn start(&mut self, cx: &mut Context, call: PendingCharge) {
+        let key = counter_key(call.account.customer, call.charge.window);
+        cx.actions.push(Action::AddToCounter {
+            key,
+            amount: call.charge.weighted_units,
+            ttl_ms: key_ttl_ms(&call.charge),
+        });
+        self.pending.push(key, call);
+    }
+
+    /// The call that was replied to, or has failed; none if it isn't known.
+    pub(super) fn end(&mut self, reply: &CounterReply) -> Option<PendingCharge> {
+        self.pending.pop(reply.key)
+    }
+
+    /// Learns from a reply. Returns whether it shows that the counter is short of capacity.
+    pub(super) fn record_reply(&mut self, cx: &Context, reply: &CounterReply) -> bool {
+        let classes = cx.settings.classes.iter();
+        let shortest_objective_ms = classes
+            .map(|class| class.latency_objective_ms)
+            .fold(f64::INFINITY, f64::min);
+        let max_wait_ms = self.wait.max_ms(shortest_objective_ms);
         let valid = reply.valid_total().is_some();
         if valid {
             self.wait.record_reply(reply.elapsed_ms);
@@ -43,8 +59,8 @@
             self.limiter.on_success();
             return false;
         }
-        // An invalid response, or a broken connection, tells nothing of the counter's capacity. One slower
-        // than the wait counts as a failure, as it leaves requests unchecked, too.
+        // An invalid response or a broken connection shows nothing of the counter's capacity. A reply slower
+        // than the wait is a failure, as requests were admitted without it.
         if matches!(
             reply.outcome,
             Outcome::ErrorResponse | Outcome::ConnectionReset
--- /dev/null
+++ b/src/policy/ejection/tests.rs
@@ -0,0 +1,60 @@
+use super::*;
+
+fn after_failures(count: u32) -> Ejection {
+    let mut ejection = Ejection::default();
+    let mut rng = Rng::with_seed(1);
+    for _ in 0..count {
+        ejection.record_failure(0.0, &mut rng);
+    }
+    ejection
+}
+
+/// An endpoint fails requests one after the other. It has to be ejected, but not for a single failure.
+#[test]
+fn the_last_of_several_consecutive_failures_ejects() {
+    assert!(!after_failures(1).is_ejected);
+    assert!(after_failures(1).admits(0.0, false));
+    assert!(after_failures(2).is_ejected);
+}
+
+/// An endpoint stays down. Each probe of it costs a request: probes have to become rare, but not stop.
+#[test]
+fn the_ejection_time_doubles_up_to_a_limit() {
+    let ejection_times_ms = [
+        (2, 500.0),
+        (3, 1000.0),
+        (4, 2000.0),
+        (6, 8000.0),
+        (7, 16_000.0),
+        (8, 16_000.0),
+        (100, 16_000.0),
+    ];
+    for (failures, ejection_ms) in ejection_times_ms {
+        let ejection = after_failures(failures);
+        assert!(
+            !ejection.admits(ejection_ms - 1.0, true),
+            "{failures} failures"
+        );
+        assert!(
+            ejection.admits(ejection_ms * (1.0 + EJECTION_TIME.jitter), true),
+            "{failures} failures"
+        );
+    }
+}
+
+/// The ejection time of an endpoint that is still down is over. Only one request may be lost to find that out.
+#[test]
+fn after_the_ejection_time_only_an_idle_endpoint_is_admitted() {
+    let ejection = after_failures(2);
+    assert!(ejection.is_ejected);
+    assert!(ejection.admits(ejection.until, true));
+    assert!(!ejection.admits(ejection.until, false));
+}
+
+#[test]
+fn a_success_ends_the_ejection() {
+    let mut ejection = after_failures(5);
+    ejection.record_success();
+    assert!(!ejection.is_ejected);
+    assert!(ejection.admits(0.0, false));
+}
--- /dev/null
+++ b/src/policy/endpoint_comparison.rs
@@ -0,0 +1,112 @@
+//! The comparison of endpoints for one attempt: which may be sent it, and what each costs.
+
+use crate::api::{Endpoint, Millis};
+use crate::policy::candidate::{Candidate, DeduplicationScope, Preference};
+use crate::policy::ejection::in_panic_mode;
+use crate::state::{Context, OpenRequest, TrackedEndpoint};
+use fastrand::Rng;
+
+/// Largest random part of a cost, in baseline latencies. Without it, gateways that know equally little of the
+/// endpoints would all choose the same one.
+const COST_JITTER: f64 = 0.05;
+/// Cost of a new connection, in latency objectives times the price of a handshake. Above 1, as a connection
+/// also costs the endpoint work, and a gateway learns more of an endpoint that it uses often.
+const HANDSHAKE_FACTOR: f64 = 3.0;
+
+/// What endpoints are compared by for one attempt.
+pub(super) struct EndpointComparison<'a> {
+    now: Millis,
+    open: &'a OpenRequest,
+    scope: DeduplicationScope,
+    baseline_ms: Millis,
+    handshake_cost_ms: f64,
+}
+
+impl<'a> EndpointComparison<'a> {
+    /// For a request that `first_executor` may have executed already, where latencies have this baseline.
+    pub(super) fn new(
+        cx: &Context,
+        open: &'a OpenRequest,
+        first_executor: Option<&Endpoint>,
+        baseline_ms: Millis,
+    ) -> Self {
+        let class = cx.class(&open.request);
+        EndpointComparison {
+            now: cx.now,
+            open,
+            scope: DeduplicationScope::new(class.idempotency, first_executor),
+            baseline_ms,
+            handshake_cost_ms: HANDSHAKE_FACTOR
+                * cx.settings.prices.handshake
+                * class.latency_objective_ms,
+        }
+    }
+
+    /// The best of these endpoints; none if none of them may be sent the attempt.
+    pub(super) fn best<'e>(
+        &self,
+        endpoints: impl Iterator<Item = &'e TrackedEndpoint> + Clone,
+        rng: &mut Rng,
+    ) -> Option<Candidate> {
+        let ignore_ejections = in_panic_mode(endpoints.clone());
+        let mut best: Option<Candidate> = None;
+        for endpoint in endpoints.filter(|endpoint| endpoint.is_ready()) {
+            let is_warming = endpoint.warm_up.capacity_share(self.now).is_some();
+            if !self.scope.contains(&endpoint.endpoint)
+                || is_warming && !endpoint.warm_up.has_token()
+            {
+                continue;
+            }
+            // A warming endpoint with a token costs nothing: by its latency, or by chance among many
+            // endpoints, it might not be sent the attempts that slow start allots to it.
+            let latency_ms = if is_warming {
+                0.0
+            } else {
+                self.latency_with_jitter(endpoint, rng)
+            };
+            let candidate = self.candidate(endpoint, latency_ms, ignore_ejections);
+            if best.is_none_or(|best| candidate.is_better_than(best)) {
+                best = Some(candidate);
+            }
+        }
+        best
+    }
+
+    fn latency_with_jitter(&self, endpoint: &TrackedEndpoint, rng: &mut Rng) -> Millis {
+        endpoint.expected_latency(self.now, self.baseline_ms)
+            + self.baseline_ms * COST_JITTER * rng.f64()
+    }
+
+    fn candidate(
+        &self,
+        endpoint: &TrackedEndpoint,
+        latency_ms: Millis,
+        ignore_ejections: bool,
+    ) -> Candidate {
+        let id = endpoint.endpoint.id;
+        let is_avoided = self
+            .open
+            .attempts
+            .iter()
+            .any(|attempt| attempt.endpoint == id)
+            || endpoint
+                .health
+                .is_rejecting(self.now, self.open.request.plan as usize)
+            || !(ignore_ejections || endpoint.is_admitted(self.now));
+        let preference = if is_avoided {
+            Preference::LastResort
+        } else {
+            Preference::Preferred
+        };
+        let handshake_ms = if endpoint.has_free_connection(self.now) {
+            0.0
+        } else {
+            self.handshake_cost_ms
+        };
+        Candidate {
+            preference,
+            cost_ms: latency_ms + handshake_ms,
+            endpoint: id,
+        }
+    }
+}
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -1,14 +1,15 @@
-//! What an update of the endpoint list changes, and when a failed poll of it is retried.
+//! How an update of the endpoint list changes the table and the ring of endpoints, and when a failed poll
+//! of the list is retried.
 
 use crate::api::{Endpoint, EndpointState, Millis};
 use crate::policy::{connections::usable_idle_ms, slow_start};
-use crate::primitives::{ramp::WarmUp, ring::RingArc};
-use crate::state::{ConnectionEstimate, Context, EndpointTable, TrackedEndpoint};
+use crate::primitives::ring::RingArc;
+use crate::state::{ConnectionEstimate, Context, EndpointTable, TrackedEndpoint, WarmUp};
 use fastrand::Rng;
 
-/// A failed poll is retried after this time and up to as much again by chance, in ms: a service that comes
-/// back is not polled by all gateways at once.
-const POLL_RETRY_MS: f64 = 500.0;
+/// Shortest time until a failed poll is retried, in ms. A random time of up to as much is added: a service
+/// that has recovered would be polled by all gateways at once otherwise.
+const POLL_RETRY_MS: Millis = 500.0;
 
 /// When a failed poll of the endpoint list is retried.
 #[derive(Default)]
@@ -19,13 +20,13 @@
         self.0 = Some(now + POLL_RETRY_MS * (1.0 + rng.f64()));
     }
 
-    /// Whether a retry is due; it is then taken as made.
+    /// Whether a retry is due. The caller has to make it, as it is due only once.
     pub(crate) fn take_due(&mut self, now: Millis) -> bool {
         self.0.take_if(|at| *at <= now).is_some()
     }
 }
 
-/// Takes in entries of the list.
+/// Updates the table and the ring by entries of the list.
 pub(super) fn update(
     cx: &mut Context,
     table: &mut EndpointTable,
--- a/src/policy/load_balancer.rs
+++ b/src/policy/load_balancer.rs
@@ -1,7 +1,10 @@
-//! The choice of endpoint for an attempt: least expected latency, among two random ones if there are many.
+//! The endpoints as one gateway sees them, and the choice of endpoint for an attempt: the least cost among
+//! all endpoints, or where there are many, among a few random members of the subset (power of two choices).
 
 use crate::api::{AttemptEnd, Class, Endpoint, EndpointId, Millis, Outcome, Settings};
-use crate::policy::candidate::{Candidate, DeduplicationScope, Preference};
+use crate::policy::avoidance::Rejection;
+use crate::policy::candidate::Candidate;
+use crate::policy::endpoint_comparison::EndpointComparison;
 use crate::policy::{connections, endpoints, latency, outlier, slow_start, subset};
 use crate::primitives::mean::{EventRate, RunningMean};
 use crate::primitives::ring::RingArc;
@@ -10,19 +13,15 @@
 };
 use fastrand::Rng;
 
-/// Random part of a cost, in baseline latencies: gateways that know equally little choose differently.
-const COST_JITTER: f64 = 0.05;
-/// Cost of a new connection, in latency objectives times its price. It is above 1 because a connection also
-/// costs the endpoint work, and because a gateway learns more of an endpoint that it uses often.
-const HANDSHAKE_FACTOR: f64 = 3.0;
-/// Available members compared for one attempt: the better of two leaves none idle and overloads none.
+/// Available members compared for one attempt (power of two choices): the better of two random ones evens
+/// out the load, while the best of all would be chosen by all gateways at once.
 const SAMPLE_SIZE: usize = 2;
-/// Random draws for a sample at most: not all members are available.
+/// Most random draws for a sample, as not all members are available.
 const MAX_SAMPLE_DRAWS: usize = 16;
-/// Time over which the rate of first attempts is averaged, in ms.
-const REQUEST_RATE_MEMORY_MS: f64 = 5000.0;
+/// Time constant over which the rate of first attempts is averaged, in ms.
+const REQUEST_RATE_AVERAGING_MS: Millis = 5000.0;
 /// A removed endpoint is forgotten when its last success was this long ago, in ms.
-const FORGET_REMOVED_MS: f64 = 60_000.0;
+const FORGET_REMOVED_MS: Millis = 60_000.0;
 
 /// The endpoints as this gateway sees them.
 pub(crate) struct LoadBalancer {
@@ -33,9 +32,9 @@
     /// Members with a free connection, as of the last tick.
     connected_members: Vec<EndpointId>,
     outliers: outlier::OutlierDetector,
-    /// By class.
+    /// Latency at an idle endpoint of average speed, by class, in ms.
     baselines: Vec<RunningMean>,
-    /// First attempts of requests.
+    /// First attempts of requests, per second.
     request_rate: EventRate,
 }
 
@@ -54,7 +53,7 @@
                 .iter()
                 .map(|class| RunningMean::new(baseline(class)))
                 .collect(),
-            request_rate: EventRate::new(now, REQUEST_RATE_MEMORY_MS),
+            request_rate: EventRate::new(now, REQUEST_RATE_AVERAGING_MS),
         }
     }
 
@@ -92,7 +91,7 @@
         }
     }
 
-    /// Takes in the complete endpoint list, or the entries that changed.
+    /// Updates the endpoints by the complete list, or by the entries that changed.
     pub(crate) fn update_endpoints(
         &mut self,
         cx: &mut Context,
@@ -107,29 +106,39 @@
         subset::resize(&mut self.subset, cx.settings, &self.subset_load);
     }
 
-    /// The best endpoint for the request's next attempt. With many endpoints, members of the subset that are
-    /// to be avoided come after the endpoints outside it.
+    /// The best endpoint for the request's next attempt. With many endpoints, it is the first of these that
+    /// has a candidate: preferred ones in a sample of the subset, preferred ones in all of the subset, any
+    /// endpoint.
     pub(crate) fn choose(&mut self, cx: &mut Context, open: &OpenRequest) -> Option<EndpointId> {
         let mut rng = cx.rng.fork();
         self.refill_warming_members(cx);
-        let choice = Choice::new(cx, open, self);
+        let comparison = self.compare_for(cx, open);
         let mut best = None;
         if subset::is_partial(&self.subset) {
             let sample = self.sample(cx, &mut rng);
-            best = choice
+            best = comparison
                 .best(sample.iter().copied(), &mut rng)
                 .filter(Candidate::is_preferred);
             let members = self.endpoints.select(self.subset.members());
             best = best.or_else(|| {
-                choice
+                comparison
                     .best(members, &mut rng)
                     .filter(Candidate::is_preferred)
             });
         }
-        best.or_else(|| choice.best(self.endpoints.all(), &mut rng))
+        best.or_else(|| comparison.best(self.endpoints.all(), &mut rng))
             .map(|candidate| candidate.endpoint)
     }
 
+    fn compare_for<'a>(&self, cx: &Context, open: &'a OpenRequest) -> EndpointComparison<'a> {
+        let first_executor = open
+            .first_execution
+            .and_then(|first| self.endpoints.get(first.endpoint))
+            .map(|tracked| &tracked.endpoint);
+        let baseline_ms = self.baseline_latency(open.request.class as usize);
+        EndpointComparison::new(cx, open, first_executor, baseline_ms)
+    }
+
     fn refill_warming_members(&mut self, cx: &Context) {
         self.subset();
         let capacity = self
@@ -137,11 +146,10 @@
             .update(cx.now, &self.endpoints, self.subset.members());
         let request_rate = self.request_rate.per_second();
         let rate = slow_start::rate_per_endpoint(&cx.settings.rules, request_rate, capacity);
-        self.warming_members
-            .refill(cx.now, &mut self.endpoints, rate);
+        slow_start::refill(&self.warming_members, cx.now, &mut self.endpoints, rate);
     }
 
-    /// The members that are warming up and may be sent an attempt, and a few random ones.
+    /// The members that are warming up and have a token, and a few random ones that are available.
     fn sample(&self, cx: &Context, rng: &mut Rng) -> Vec<&TrackedEndpoint> {
         let request_rate = self.request_rate.per_second();
         let mut members = self.subset.members();
@@ -191,112 +199,14 @@
         self.outliers.record(cx, end, endpoint);
         endpoint.attempt_ended(cx.now, end.outcome);
         let plan = open.request.plan as usize;
-        let plans = cx.settings.plans.len();
         let baseline = &mut self.baselines[open.request.class as usize];
-        let avoided_until = cx.now + outlier::avoidance_ms(self.request_rate.per_second());
-        match end.outcome {
-            Outcome::Success if end.elapsed_ms.is_finite() => {
-                let idle_ms = latency::at_idle_endpoint(end.elapsed_ms, attempt.endpoint_in_flight);
-                endpoint.record_latency(cx.now, idle_ms, baseline);
-            }
-            Outcome::Rejected => endpoint.health.set_rejecting(plan..plan + 1, avoided_until),
-            Outcome::ConnectFailed => endpoint.health.set_rejecting(0..plans, avoided_until),
-            _ => {}
-        }
-    }
-}
-
-/// What the candidates for one attempt are compared by.
-struct Choice<'a> {
-    now: Millis,
-    open: &'a OpenRequest,
-    scope: DeduplicationScope,
-    baseline_ms: Millis,
-    handshake_cost_ms: f64,
-}
-
-impl<'a> Choice<'a> {
-    fn new(cx: &Context, open: &'a OpenRequest, balancer: &LoadBalancer) -> Self {
-        let class = cx.class(&open.request);
-        let first_executor = open
-            .first_execution
-            .and_then(|first| balancer.endpoints.get(first.endpoint));
-        let scope = DeduplicationScope::new(class.idempotency, first_executor.map(|e| &e.endpoint));
-        let baseline_ms = balancer.baseline_latency(open.request.class as usize);
-        let handshake_cost_ms =
-            HANDSHAKE_FACTOR * cx.settings.prices.handshake * class.latency_objective_ms;
-        Choice {
-            now: cx.now,
-            open,
-            scope,
-            baseline_ms,
-            handshake_cost_ms,
-        }
-    }
-
-    fn best<'e>(
-        &self,
-        endpoints: impl Iterator<Item = &'e TrackedEndpoint> + Clone,
-        rng: &mut Rng,
-    ) -> Option<Candidate> {
-        let ignore_ejections = outlier::in_panic_mode(endpoints.clone());
-        let mut best: Option<Candidate> = None;
-        for endpoint in endpoints.filter(|endpoint| endpoint.is_ready()) {
-            let is_warming = endpoint.warm_up.capacity_share(self.now).is_some();
-            if !self.scope.contains(&endpoint.endpoint)
-                || is_warming && !endpoint.warm_up.has_token()
-            {
-                continue;
-            }
-            // A token is meant for its endpoint: by cost, or by chance among many, it might not be used.
-            let latency_ms = if is_warming {
-                0.0
-            } else {
-                self.latency_with_jitter(endpoint, rng)
-            };
-            let candidate = self.candidate(endpoint, latency_ms, ignore_ejections);
-            if best.is_none_or(|best| candidate.is_better_than(best)) {
-                best = Some(candidate);
-            }
+        let request_rate = self.request_rate.per_second();
+        if end.outcome == Outcome::Success && end.elapsed_ms.is_finite() {
+            let idle_ms = latency::at_idle_endpoint(end.elapsed_ms, attempt.endpoint_in_flight);
+            endpoint.record_latency(cx.now, idle_ms, baseline);
         }
-        best
-    }
-
-    fn latency_with_jitter(&self, endpoint: &TrackedEndpoint, rng: &mut Rng) -> Millis {
-        endpoint.expected_latency(self.now, self.baseline_ms)
-            + self.baseline_ms * COST_JITTER * rng.f64()
-    }
-
-    fn candidate(
-        &self,
-        endpoint: &TrackedEndpoint,
-        latency_ms: Millis,
-        ignore_ejections: bool,
-    ) -> Candidate {
-        let id = endpoint.endpoint.id;
-        let is_avoided = self
-            .open
-            .attempts
-            .iter()
-            .any(|attempt| attempt.endpoint == id)
-            || endpoint
-                .health
-                .is_rejecting(self.now, self.open.request.plan as usize)
-            || !(ignore_ejections || endpoint.is_admitted(self.now));
-        let preference = if is_avoided {
-            Preference::LastResort
-        } else {
-            Preference::Preferred
-        };
-        let handshake_ms = if endpoint.has_free_connection(self.now) {
-            0.0
-        } else {
-            self.handshake_cost_ms
-        };
-        Candidate {
-            preference,
-            cost_ms: latency_ms + handshake_ms,
-            endpoint: id,
+        if let Some(rejection) = Rejection::new(end.outcome, plan, cx.settings.plans.len()) {
+            endpoint.health.avoid(cx.now, &rejection, request_rate);
         }
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -4,10 +4,16 @@
 //! [`forwarding`] sends it to the endpoint that [`load_balancer`] chooses, retries and ends it.
 
 mod admission;
+mod avoidance;
 mod call_limiter;
 mod candidate;
+mod ceiling;
 mod connections;
 mod counter_calls;
+mod counter_wait;
+mod customer_levels;
+mod ejection;
+mod endpoint_comparison;
 pub(crate) mod endpoints;
 pub(crate) mod forwarding;
 mod latency;
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -1,37 +1,26 @@
-//! Outlier detection: endpoints that keep failing are ejected, endpoints that reject requests are avoided.
+//! Outlier detection: which outcomes of attempts are failures of their endpoint. What follows from failures
+//! is decided by `ejection`.
 
 use crate::api::{AttemptEnd, Millis, Outcome};
-use crate::primitives::ejection::EjectionParameters;
 use crate::state::{Context, EndpointHealth, TrackedEndpoint};
 
-/// The first ejection time, in ms.
-const BASE_EJECTION_MS: f64 = 500.0;
-/// One failure alone may be chance; the longest ejection, 16 s, lets tests cost next to nothing.
-const EJECTION: EjectionParameters = EjectionParameters {
-    failures: 2,
-    base_ms: BASE_EJECTION_MS,
-    max_doublings: 5,
-    jitter: 0.2,
-};
-/// Weight of one response in the rate of invalid responses of its endpoint, and of the fleet.
-const INVALID_RATE_WEIGHT: f64 = 0.2;
-const FLEET_INVALID_RATE_WEIGHT: f64 = 0.02;
-/// An invalid response is a failure if its endpoint's rate is above the fleet's by this: any may give some.
+/// Weight of one response in the rate of invalid responses of its endpoint.
+const ENDPOINT_INVALID_RATE_GAIN: f64 = 0.2;
+/// Weight of one response in the rate of invalid responses of the fleet.
+const FLEET_INVALID_RATE_GAIN: f64 = 0.02;
+/// An invalid response is a failure if its endpoint's rate of them is above the fleet's by this share of all
+/// responses: a request may be invalid at any endpoint.
 const INVALID_RATE_MARGIN: f64 = 0.3;
-/// An endpoint that has rejected a request is avoided for this time at least, in ms ...
-const MIN_AVOIDANCE_MS: f64 = 200.0;
-/// ... and for about this many requests, or a quiet gateway would ask it again each time.
-const MIN_AVOIDANCE_REQUESTS: f64 = 20.0;
 
-/// Tells faulty endpoints from a fleet that fails as a whole.
+/// Distinguishes faulty endpoints from a fleet that fails as one.
 #[derive(Default)]
 pub(super) struct OutlierDetector {
-    /// Share of all responses that are errors or break off, averaged.
+    /// Share of all responses that are errors or break off (EWMA).
     fleet_invalid_rate: f64,
 }
 
 impl OutlierDetector {
-    /// To be called before the endpoint's `last_response_at` takes in this outcome.
+    /// Has to be called before the endpoint's `last_response_at` is updated by the same outcome.
     pub(super) fn record(
         &mut self,
         cx: &mut Context,
@@ -42,10 +31,7 @@
         if end.outcome == Outcome::Success {
             endpoint.health.ejection.record_success();
         } else if self.is_failure(cx.now, end, endpoint) {
-            endpoint
-                .health
-                .ejection
-                .record_failure(cx.now, &EJECTION, cx.rng);
+            endpoint.health.ejection.record_failure(cx.now, cx.rng);
         }
     }
 
@@ -55,8 +41,8 @@
             Outcome::ErrorResponse | Outcome::ConnectionReset => 1.0,
             _ => return,
         };
-        health.invalid_rate += (invalid - health.invalid_rate) * INVALID_RATE_WEIGHT;
-        self.fleet_invalid_rate += (invalid - self.fleet_invalid_rate) * FLEET_INVALID_RATE_WEIGHT;
+        health.invalid_rate += (invalid - health.invalid_rate) * ENDPOINT_INVALID_RATE_GAIN;
+        self.fleet_invalid_rate += (invalid - self.fleet_invalid_rate) * FLEET_INVALID_RATE_GAIN;
     }
 
     fn is_failure(&self, now: Millis, end: &AttemptEnd, endpoint: &TrackedEndpoint) -> bool {
@@ -72,19 +58,3 @@
         }
     }
 }
-
-/// How long an endpoint is avoided after a rejection, in ms.
-pub(super) fn avoidance_ms(request_rate: f64) -> Millis {
-    MIN_AVOIDANCE_MS.max(MIN_AVOIDANCE_REQUESTS * 1000.0 / request_rate.max(1.0))
-}
-
-/// Whether most are ejected, so that ejections shall be ignored: a broken network path looks the same.
-pub(super) fn in_panic_mode<'a>(endpoints: impl Iterator<Item = &'a TrackedEndpoint>) -> bool {
-    let mut ready = 0;
-    let mut ejected = 0;
-    for endpoint in endpoints.filter(|endpoint| endpoint.is_ready()) {
-        ready += 1;
-        ejected += u32::from(endpoint.health.ejection.is_ejected());
-    }
-    ejected * 2 > ready
-}
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -1,27 +1,22 @@
 //! The customers' quotas, which all gateways enforce together by means of a shared counter.
 
-use crate::api::{Action, Millis, RequestId, Settings};
+use crate::api::{Millis, RequestId, Settings};
 use crate::gossip::UsageExchange;
 use crate::policy::call_limiter::CallPriority;
+use crate::policy::ceiling::CeilingShare;
 use crate::policy::counter_calls::CounterCalls;
-use crate::policy::shared_quota::{
-    key_ttl_ms, refill_time_s, time_constant_s, PeerUsage, QuotaLimits,
-};
+use crate::policy::customer_levels::idle_timeout_ms;
+use crate::policy::shared_quota::{PeerUsage, QuotaLimits};
 use crate::primitives::mean::ExponentialMean;
-use crate::primitives::token_bucket::TokenBucket;
-use crate::state::{counter_key, CounterCall, CounterReply, OpenRequest, PendingCounterCalls};
-use crate::state::{Account, Context, Customer, Customers, SharedQuota};
+use crate::state::{Account, ChargeResult, Context, CounterReply, PendingCharge};
+use crate::state::{Customer, Customers, OpenRequest, SharedQuota};
 
 /// Least time between two calls that only ask for a customer's total, in ms.
-const MIN_TOTAL_QUERY_INTERVAL_MS: f64 = 100.0;
-/// A customer is forgotten once it was idle for this many time constants in which its usage decays: its quota
-/// must be full again.
-const IDLE_TIME_CONSTANTS: f64 = 3.0;
-/// Shortest idle time after which a customer is forgotten, in ms.
-const MIN_IDLE_MS: f64 = 1000.0;
-/// Retry-After of a request over its quota: half the time in which the missing units are refilled.
+const MIN_TOTAL_QUERY_INTERVAL_MS: Millis = 100.0;
+/// Retry-After of a request over its quota, in ms for each second in which the missing units are refilled:
+/// half of that time.
 const RETRY_AFTER_MS_PER_REFILL_SECOND: f64 = 500.0;
-/// Weight of one request in the mean units: about the last hundred count.
+/// Weight of one request in the mean units: about the last 100 requests count.
 const MEAN_UNITS_GAIN: f64 = 0.01;
 /// The mean units before any request.
 const INITIAL_MEAN_UNITS: f64 = 1.0;
@@ -34,7 +29,7 @@
     pub(crate) customers: Customers,
     counter: CounterCalls,
     pub(crate) gossip: UsageExchange,
-    pending_calls: PendingCounterCalls,
+    /// Units of one request, averaged over all customers.
     mean_units: ExponentialMean,
 }
 
@@ -45,7 +40,6 @@
             customers: Customers::default(),
             counter: CounterCalls::new(now),
             gossip: UsageExchange::default(),
-            pending_calls: PendingCounterCalls::default(),
             mean_units: ExponentialMean::new(INITIAL_MEAN_UNITS, MEAN_UNITS_GAIN),
         }
     }
@@ -80,35 +74,27 @@
         let mean_units = self.mean_units.value().max(MIN_MEAN_UNITS);
         let customer = self.customers.get(open.request.customer);
         customer.map_or(0.0, |customer| {
-            concurrent_attempts(customer, mean_units, baseline_ms)
+            customer.concurrent_attempts(mean_units, baseline_ms)
         })
     }
 
-    /// Refills what the customer may use, up to now; a customer that is not known yet is added. It comes
-    /// through `gateway_set_size` gateways.
+    /// Refills what the customer may use, up to now; a customer that is not known yet is added. Its requests
+    /// come through `gateway_set_size` gateways.
     fn refresh(&mut self, cx: &Context, account: Account, gateway_set_size: f64) -> &mut Customer {
         let plan = cx.plan(account);
-        let ceiling_share =
-            1.0 / gateway_set_size.clamp(1.0, f64::from(cx.settings.gateway_count.max(1)));
-        let ceiling_capacity = plan.ceiling_burst * ceiling_share;
-        let uptime_s = (cx.now - self.started_at).max(0.0) / 1000.0;
+        let ceiling_share = CeilingShare::new(cx.settings, plan, gateway_set_size);
+        let uptime_ms = cx.now - self.started_at;
         let customer = self.customers.get_or_insert_with(account.customer, || {
-            // A restarted gateway can't know what it sent before: its share of a ceiling starts empty.
-            let ceiling = (uptime_s * plan.ceiling_rate * ceiling_share).min(ceiling_capacity);
             let quota = SharedQuota::new(account.customer, cx.now, plan.burst);
-            Customer::new(cx.now, quota, TokenBucket::new(ceiling))
+            Customer::new(cx.now, quota, ceiling_share.initial_bucket(uptime_ms))
         });
-        let exhausted = self.counter.limiter.is_exhausted();
-        let peer_usage = if exhausted {
+        let peer_usage = if self.counter.limiter.is_exhausted() {
             PeerUsage::Extrapolate
         } else {
             PeerUsage::AwaitTotal
         };
-        let elapsed_s = refill(customer, cx.now, quota_limits(cx, account), peer_usage);
-        customer.ceiling.refill(
-            elapsed_s * plan.ceiling_rate * ceiling_share,
-            ceiling_capacity,
-        );
+        let elapsed_s = customer.refill(cx.now, quota_limits(cx, account), peer_usage);
+        ceiling_share.refill(&mut customer.ceiling, elapsed_s);
         customer.last_seen_at = cx.now;
         customer
     }
@@ -169,7 +155,7 @@
 
     /// Longest time that the request waits for the counter, in ms.
     pub(crate) fn max_wait(&self, open: &OpenRequest) -> Millis {
-        self.counter.wait.timeout(open.objective_ms)
+        self.counter.max_wait_ms(open.objective_ms)
     }
 
     /// Asks the counter for the customer's total now and then, while requests are rejected without a charge.
@@ -204,57 +190,50 @@
             .charge(cx.now, units, quota_limits(cx, account));
         customer.pending_calls += 1;
         customer.last_call_at = cx.now;
-        let key = counter_key(account.customer, charge.window);
-        cx.actions.push(Action::AddToCounter {
-            key,
-            amount: charge.weighted_units,
-            ttl_ms: key_ttl_ms(&charge),
-        });
-        self.pending_calls.push(
-            key,
-            CounterCall {
-                account,
-                request: open.request.id,
-                charge,
-            },
-        );
+        let call = PendingCharge {
+            account,
+            request: open.request.id,
+            charge,
+        };
+        self.counter.start(cx, call);
     }
 
-    /// The counter has answered a call, or the call has failed. Returns the request that it was made for.
+    /// The counter has replied to a call, or the call has failed. Returns the request that it was made for.
     pub(crate) fn counter_replied(
         &mut self,
         cx: &Context,
         reply: &CounterReply,
     ) -> Option<RequestId> {
-        let call = self.pending_calls.pop(reply.key)?;
+        let call = self.counter.end(reply)?;
         if self.counter.record_reply(cx, reply) {
             self.gossip.record_shortage(cx.now);
         }
-        self.apply_reply(cx, &call, reply);
+        self.apply_result(cx, &call, reply.charge_result());
         Some(call.request)
     }
 
-    /// Rebuilds the customer's quota from the reply to a call.
-    fn apply_reply(&mut self, cx: &Context, call: &CounterCall, reply: &CounterReply) {
+    fn apply_result(&mut self, cx: &Context, call: &PendingCharge, result: ChargeResult) {
         let Some(customer) = self.customers.get_mut(call.account.customer) else {
             return;
         };
         let limits = quota_limits(cx, call.account);
         customer.pending_calls = customer.pending_calls.saturating_sub(1);
-        if let Some(total) = reply.valid_total() {
-            refill(customer, cx.now, limits, PeerUsage::AwaitTotal);
-            let applied = customer
-                .quota
-                .apply_total(cx.now, call.charge, total, limits);
-            // All usage is on the count unless gateways exchange it.
-            if applied && !self.gossip.is_active(cx) {
-                customer.gossip_level = customer.quota.level;
+        match result {
+            ChargeResult::Counted { total } => {
+                customer.refill(cx.now, limits, PeerUsage::AwaitTotal);
+                let quota = &mut customer.quota;
+                let applied = quota.apply_total(cx.now, call.charge, total, limits);
+                // While gateways exchange usage, what they could not charge is missing from the count.
+                if applied && !self.gossip.is_active(cx) {
+                    customer.gossip_level = customer.quota.level;
+                }
             }
-        } else if reply.outcome.never_executed() {
-            // A call that timed out may have been counted, and is not repeated.
-            customer
-                .quota
-                .settle_later(cx.now, call.charge.units, limits);
+            ChargeResult::NotCounted => {
+                let quota = &mut customer.quota;
+                quota.settle_later(cx.now, call.charge.units, limits);
+            }
+            // Charged again, the units could count twice and the customer lose quota that it hasn't used.
+            ChargeResult::MayHaveCounted => {}
         }
     }
 
@@ -270,38 +249,18 @@
             };
             // The number of its gateways is unknown: the least share of a ceiling, as nothing is sent here.
             let customer = self.refresh(cx, account, f64::INFINITY);
-            if customer.gossip_level >= usage.units {
-                customer.gossip_level = (customer.gossip_level - usage.units).min(plan.burst);
-            }
+            customer.record_peer_usage(usage.units, plan.burst);
         }
     }
 
     /// Forgets the customers whose quotas must be full again.
     pub(crate) fn forget_idle(&mut self, now: Millis, settings: &Settings) {
-        let idle_ms = settings.plans.iter().map(|plan| {
-            let quota_full_ms = time_constant_s(plan) * IDLE_TIME_CONSTANTS * 1000.0;
-            quota_full_ms.max(refill_time_s(plan.ceiling_burst, plan.ceiling_rate) * 1000.0)
-        });
-        let longest_ms = idle_ms.fold(MIN_IDLE_MS, f64::max);
+        let idle_timeout_ms = idle_timeout_ms(settings);
         self.customers
-            .forget_idle(|last_seen_at| now - last_seen_at >= longest_ms);
+            .forget_idle(|last_seen_at| now - last_seen_at >= idle_timeout_ms);
     }
 }
 
-/// Refills the levels of the quota up to now and returns the time since they were last refilled, in s.
-fn refill(customer: &mut Customer, now: Millis, limits: QuotaLimits, peer_usage: PeerUsage) -> f64 {
-    let elapsed_s = customer.quota.refill(now, limits, peer_usage);
-    customer.gossip_level = (customer.gossip_level + elapsed_s * limits.rate).min(limits.burst);
-    elapsed_s
-}
-
-/// Attempts in flight at all gateways. Those of this one are counted; those of its peers are estimated by
-/// Little's law from their rate of usage, the mean units of a request and the duration of an attempt.
-fn concurrent_attempts(customer: &Customer, mean_units: f64, duration_ms: Millis) -> f64 {
-    let at_peers = customer.quota.peer_rate / mean_units * duration_ms / 1000.0;
-    f64::from(customer.in_flight + customer.pending_calls) + at_peers.round()
-}
-
 fn quota_limits(cx: &Context, account: Account) -> QuotaLimits {
     QuotaLimits::new(cx.settings, cx.plan(account))
 }
--- a/src/policy/shared_quota.rs
+++ b/src/policy/shared_quota.rs
@@ -10,7 +10,7 @@
 //!   by a total below what this gateway added itself, and keeps the level.
 //! - Extrapolation: while calls to the counter are few, peers are taken to go on as before for a while.
 //! - Window change: what peers added at the end of a window is never returned to this gateway. They are
-//!   taken to have gone on as before for a moment.
+//!   taken to have continued as before for a moment.
 
 use crate::api::{Millis, Plan, Settings};
 use crate::primitives::forward_decay::ForwardDecay;
@@ -165,7 +165,7 @@
     }
 
     /// Starts to count in a new window. No total will show the usage at the peers after the last total of the
-    /// old one: they are taken to have gone on as before, for `PEER_RATE_AVERAGING_MS` at most.
+    /// old one: they are taken to have continued as before, for `PEER_RATE_AVERAGING_MS` at most.
     fn enter_window(&mut self, window: &Window, limits: QuotaLimits) {
         let unseen_ms = window.start - self.last_total_at;
         if let Some(last_usage) = self.last_usage {
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,13 +1,20 @@
-//! Slow start: an endpoint that has just started is sent no more than it bears while it is warming up.
+//! Slow start: while an endpoint that has just started is warming up, a token bucket of its own permits no
+//! more attempts than it has capacity for.
 
 use crate::api::{Endpoint, Millis, Rules};
 use crate::primitives::ramp::LinearRamp;
+use crate::state::{EndpointTable, WarmUp, WarmingMembers};
 
 /// Least share of its capacity that an endpoint is taken to start with.
 const MIN_CAPACITY_SHARE: f64 = 0.05;
+/// Most tokens of one endpoint. With more, attempts could come in bursts that it has no capacity for yet.
+const MAX_TOKENS: f64 = 1.0;
+/// Highest rate of attempts to an endpoint, as a share of the multiple of the usual rate that overloads it.
+/// Gateways differ in load, and this leaves room for those that send more than the average.
+const MAX_OVERLOAD_SHARE: f64 = 0.5;
 
-/// The warm-up of an endpoint that started recently, as the list says, or that is back after its removal. A
-/// start that lies ahead, as the clocks of two machines may differ, was now at the latest.
+/// The warm-up of an endpoint that started recently, by the endpoint list, or that is back after its removal.
+/// The clocks of two machines may differ: a start in the future counts as now.
 pub(super) fn ramp(
     now: Millis,
     rules: &Rules,
@@ -26,10 +33,35 @@
     })
 }
 
-/// Rate of attempts to an endpoint of full capacity, if all that the gateway uses together have `capacity`.
-/// Half the multiple that overloads is the most: gateways differ in load, and shall stay below it together.
+/// Rate of attempts to a warm endpoint, in attempts per second: an equal share of `request_rate` by capacity,
+/// where all endpoints that the gateway uses have the capacity of `capacity` warm ones.
 pub(super) fn rate_per_endpoint(rules: &Rules, request_rate: f64, capacity: f64) -> f64 {
-    request_rate / capacity.max(1.0) * (rules.overload_multiple / 2.0).min(1.0)
+    request_rate / capacity.max(1.0) * (rules.overload_multiple * MAX_OVERLOAD_SHARE).min(1.0)
+}
+
+/// Refills the tokens of the members that are warming up. `warm_rate` is that of a warm endpoint, in attempts
+/// per second.
+pub(super) fn refill(
+    warming: &WarmingMembers,
+    now: Millis,
+    endpoints: &mut EndpointTable,
+    warm_rate: f64,
+) {
+    for id in &warming.ids {
+        if let Some(endpoint) = endpoints.get_mut(*id) {
+            endpoint.warm_up.refill(now, warm_rate);
+        }
+    }
+}
+
+impl WarmUp {
+    /// Refills the tokens up to now, at the endpoint's share of the rate of a warm one.
+    fn refill(&mut self, now: Millis, warm_rate: f64) {
+        let elapsed_s = (now - self.refilled_at).max(0.0) / 1000.0;
+        let refill = elapsed_s * warm_rate * self.capacity_share(now).unwrap_or(1.0);
+        self.tokens.refill(refill, MAX_TOKENS);
+        self.refilled_at = now;
+    }
 }
 
 #[cfg(test)]
--- a/src/policy/slow_start/tests.rs
+++ b/src/policy/slow_start/tests.rs
@@ -1,7 +1,5 @@
-//! Slow start where the clocks of this machine and of the endpoint's differ.
-
-use super::ramp;
-use crate::api::{Endpoint, EndpointState, Rules};
+use super::*;
+use crate::api::EndpointState;
 
 const NOW: f64 = 1_700_000_000_000.0;
 const HOUR_MS: f64 = 3_600_000.0;
@@ -28,10 +26,11 @@
     }
 }
 
-/// An endpoint can't have started later than it was heard of: one whose start lies ahead is cold, for no longer than
-/// any other.
+/// The clock of an endpoint's machine is ahead of this one's, so that the endpoint seems to start in the future. It
+/// would stay in slow start for as long as the clocks differ, and get hardly any requests. It has to warm up from now
+/// on, for no longer than any other.
 #[test]
-fn a_start_that_lies_ahead_is_taken_for_now() {
+fn a_start_in_the_future_counts_as_now() {
     for ahead_ms in [1.0, 5000.0, HOUR_MS] {
         let ramp = ramp(NOW, &rules(), &entry(NOW + ahead_ms), false).expect("it is cold");
         assert_eq!(
@@ -48,3 +47,21 @@
     );
     assert!(ramp(NOW, &rules(), &entry(NOW - 15_000.0), false).is_none());
 }
+
+#[test]
+fn tokens_are_refilled_at_the_share_of_the_warm_rate_up_to_one() {
+    let ramp = LinearRamp {
+        start: 1000.0,
+        duration_ms: 100.0,
+        initial_share: 0.2,
+    };
+    let mut warm_up = WarmUp::new(Some(ramp), 0.0, 1000.0);
+    warm_up.refill(1050.0, 10.0);
+    // 50 ms at 10 a second and a share of 0.6.
+    assert!(!warm_up.has_token());
+    warm_up.refill(2050.0, 0.7);
+    assert!(warm_up.has_token(), "0.3 + 0.7");
+    warm_up.refill(9000.0, 100.0);
+    warm_up.take_token();
+    assert!(!warm_up.has_token(), "only one token is held");
+}
--- a/src/primitives/mod.rs
+++ b/src/primitives/mod.rs
@@ -1,8 +1,8 @@
-//! General building blocks that know nothing of settings, customers or endpoints.
+//! Published algorithms that know nothing of settings, customers or endpoints. Their parameters and the reasons of
+//! these are in `policy`.
 
-pub(crate) mod adaptive_timeout;
+pub(crate) mod backoff;
 pub(crate) mod decay;
-pub(crate) mod ejection;
 pub(crate) mod forward_decay;
 pub(crate) mod load_estimate;
 pub(crate) mod mean;
--- a/src/state/counter_call.rs
+++ b/src/state/counter_call.rs
@@ -1,6 +1,6 @@
-//! Calls to the shared counter.
+//! Charges at the shared counter, and the replies to them.
 
-use crate::api::{CustomerId, Outcome, Request, RequestId};
+use crate::api::{CustomerId, Millis, Outcome, Request, RequestId};
 use crate::state::Charge;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -22,51 +22,71 @@
     }
 }
 
-/// A call to the counter that has not been answered yet.
-pub(crate) struct CounterCall {
+/// A charge whose call to the counter awaits its reply.
+pub(crate) struct PendingCharge {
     pub(crate) account: Account,
     /// The request that the call was made for.
     pub(crate) request: RequestId,
     pub(crate) charge: Charge,
 }
 
-/// The answer to a call, or its failure.
+/// The reply to a call, or its failure.
 #[derive(Clone, Copy)]
 pub(crate) struct CounterReply {
     pub(crate) key: u64,
     pub(crate) outcome: Outcome,
+    /// The count after the call, in weighted units; meaningful only after a success.
     pub(crate) total: f64,
-    pub(crate) elapsed_ms: f64,
+    pub(crate) elapsed_ms: Millis,
+}
+
+/// What a reply says of the charge that the call was made for.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum ChargeResult {
+    /// The charge is on the count, whose total is now this, in weighted units.
+    Counted { total: f64 },
+    /// The counter can't have counted it.
+    NotCounted,
+    /// The call timed out or broke off, or the response was invalid.
+    MayHaveCounted,
 }
 
 impl CounterReply {
+    pub(crate) fn charge_result(&self) -> ChargeResult {
+        match self.valid_total() {
+            Some(total) => ChargeResult::Counted { total },
+            None if self.outcome.never_executed() => ChargeResult::NotCounted,
+            None => ChargeResult::MayHaveCounted,
+        }
+    }
+
     /// The total after the call, if the counter returned one.
     pub(crate) fn valid_total(&self) -> Option<f64> {
         (self.outcome == Outcome::Success && self.total.is_finite()).then_some(self.total)
     }
 }
 
-/// The calls in flight, by key. Calls with the same key are answered in order.
+/// The charges whose calls are in flight, by key. Calls with the same key are replied to in order.
 #[derive(Default)]
-pub(crate) struct PendingCounterCalls(BTreeMap<u64, VecDeque<CounterCall>>);
+pub(crate) struct PendingCharges(BTreeMap<u64, VecDeque<PendingCharge>>);
 
-impl PendingCounterCalls {
-    pub(crate) fn push(&mut self, key: u64, call: CounterCall) {
-        self.0.entry(key).or_default().push_back(call);
+impl PendingCharges {
+    pub(crate) fn push(&mut self, key: u64, pending: PendingCharge) {
+        self.0.entry(key).or_default().push_back(pending);
     }
 
-    /// Takes out the oldest call with this key.
-    pub(crate) fn pop(&mut self, key: u64) -> Option<CounterCall> {
-        let calls = self.0.get_mut(&key)?;
-        let call = calls.pop_front();
-        if calls.is_empty() {
+    /// Removes the oldest charge with this key.
+    pub(crate) fn pop(&mut self, key: u64) -> Option<PendingCharge> {
+        let queue = self.0.get_mut(&key)?;
+        let oldest = queue.pop_front();
+        if queue.is_empty() {
             self.0.remove(&key);
         }
-        call
+        oldest
     }
 }
 
-/// Bits of a counter key that tell a customer's windows apart; the rest is the customer's number.
+/// Bits of a counter key that hold the number of the customer's window; the others hold the customer's number.
 const WINDOW_BITS: u32 = 30;
 
 /// The key under which the shared counter holds a customer's usage in one window.
--- /dev/null
+++ b/src/state/ejection.rs
@@ -0,0 +1,19 @@
+//! The failures of one endpoint, and whether it is ejected for them.
+
+use crate::api::Millis;
+
+/// What `policy::ejection` remembers of an endpoint.
+#[derive(Default)]
+pub(crate) struct Ejection {
+    pub(crate) consecutive_failures: u32,
+    /// It stays ejected until it succeeds, also after the ejection time.
+    pub(crate) is_ejected: bool,
+    /// End of the ejection time.
+    pub(crate) until: Millis,
+}
+
+impl Ejection {
+    pub(crate) fn record_success(&mut self) {
+        *self = Ejection::default();
+    }
+}
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -1,11 +1,9 @@
-//! What the gateway knows of one endpoint.
+//! The record of one endpoint.
 
 use crate::api::{Endpoint, EndpointState, Millis, Outcome};
 use crate::primitives::decay::DecayingRatio;
-use crate::primitives::ejection::Ejection;
-use crate::primitives::ramp::WarmUp;
 use crate::primitives::ring::Node;
-use crate::state::ConnectionEstimate;
+use crate::state::{ConnectionEstimate, Ejection, WarmUp};
 use std::ops::Range;
 
 /// One endpoint as this gateway sees it.
@@ -15,9 +13,9 @@
     pub(crate) last_update: u64,
     /// Attempts of this gateway in flight.
     pub(crate) in_flight: u32,
-    /// The last response, or if later, the start of an attempt that found no other in flight.
+    /// The last response, or the start of an attempt while no other was in flight, if that was later.
     pub(crate) last_response_at: Millis,
-    /// Its latency compared to the fleet's.
+    /// Its latency as a ratio to the fleet's.
     pub(crate) relative_latency: DecayingRatio,
     pub(crate) connections: ConnectionEstimate,
     pub(crate) warm_up: WarmUp,
@@ -48,7 +46,7 @@
         self.endpoint.state == EndpointState::Ready
     }
 
-    /// Its place among the ready endpoints.
+    /// Its node on the ring of ready endpoints.
     pub(crate) fn ring_node(&self) -> Option<Node> {
         let Endpoint {
             id,
@@ -63,17 +61,7 @@
         self.connections.has_free(now, self.in_flight)
     }
 
-    /// Whether an attempt may be sent as far as ejection goes.
-    pub(crate) fn is_admitted(&self, now: Millis) -> bool {
-        self.health.ejection.admits(now, self.in_flight == 0)
-    }
-
-    /// Whether it takes attempts of any plan now.
-    pub(crate) fn is_available(&self, now: Millis) -> bool {
-        self.is_ready() && self.is_admitted(now) && !self.health.is_rejecting_any(now)
-    }
-
-    /// It has started anew: what was learned of it no longer holds.
+    /// It has restarted: what was known of its health and latency no longer holds.
     pub(crate) fn restart(&mut self, warm_up: WarmUp) {
         self.warm_up = warm_up;
         self.health = EndpointHealth::default();
@@ -98,13 +86,13 @@
     }
 }
 
-/// What an endpoint's outcomes say about its health.
+/// The health of an endpoint by the outcomes of its attempts.
 #[derive(Default)]
 pub(crate) struct EndpointHealth {
     pub(crate) ejection: Ejection,
-    /// Share of its responses that are errors or break off, averaged.
+    /// Share of its responses that are errors or break off (EWMA).
     pub(crate) invalid_rate: f64,
-    /// By plan: it is likely to reject requests until then. Plans beyond the end have had no rejection.
+    /// By plan: until when it is likely to reject requests. Plans beyond the end have had no rejection.
     rejecting_until: Vec<Millis>,
 }
 
@@ -129,6 +117,6 @@
 
     /// Whether it is neither ejected nor rejecting.
     pub(crate) fn is_healthy(&self, now: Millis) -> bool {
-        !self.ejection.is_ejected() && !self.is_rejecting_any(now)
+        !self.ejection.is_ejected && !self.is_rejecting_any(now)
     }
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,28 +1,32 @@
-//! What the gateway remembers: plain records with their constructors, and the tables that hold them. Nothing here
-//! decides about a request.
+//! The state of the gateway: plain records with their constructors, and the tables that hold them. The rules that
+//! change them are in `policy`.
 
 mod connections;
 mod context;
 mod counter_call;
 mod customer;
+mod ejection;
 mod endpoint;
 mod endpoint_table;
 mod request;
 mod shared_quota;
 mod subset_load;
 mod timer;
+mod warm_up;
 mod warming_members;
 
 pub(crate) use connections::ConnectionEstimate;
 pub(crate) use context::Context;
 pub(crate) use counter_call::{
-    counter_key, Account, CounterCall, CounterReply, PendingCounterCalls,
+    counter_key, Account, ChargeResult, CounterReply, PendingCharge, PendingCharges,
 };
 pub(crate) use customer::{Customer, Customers};
+pub(crate) use ejection::Ejection;
 pub(crate) use endpoint::{EndpointHealth, TrackedEndpoint};
 pub(crate) use endpoint_table::EndpointTable;
 pub(crate) use request::{Attempt, OpenRequest, OpenRequests};
 pub(crate) use shared_quota::{Charge, SharedQuota};
 pub(crate) use subset_load::SubsetLoad;
 pub(crate) use timer::Timer;
+pub(crate) use warm_up::WarmUp;
 pub(crate) use warming_members::WarmingMembers;
--- a/src/state/warming_members.rs
+++ b/src/state/warming_members.rs
@@ -3,7 +3,7 @@
 use crate::api::{EndpointId, Millis};
 use crate::state::EndpointTable;
 
-/// Their numbers, found anew only when members have changed.
+/// Their ids, found again only when members have changed.
 #[derive(Default)]
 pub(crate) struct WarmingMembers {
     /// Sorted by number.
@@ -13,8 +13,8 @@
 }
 
 impl WarmingMembers {
-    /// Adds members that have started, if there may be any, and drops those that are warm by now. Returns the capacity
-    /// of all members, in warm endpoints.
+    /// Adds members that have started since the last update, and removes those that are warm by now. Returns the
+    /// capacity of all members, as a number of warm endpoints.
     pub(crate) fn update(
         &mut self,
         now: Millis,
@@ -38,13 +38,4 @@
         let missing_capacity: f64 = shares.map(|share| 1.0 - share).sum();
         members.len() as f64 - missing_capacity
     }
-
-    /// Refills their tokens, at a rate in tokens a second for a warm endpoint.
-    pub(crate) fn refill(&self, now: Millis, endpoints: &mut EndpointTable, warm_rate: f64) {
-        for id in &self.ids {
-            if let Some(endpoint) = endpoints.get_mut(*id) {
-                endpoint.warm_up.refill(now, warm_rate);
-            }
-        }
-    }
 }
