--- a/src/gossip/exchange.rs
+++ b/src/gossip/exchange.rs
@@ -1,22 +1,23 @@
-//! What gateways tell each other of their customers' usage while the counter has no capacity for all calls.
+//! When gateways exchange their customers' usage: while the counter has no capacity for all calls.
 
 use super::message::{Message, UnsentUsage, Usage, ALL_GATEWAYS};
 use crate::api::{Action, Millis};
 use crate::state::{Account, Context, Timer};
 
-/// Usage is exchanged for this long after a call last met a counter without capacity, in ms.
-const EXCHANGE_MS: f64 = 10_000.0;
-/// Time between two messages for each other gateway, in ms: so each receives few of them.
-const INTERVAL_PER_GATEWAY_MS: f64 = 25.0;
+/// Usage is exchanged for this time after the last shortage of the counter's capacity, in ms.
+const EXCHANGE_MS: Millis = 10_000.0;
+/// Time between two messages of a gateway, in ms for each other gateway. So the number of messages that a gateway
+/// receives per second doesn't grow with the fleet.
+const INTERVAL_PER_GATEWAY_MS: Millis = 25.0;
 
 /// The exchange of usage with the other gateways.
 #[derive(Default)]
 pub(crate) struct UsageExchange {
     unsent: UnsentUsage,
     timer_set: bool,
-    /// When a call of this gateway last met a counter without capacity.
+    /// When the counter was last short of capacity for a call of this gateway.
     local_shortage_at: Option<Millis>,
-    /// When a call of any gateway did, as far as known here.
+    /// When it last was for a call of any gateway, as far as this one knows.
     fleet_shortage_at: Option<Millis>,
 }
 
@@ -27,7 +28,7 @@
         permitted && is_recent(cx.now, self.fleet_shortage_at)
     }
 
-    /// A call of this gateway met a counter without capacity.
+    /// The counter was short of capacity for a call of this gateway.
     pub(crate) fn record_shortage(&mut self, now: Millis) {
         self.local_shortage_at = Some(now);
         self.fleet_shortage_at = Some(now);
@@ -41,7 +42,7 @@
         }
     }
 
-    /// The timer has fired: sends what fits into one message.
+    /// The timer has fired: sends as much as fits into one message, and sets the timer again for the rest.
     pub(crate) fn send(&mut self, cx: &mut Context) {
         self.timer_set = false;
         let usages = self.unsent.take_for_message();
@@ -58,7 +59,8 @@
         self.set_timer(cx);
     }
 
-    /// Usage at another gateway, from its message; none if the message is invalid.
+    /// The usage at the gateway `from` that its message states. An invalid message, one of an unknown gateway, or one
+    /// where gossip isn't permitted, is ignored.
     pub(crate) fn receive(&mut self, cx: &Context, from: u32, body: &[u8]) -> Vec<Usage> {
         let known = from < cx.settings.gateway_count && from != cx.settings.gateway_index;
         if !known || !cx.settings.limits.gossip {
--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -7,13 +7,13 @@
 const VERSION: u8 = 2;
 /// Bytes of a customer's number in a message.
 const CUSTOMER_BYTES: usize = 5;
-/// Bytes of one customer's usage: its number, its plan, and the units in hundredths.
+/// Bytes of one customer's usage: its number, its plan (1 byte), and its units in hundredths (2 bytes).
 const USAGE_BYTES: usize = 8;
-/// Customers in one message: it must fit into 256 bytes.
+/// Most customers in one message, which has to fit into 256 bytes.
 const MAX_USAGES: usize = 31;
-/// Customer numbers stay below this.
+/// Customer numbers are below this.
 const CUSTOMER_LIMIT: u64 = 1 << 33;
-/// Units are sent in hundredths.
+/// Hundredths in a unit.
 const HUNDREDTHS: f64 = 100.0;
 
 /// The recipient that stands for all other gateways.
@@ -30,12 +30,12 @@
 /// A message between gateways.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Message {
-    /// The sender has met a counter without capacity.
+    /// The counter was short of capacity for a call of the sender.
     pub(crate) counter_short: bool,
     pub(crate) usages: Vec<Usage>,
 }
 
-/// Why bytes are no message.
+/// Why bytes could not be decoded as a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum DecodeError {
     #[error("the message ends within its header")]
@@ -120,7 +120,7 @@
         self.0.is_empty()
     }
 
-    /// Takes out as much as fits into one message.
+    /// Removes as much as fits into one message.
     pub(crate) fn take_for_message(&mut self) -> Vec<Usage> {
         std::iter::from_fn(|| self.0.pop_first())
             .take(MAX_USAGES)
--- a/src/gossip/mod.rs
+++ b/src/gossip/mod.rs
@@ -1,4 +1,4 @@
-//! What gateways tell each other, where a site permits it: their messages, and when they are exchanged.
+//! Gossip: messages about customers' usage that gateways exchange, where a site permits it.
 
 mod exchange;
 mod message;
--- a/src/policy/call_limiter.rs
+++ b/src/policy/call_limiter.rs
@@ -1,40 +1,42 @@
-//! Paces the calls to the counter. All gateways share its capacity and none knows it: the rate grows with
-//! each success and is cut with each failure (additive increase, multiplicative decrease).
+//! The pace of calls to the counter. All gateways share its capacity and none knows it: the rate of calls
+//! grows with each success and is cut with each failure, by additive increase and multiplicative decrease
+//! (AIMD). The increase has a multiplicative part, too, which is smaller near the rate that last met
+//! failures.
 
 use crate::api::Millis;
 use crate::primitives::token_bucket::TokenBucket;
 
-/// Calls per second before anything is known of the counter.
+/// Calls per second before the first reply.
 const INITIAL_RATE: f64 = 10.0;
-/// Least calls per second: enough to notice that the counter is back.
+/// Least calls per second. Without any call a gateway would not notice that the counter has recovered.
 const MIN_RATE: f64 = 0.2;
-/// Most calls per second: more than any counter can take.
+/// Most calls per second.
 const MAX_RATE: f64 = 10_000.0;
 /// Share of the rate that a failure leaves.
 const DECREASE_FACTOR: f64 = 0.75;
-/// Calls per second that a success adds, besides a share of the rate.
+/// Calls per second that each success adds, besides a share of the rate.
 const ADDITIVE_INCREASE: f64 = 0.02;
-/// That share below the rate that was borne before. With more, gateways soon overload the counter again.
+/// Share of the rate that each success adds while the rate is well below the one before the last failures.
 const FAST_INCREASE: f64 = 0.04;
-/// That share near the rate that was borne before, and above.
+/// Share of the rate that each success adds near the rate before the last failures, and above it.
 const SLOW_INCREASE: f64 = 0.02;
-/// Share of the rate before the last failures from which on a rate is near it.
+/// A rate above this share of the rate before the last failures is near it.
 const NEAR_SHARE: f64 = 0.9;
-/// Failures in a row after which the counter counts as down and requests no longer wait for it.
+/// Consecutive failures after which the counter counts as down, and requests no longer wait for its replies.
 const MAX_CONSECUTIVE_FAILURES: u32 = 3;
-/// Tokens of this time can be saved up, in ms: it evens out chance.
+/// The capacity of the bucket, as the time in which it is refilled, in ms.
 const BURST_MS: f64 = 500.0;
 
-/// How much a call matters.
+/// How urgent a call is.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CallPriority {
-    /// Takes the last token.
+    /// May take the last token.
     Required,
-    /// Leaves half of the tokens that can be saved up.
+    /// Leaves half of the bucket to required calls.
     Optional,
 }
 
-/// A token bucket whose rate adapts.
+/// A token bucket with a rate that adapts.
 pub(crate) struct CallLimiter {
     /// Calls per second.
     rate: f64,
@@ -75,7 +77,7 @@
         acquired
     }
 
-    /// Whether no token was left when it was last asked.
+    /// Whether no token was left at the last call of `try_acquire`.
     pub(crate) fn is_exhausted(&self) -> bool {
         !self.bucket.has(1.0)
     }
@@ -86,7 +88,7 @@
     }
 
     pub(crate) fn on_success(&mut self) {
-        // When the counter is back, half of the former rate returns at once.
+        // The counter is up again: from the least rate, it would take long to reach the former one.
         if let Some(before) = self.rate_before_failures.filter(|_| self.is_down()) {
             self.rate = self.rate.max(before / 2.0);
         }
@@ -108,7 +110,7 @@
             self.rate_before_failures = Some(self.rate);
         }
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
-        // Calls that queued together are slow together: one decrease for all of them.
+        // Calls that queued together at the counter fail together: one decrease for all of them.
         if started_at >= self.decreased_at {
             self.rate = (self.rate * DECREASE_FACTOR).max(MIN_RATE);
             self.decreased_at = now;
--- a/src/policy/call_limiter/tests.rs
+++ b/src/policy/call_limiter/tests.rs
@@ -16,6 +16,8 @@
     assert!(limiter.is_exhausted());
 }
 
+/// The counter is overloaded for a moment, and all calls in its queue fail. If each of them cut the rate, hardly any
+/// call would be left: together they are one decrease.
 #[test]
 fn failures_of_calls_that_were_made_together_decrease_the_rate_once() {
     let mut limiter = CallLimiter::new(0.0);
@@ -28,6 +30,8 @@
     assert_eq!(acquired(&mut limiter, 4000.0, CallPriority::Required), 2);
 }
 
+/// The counter is down and comes back. Requests must not wait for it meanwhile, and once it is back the calls must not
+/// take long to reach their former rate.
 #[test]
 fn the_counter_is_down_after_failures_in_a_row_and_half_of_the_rate_returns_with_it() {
     let mut limiter = CallLimiter::new(0.0);
--- a/src/policy/candidate.rs
+++ b/src/policy/candidate.rs
@@ -1,20 +1,21 @@
-//! Endpoints compared for one attempt.
+//! The order of candidates: how the endpoints that could be sent one attempt compare.
 
-use crate::api::{Endpoint, EndpointId, Idempotency, KeyScope};
+use crate::api::{Endpoint, EndpointId, Idempotency, KeyScope, Millis};
 
 /// An endpoint that may be sent the attempt.
 #[derive(Clone, Copy)]
 pub(crate) struct Candidate {
     pub(crate) preference: Preference,
-    pub(crate) cost_ms: f64,
+    /// Expected latency, and the price of a handshake where one is needed, in ms.
+    pub(crate) cost_ms: Millis,
     pub(crate) endpoint: EndpointId,
 }
 
-/// Whether anything speaks against an endpoint, whatever it costs.
+/// Whether there is a reason to avoid an endpoint, whatever it costs.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Preference {
     Preferred,
-    /// It has failed the request before, rejects the request's plan or is ejected.
+    /// It has had an attempt of the request before, is likely to reject the request's plan, or is ejected.
     LastResort,
 }
 
@@ -29,7 +30,7 @@
     }
 }
 
-/// The endpoints that recognise a retry of a request with an idempotency key.
+/// The endpoints that recognise a retry of a request by its idempotency key, and don't execute it twice.
 pub(crate) enum DeduplicationScope {
     All,
     Zone { zone: u32 },
--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -1,61 +1,68 @@
-//! Latency estimates: a baseline for each class of requests, and how each endpoint compares to it.
+//! Latency estimates, as EWMAs: a baseline for each class of requests, and a ratio to it for each endpoint.
+//!
+//! A latency is first divided by what the attempts in flight at the endpoint added to it. The expected
+//! latency of one more attempt is baseline · ratio · load factor.
 
 use crate::api::Millis;
 use crate::primitives::mean::RunningMean;
 use crate::state::TrackedEndpoint;
 
-/// Weight of one response in an endpoint's relative latency: about the last ten count.
+/// Weight of one response in an endpoint's relative latency: about the last 10 responses count.
 const RELATIVE_LATENCY_WEIGHT: f64 = 0.1;
-/// Time constant with which a relative latency returns to the fleet's, in ms.
-const RELATIVE_LATENCY_MEMORY_MS: f64 = 10_000.0;
-/// Most that one response may say of an endpoint's relative latency.
-const MAX_RELATIVE_LATENCY: f64 = 10.0;
+/// Time constant with which a relative latency returns to 1, the fleet's, in ms. An endpoint that was slow
+/// once would not be sent attempts again otherwise.
+const RELATIVE_LATENCY_DECAY_MS: Millis = 10_000.0;
+/// Largest relative latency of one response; a larger one counts as this.
+const MAX_RELATIVE_SAMPLE: f64 = 10.0;
 /// Least latency, in ms, and least relative latency that are divided by.
 const MIN_DIVISOR: f64 = 0.1;
-/// Weight of one response in a class's baseline: about the last hundred count.
+/// Weight of one response in a class's baseline: about the last 100 responses count.
 const BASELINE_WEIGHT: f64 = 0.01;
 /// Baseline before the first response, as a share of the latency objective.
 pub(super) const INITIAL_BASELINE_SHARE: f64 = 0.2;
-/// Attempts of other gateways assumed in flight at each endpoint.
+/// Attempts of other gateways that are assumed in flight at each endpoint.
 const ASSUMED_OTHERS_IN_FLIGHT: f64 = 1.0;
-/// An endpoint with attempts in flight counts as slower once it is silent for more than this many baselines.
-const MAX_SILENT_BASELINES: f64 = 3.0;
+/// An endpoint with attempts in flight that has not responded for longer than this number of baselines
+/// counts as slower.
+const MAX_BASELINES_WITHOUT_RESPONSE: f64 = 3.0;
 
-/// Factor on the latency of an endpoint at which this gateway has this many attempts in flight.
+/// Factor on the latency at an endpoint at which this gateway has this many attempts in flight: a latency
+/// rises in proportion to the attempts in flight (Little's law at a constant rate of responses).
 fn load_factor(in_flight: f64) -> f64 {
     (in_flight + ASSUMED_OTHERS_IN_FLIGHT) / (1.0 + ASSUMED_OTHERS_IN_FLIGHT)
 }
 
-/// What a latency would have been without the other attempts that were in flight at the endpoint.
+/// What a latency would have been without the other attempts that were in flight at the endpoint, in ms.
 pub(super) fn at_idle_endpoint(latency_ms: Millis, in_flight: f64) -> Millis {
     latency_ms.max(MIN_DIVISOR) / load_factor(in_flight)
 }
 
 impl TrackedEndpoint {
-    /// Takes in the latency that a successful attempt would have had at an idle endpoint.
+    /// Records the latency that a successful attempt would have had at an idle endpoint.
     pub(super) fn record_latency(
         &mut self,
         now: Millis,
         idle_ms: Millis,
         baseline: &mut RunningMean,
     ) {
-        let sample = (idle_ms / baseline.value().max(MIN_DIVISOR)).min(MAX_RELATIVE_LATENCY);
+        let sample = (idle_ms / baseline.value().max(MIN_DIVISOR)).min(MAX_RELATIVE_SAMPLE);
         let relative = self
             .relative_latency
-            .current(now, RELATIVE_LATENCY_MEMORY_MS);
+            .current(now, RELATIVE_LATENCY_DECAY_MS);
         self.relative_latency
             .record(now, relative, sample, RELATIVE_LATENCY_WEIGHT);
         baseline.record(idle_ms / relative.max(MIN_DIVISOR), BASELINE_WEIGHT);
     }
 
-    /// Time that one more attempt is expected to take, in ms.
+    /// Expected latency of one more attempt, in ms.
     pub(super) fn expected_latency(&self, now: Millis, baseline_ms: Millis) -> Millis {
         let mut relative = self
             .relative_latency
-            .current(now, RELATIVE_LATENCY_MEMORY_MS);
+            .current(now, RELATIVE_LATENCY_DECAY_MS);
         if self.in_flight > 0 {
-            let silent_ms = now - self.last_response_at;
-            relative = relative.max(silent_ms / (baseline_ms * MAX_SILENT_BASELINES));
+            let without_response_ms = now - self.last_response_at;
+            relative =
+                relative.max(without_response_ms / (baseline_ms * MAX_BASELINES_WITHOUT_RESPONSE));
         }
         relative * baseline_ms * load_factor(f64::from(self.in_flight) + 1.0)
     }
--- a/src/policy/shared_quota/tests.rs
+++ b/src/policy/shared_quota/tests.rs
@@ -17,6 +17,8 @@
     quota.take(units);
 }
 
+/// A gateway sees a customer for the first time, while the customer uses its quota at other gateways. A full quota here
+/// would let it exceed its plan: the first total has to show what the others used.
 #[test]
 fn a_gateway_learns_from_one_total_what_the_others_used() {
     let mut first = SharedQuota::new(0, START, LIMITS.burst);
@@ -44,6 +46,8 @@
     assert!(first.peer_rate > 0.5, "{}", first.peer_rate);
 }
 
+/// The counter restarts and has lost its counts, so that its totals are small. Taken as they are, they would grant
+/// each customer its quota again: the level has to stay.
 #[test]
 fn a_total_below_the_own_contribution_grants_nothing() {
     let mut quota = SharedQuota::new(0, START, LIMITS.burst);
@@ -53,6 +57,8 @@
     assert_eq!(quota.level, before);
 }
 
+/// A reply is late, and a new window has begun meanwhile. Its total holds usage that the new count doesn't: the level
+/// has to stay.
 #[test]
 fn the_total_of_an_earlier_window_changes_nothing() {
     let mut quota = SharedQuota::new(0, START, LIMITS.burst);
@@ -61,6 +67,7 @@
     assert_eq!(quota.level, LIMITS.burst);
 }
 
+/// The counter was down, and units could not be charged. They have to reach the count with the next charge, once.
 #[test]
 fn unsettled_units_decay_and_are_charged_once() {
     let mut quota = SharedQuota::new(0, START, LIMITS.burst);
@@ -70,6 +77,8 @@
     assert!((quota.charge(START, 1.0, LIMITS).weighted_units / single - 1.0).abs() < 1e-9);
 }
 
+/// Calls to the counter are few, and the usage at the peers is extrapolated. If they stopped meanwhile, the customer
+/// would be short of quota: the next total has to give it back.
 #[test]
 fn extrapolated_usage_is_corrected_by_the_next_total() {
     let mut extrapolated = SharedQuota::new(0, START, LIMITS.burst);
@@ -82,9 +91,9 @@
     extrapolated.refill(START + 2000.0, LIMITS, PeerUsage::Extrapolate);
     assert!(
         extrapolated.level < level + LIMITS.rate,
-        "the others are taken to go on"
+        "the peers are taken to continue"
     );
-    // They did not.
+    // They stopped.
     use_units(&mut extrapolated, &mut total, START + 2000.0, 0.0);
     assert!(
         (extrapolated.level - level - LIMITS.rate).abs() < 0.2,
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -1,23 +1,27 @@
-//! Subsetting: with many endpoints, each gateway uses the members of one arc of a hash ring. Gateways start
-//! at even distances: all endpoints are used by equally many, and a change of one concerns only these.
+//! Subsetting: with many endpoints, each gateway uses the members of one arc of a hash ring. The arcs of the
+//! gateways begin at even distances: each endpoint is used by equally many gateways, and a change of one
+//! endpoint concerns only those.
 
 use crate::api::Settings;
 use crate::primitives::ring::{evenly_spaced_position, RingArc};
 use crate::state::SubsetLoad;
 
-/// With up to this number of endpoints a gateway uses all: to compare them takes some 10 us a request.
+/// With up to this number of endpoints a gateway uses all. The time that a choice takes grows with this
+/// number.
 const MIN_MEMBERS: usize = 256;
-/// Gateways that use each endpoint at least: if one in ten is four times as busy, loads differ by a fifth.
+/// Least number of gateways that use each endpoint. Gateways differ in load; the more of them share an
+/// endpoint, the less the loads of endpoints differ.
 const MIN_GATEWAYS_PER_ENDPOINT: f64 = 16.0;
-/// Members for each attempt in flight at least: some are slow, reject requests or are ejected.
+/// Least number of members for each attempt in flight: some members are slow, reject requests or are ejected.
 const MEMBERS_PER_ATTEMPT: f64 = 8.0;
-/// Members in each zone at least, where the zone has them.
+/// Least number of members in each zone, where the zone has them.
 const MIN_MEMBERS_PER_ZONE: usize = 4;
-/// Share of the connection limit that members may take: the rest is for bursts.
-const MAX_CONNECTION_SHARE: f64 = 0.75;
-/// The arc keeps its length for changes up to this share of it: they would replace members for nothing.
+/// Largest number of members, as a share of the connection limit: the rest is for bursts.
+const MAX_MEMBERS_PER_CONNECTION_LIMIT: f64 = 0.75;
+/// Changes of the arc's length by up to this share of it are left out, as each replaces members.
 const MIN_RESIZE_SHARE: f64 = 0.15;
 
+/// The subset of a gateway that knows no endpoint yet.
 pub(super) fn empty(settings: &Settings) -> RingArc {
     let start = evenly_spaced_position(settings.gateway_index, settings.gateway_count);
     RingArc::new(start, MIN_MEMBERS_PER_ZONE)
@@ -34,10 +38,11 @@
     let for_sharing = MIN_GATEWAYS_PER_ENDPOINT * ready / f64::from(settings.gateway_count.max(1));
     let for_load = load.mean_in_flight * MEMBERS_PER_ATTEMPT;
     let healthy = for_sharing.max(for_load).max(MIN_MEMBERS as f64);
+    // Unhealthy members are replaced by as many others, at most as many as the healthy ones needed.
     let wanted = healthy + (load.unhealthy_members as f64).min(healthy);
     let max_members = match settings.limits.max_connections {
         0 => f64::INFINITY,
-        limit => f64::from(limit) * MAX_CONNECTION_SHARE,
+        limit => f64::from(limit) * MAX_MEMBERS_PER_CONNECTION_LIMIT,
     };
     subset.resize((wanted.min(max_members) / ready).min(1.0), MIN_RESIZE_SHARE);
 }
--- a/src/primitives/decay.rs
+++ b/src/primitives/decay.rs
@@ -5,7 +5,7 @@
     (-elapsed_ms.max(0.0) / time_constant_ms).exp()
 }
 
-/// A ratio that returns to 1 while no sample comes.
+/// An EWMA of a ratio, which returns to 1 while there are no samples. Times are in ms.
 pub(crate) struct DecayingRatio {
     value: f64,
     updated_at: f64,
--- a/src/primitives/mean.rs
+++ b/src/primitives/mean.rs
@@ -1,8 +1,8 @@
-//! Moving averages that forget the past exponentially.
+//! Exponentially weighted moving averages (EWMA): by samples, over time, and of rates.
 
 use super::decay::remaining_share;
 
-/// A mean in which each sample has the same weight, however far apart the samples come.
+/// An EWMA by samples: the time between them doesn't count. With a gain of 1/n about the last n samples count.
 pub(crate) struct ExponentialMean {
     value: f64,
     gain: f64,
@@ -26,8 +26,8 @@
     }
 }
 
-/// A mean that adapts quickly at first and slowly later: it weighs its first samples alike, and once there are many,
-/// all samples with exponentially falling weights.
+/// A mean that adapts quickly at first and slowly later: the arithmetic mean of its first samples, and an EWMA once
+/// there are many.
 pub(crate) struct RunningMean {
     value: f64,
     samples: f64,
@@ -53,7 +53,7 @@
     }
 }
 
-/// A mean over time of a quantity that changes in steps.
+/// An EWMA over time of a quantity that changes in steps. Times are in ms.
 pub(crate) struct TimeAverage {
     value: f64,
     updated_at: f64,
@@ -82,7 +82,7 @@
     }
 }
 
-/// The rate of events, averaged over time.
+/// The rate of events in events per second, as an EWMA over time. Times are in ms.
 pub(crate) struct EventRate {
     per_second: f64,
     updated_at: f64,
--- a/src/primitives/ring.rs
+++ b/src/primitives/ring.rs
@@ -1,8 +1,10 @@
-//! A hash ring for each zone, and one arc of all these rings. Processes that add the same nodes have the same rings.
+//! Subsetting by consistent hashing: a hash ring for each zone, and one arc of all these rings. Processes that add the
+//! same nodes have the same rings.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Share of the ring between two processes of consecutive index: the golden ratio spreads any number of them.
+/// Share of the ring between two processes of consecutive index (Fibonacci hashing): the golden ratio spreads any
+/// number of them evenly.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
 
 /// The number of a node.
@@ -16,8 +18,8 @@
     pub(crate) key: u64,
 }
 
-/// The nodes on one arc of all rings. Each zone gives at least its first `min_per_zone` nodes from the start of the
-/// arc on, though they lie behind its end.
+/// The nodes on one arc of all rings. Of each zone, at least the first `min_per_zone` nodes from the start of the arc
+/// are members, also those behind its end.
 #[derive(Default)]
 pub(crate) struct RingArc {
     zones: BTreeMap<u32, BTreeSet<(u64, NodeId)>>,
@@ -28,8 +30,9 @@
     /// The length as a share of a ring.
     share: f64,
     min_per_zone: usize,
-    /// Sorted by number; `is_stale` if they may differ from what the arc holds now.
+    /// Sorted by id, as of the last update.
     members: Vec<NodeId>,
+    /// The nodes on the arc may differ from `members`.
     is_stale: bool,
 }
 
@@ -84,7 +87,7 @@
         }
     }
 
-    /// A node at this position has come or gone; the zone now has `zone_len` nodes.
+    /// A node at this position was added or removed; the zone now has `zone_len` nodes.
     fn note_change(&mut self, position: u64, zone_len: usize) {
         let is_on_arc = position.wrapping_sub(self.start) <= self.length;
         if is_on_arc || zone_len <= 2 * self.min_per_zone {
@@ -93,10 +96,10 @@
     }
 
     /// Makes the arc this share of a ring. Changes by up to `min_change` of its length are left out, except the last
-    /// one to the whole ring.
+    /// one to the full ring.
     pub(crate) fn resize(&mut self, share: f64, min_change: f64) {
-        let becomes_whole = share >= 1.0 && self.share < 1.0;
-        if becomes_whole || (share - self.share).abs() > self.share * min_change {
+        let becomes_full = share >= 1.0 && self.share < 1.0;
+        if becomes_full || (share - self.share).abs() > self.share * min_change {
             self.share = share;
             self.length = arc_length(share);
             self.is_stale = true;
@@ -139,8 +142,8 @@
     (share.clamp(0.0, 1.0) * u64::MAX as f64) as u64
 }
 
-/// The position of the process of this index among `count` that are spaced evenly. Consecutive indexes lie far apart:
-/// a customer's requests come through consecutive gateways, and these must not share their servers.
+/// The position of the process of this index among `count` that are spaced evenly. Consecutive indexes are far apart:
+/// a customer's requests come through consecutive gateways, which would share their endpoints otherwise.
 pub(crate) fn evenly_spaced_position(index: u32, count: u32) -> u64 {
     let count = u64::from(count.max(1));
     // A step without a common divisor visits each position once.
--- a/src/primitives/window.rs
+++ b/src/primitives/window.rs
@@ -1,4 +1,4 @@
-//! Fixed time windows whose boundaries differ from key to key, so that they do not all begin at once.
+//! Fixed time windows whose boundaries differ from key to key, so that not all windows begin at the same time.
 
 /// Multiplier of a multiplicative hash: 2^64 over the golden ratio.
 const HASH_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
--- a/src/state/connections.rs
+++ b/src/state/connections.rs
@@ -1,15 +1,15 @@
-//! The connections to one endpoint, estimated: the library does not hear when they are opened or closed.
+//! The open connections to one endpoint, estimated: no event reports that one was opened or closed.
 
 use crate::api::{Limits, Millis, Outcome};
 
-/// Connections believed open.
+/// The estimate.
 pub(crate) struct ConnectionEstimate {
-    /// Connections that were not used for this time count as closed, in ms.
+    /// Idle time after which connections count as closed, in ms.
     usable_idle_ms: f64,
-    /// Attempts that one connection carries at once.
+    /// Most attempts in flight on one connection.
     attempts_per_connection: u32,
     open: u32,
-    /// When a response last came on one of them.
+    /// When the last response came on one of them.
     used_at: Millis,
 }
 
--- a/src/state/connections/tests.rs
+++ b/src/state/connections/tests.rs
@@ -34,6 +34,8 @@
     assert!(!connections.has_free(IDLE_MS, 1));
 }
 
+/// An attempt times out or breaks off, and its connection is closed with it. If it still counted as open, the next
+/// attempt would be sent to this endpoint for a handshake that it doesn't save.
 #[test]
 fn a_connection_that_carries_one_attempt_is_closed_with_it() {
     for outcome in [
--- a/src/state/customer.rs
+++ b/src/state/customer.rs
@@ -8,13 +8,13 @@
 /// One customer as this gateway sees it.
 pub(crate) struct Customer {
     pub(crate) last_seen_at: Millis,
-    /// The quota, as this gateway knows it from the counter and its own usage.
+    /// The quota, by the counter and this gateway's usage.
     pub(crate) quota: SharedQuota,
-    /// Units left of the quota, as the gateways' messages to each other tell.
+    /// Units left of the quota, by this gateway's usage and by gossip.
     pub(crate) gossip_level: f64,
     /// This gateway's share of the plan's hard ceiling.
     pub(crate) ceiling: TokenBucket,
-    /// Units of requests that wait for the counter's answer.
+    /// Units of requests that wait for the counter's reply.
     pub(crate) reserved_units: f64,
     /// Calls to the counter in flight.
     pub(crate) pending_calls: u32,
@@ -44,7 +44,8 @@
     }
 }
 
-/// Customers remembered at most, a few MB: numbers can be made up, and each is one more.
+/// Most customers that are remembered. A client can send any number as its customer: without a limit, invented
+/// numbers would take up all memory.
 const MAX_CUSTOMERS: usize = 16_384;
 
 /// The customers, by number. Where they are too many, the half that was idle longest is forgotten.
@@ -106,7 +107,7 @@
         }
     }
 
-    /// The request waits for the counter's answer, with its units reserved.
+    /// The request waits for the counter's reply, with its units reserved.
     pub(crate) fn reserve(&mut self, open: &mut OpenRequest) {
         open.awaiting_counter = true;
         if let Some(customer) = self.get_mut(open.request.customer) {
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Forgets the idle customers whose time of last sight counts as expired.
+    /// Forgets the idle customers for whose `last_seen_at` this holds.
     pub(crate) fn forget_idle(&mut self, is_expired: impl Fn(Millis) -> bool) {
         self.0
             .retain(|_, customer| !customer.is_idle() || !is_expired(customer.last_seen_at));
--- a/src/state/customer/tests.rs
+++ b/src/state/customer/tests.rs
@@ -4,6 +4,8 @@
     Customer::new(now, SharedQuota::new(id, now, 10.0), TokenBucket::new(0.0))
 }
 
+/// A client sends requests with invented customer numbers. Memory must not grow without limit, and customers with work
+/// in flight must stay.
 #[test]
 fn where_customers_are_too_many_the_half_that_was_idle_longest_is_forgotten() {
     let mut customers = Customers::default();
--- a/src/state/endpoint_table.rs
+++ b/src/state/endpoint_table.rs
@@ -62,7 +62,7 @@
         })
     }
 
-    /// Forgets removed endpoints without an attempt in flight whose last success was this time ago, in ms.
+    /// Forgets removed endpoints without an attempt in flight whose last success was `after_ms` or longer ago.
     pub(crate) fn forget_removed(&mut self, now: Millis, after_ms: f64) {
         self.endpoints.retain(|_, endpoint| {
             let is_removed = endpoint.endpoint.state == EndpointState::Removed;
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -128,7 +128,8 @@
     }
 }
 
-/// One that comes or goes concerns only the gateways that use it; none of their other members changes.
+/// An endpoint drains, starts or returns. If that changed the subsets of all gateways, each change would cost handshakes
+/// all over the fleet. It must concern only the gateways that use the endpoint, and none of their other members.
 #[test]
 fn few_members_change_when_an_endpoint_comes_or_goes() {
     let mut gateways = fleet(ENDPOINTS);
@@ -159,7 +160,8 @@
     assert!((15..=35).contains(&users), "{users} use the new one");
 }
 
-/// With two zones lost the arcs widen over the others, evenly; at their return they are as before.
+/// Two zones are lost. With their old arcs, gateways would have too few members: the arcs must widen evenly over the other
+/// zones, and be as before once the zones are back.
 #[test]
 fn arcs_widen_when_zones_are_lost_and_narrow_again() {
     let mut gateways = fleet(ENDPOINTS);
@@ -216,7 +218,8 @@
     }
 }
 
-/// Members that are ejected make room for others; once they succeed again the arc narrows.
+/// A third of a gateway's members fail. It must use other endpoints in their place, and once they succeed again its
+/// subset must become small again.
 #[test]
 fn ejected_members_are_made_up_for() {
     let mut gateway = one_of_fleet(3);
@@ -243,7 +246,7 @@
     settings
 }
 
-/// The endpoints that are sent the last 1,000 of 6,000 requests that come `gap_ms` apart, with a tick at every
+/// The endpoints that are sent the last 1,000 of 6,000 requests that arrive `gap_ms` apart, with a tick at every
 /// `tick_requests` of them.
 fn endpoints_used(gateway: &mut TestGateway, gap_ms: f64, tick_requests: u64) -> BTreeSet<u32> {
     let mut used = BTreeSet::new();
@@ -262,8 +265,7 @@
     used
 }
 
-/// The cost of a request does not grow with the fleet: what a gateway compares shows in what it sends to. It spreads
-/// requests over its members, and keeps to few connections where it has few requests.
+/// A gateway spreads requests over its members, and keeps to few connections where it has few requests.
 #[test]
 fn requests_spread_over_the_members() {
     for (gap_ms, tick_requests, least, most) in [(8.0, 100, 200, 320), (4000.0, 1, 1, 130)] {
@@ -279,7 +281,8 @@
     }
 }
 
-/// Retries of a keyed request stay in the zone of the first attempt, though few members are in it.
+/// A request with an idempotency key fails at an endpoint of a zone where the subset has few members. At an endpoint of
+/// another zone the retry could be executed a second time: it must stay in the zone of the first attempt.
 #[test]
 fn keyed_retries_stay_in_their_zone() {
     let mut gateway = one_of_fleet(1);
@@ -300,7 +303,8 @@
     }
 }
 
-/// Draining endpoints get nothing more, in the subset or out of it, and the others are used.
+/// Two thirds of the endpoints drain, and some of the others reject requests. No attempt may be sent to a draining
+/// endpoint, in the subset or outside of it, and all others must be used.
 #[test]
 fn draining_endpoints_get_no_attempts() {
     let mut gateway = one_of_fleet(2);
