--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -11,7 +11,7 @@
 mod connections;
 mod counter_calls;
 mod counter_wait;
-mod customer_levels;
+mod customer_quota;
 mod ejection;
 mod endpoint_comparison;
 pub(crate) mod endpoints;
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -1,11 +1,16 @@
 //! The customers' quotas, which all gateways enforce together by means of a shared counter.
+//!
+//! [`QuotaLedger`] connects the parts that a request meets: the customers' levels (`customer_quota`), the
+//! calls to the counter (`counter_calls`) and the exchange of usage with other gateways (`gossip`). A
+//! request's units are charged before it is forwarded. Units that could not be charged, and differences to
+//! the units that the request really used, are settled with a later charge.
 
 use crate::api::{Millis, RequestId, Settings};
 use crate::gossip::UsageExchange;
 use crate::policy::call_limiter::CallPriority;
 use crate::policy::ceiling::CeilingShare;
 use crate::policy::counter_calls::CounterCalls;
-use crate::policy::customer_levels::idle_timeout_ms;
+use crate::policy::customer_quota::{idle_timeout_ms, retry_after_ms};
 use crate::policy::shared_quota::{PeerUsage, QuotaLimits};
 use crate::primitives::mean::ExponentialMean;
 use crate::state::{Account, ChargeResult, Context, CounterReply, PendingCharge};
@@ -13,9 +18,6 @@
 
 /// Least time between two calls that only ask for a customer's total, in ms.
 const MIN_TOTAL_QUERY_INTERVAL_MS: Millis = 100.0;
-/// Retry-After of a request over its quota, in ms for each second in which the missing units are refilled:
-/// half of that time.
-const RETRY_AFTER_MS_PER_REFILL_SECOND: f64 = 500.0;
 /// Weight of one request in the mean units: about the last 100 requests count.
 const MEAN_UNITS_GAIN: f64 = 0.01;
 /// The mean units before any request.
@@ -44,29 +46,19 @@
         }
     }
 
-    /// Units left for a request that has just come in; other gateways can only have used more.
+    /// Units left for a request that has just arrived.
     pub(crate) fn available_units(&mut self, cx: &Context, open: &OpenRequest) -> f64 {
         self.mean_units.update(open.request.units);
         let gossip_active = self.gossip.is_active(cx);
         let customer = self.refresh(cx, open.account(), open.request.gateway_set_size);
-        let level = customer.quota.level.min(cx.plan(open.account()).burst);
-        let level = if gossip_active {
-            customer.gossip_level
-        } else {
-            level
-        };
-        level - customer.reserved_units
+        customer.available_units(cx.plan(open.account()).burst, gossip_active)
     }
 
     /// Units left for a request that has waited for the counter.
     pub(crate) fn counted_units(&mut self, cx: &Context, open: &OpenRequest) -> f64 {
         let gossip_active = self.gossip.is_active(cx);
         let customer = self.refresh(cx, open.account(), open.request.gateway_set_size);
-        let level = customer.quota.level;
-        if gossip_active {
-            return level.min(customer.gossip_level);
-        }
-        level
+        customer.counted_units(gossip_active)
     }
 
     /// The customer's attempts in flight at all gateways, where one takes `baseline_ms`.
@@ -99,13 +91,13 @@
         customer
     }
 
-    /// The customer used units here, or is refunded if negative.
+    /// Records units that the customer used here, or a refund if negative.
     pub(crate) fn record_usage(&mut self, cx: &mut Context, account: Account, units: f64) {
         self.customers.record_usage(account.customer, units);
         self.gossip.record_usage(cx, account, units);
     }
 
-    /// Units that the customer's next charge carries to the counter, or refunds if negative.
+    /// Adds units, or a refund if negative, to the customer's next charge.
     pub(crate) fn settle_later(&mut self, cx: &Context, account: Account, units: f64) {
         if let Some(customer) = self.customers.get_mut(account.customer) {
             customer
@@ -114,32 +106,30 @@
         }
     }
 
-    /// Corrects a charge whose request turned out to use other units.
+    /// Settles the difference between the units that a request was charged and those that it used.
     pub(crate) fn settle(&mut self, cx: &mut Context, account: Account, units: f64) {
         self.settle_later(cx, account, units);
         self.record_usage(cx, account, units);
     }
 
-    /// Advice to a client whose request is over its quota, in ms.
+    /// Time after which the client may retry a request that is over its quota, in ms.
     pub(crate) fn retry_after(&self, cx: &Context, open: &OpenRequest) -> Millis {
         let plan = cx.plan(open.account());
         if plan.rate <= 0.0 {
             return cx.class(&open.request).latency_objective_ms;
         }
-        let level = self
-            .customers
-            .get(open.request.customer)
-            .map_or(0.0, |customer| customer.quota.level);
-        let missing = open.request.units.min(plan.burst) - level;
-        (missing / plan.rate * RETRY_AFTER_MS_PER_REFILL_SECOND).max(0.0)
+        let customer = self.customers.get(open.request.customer);
+        let level = customer.map_or(0.0, |customer| customer.quota.level);
+        retry_after_ms(plan, open.request.units, level)
     }
 
-    /// Charges a request at the counter, if there is one. Returns whether it waits for the answer.
+    /// Charges a request at the counter, if there is one. Returns whether it waits for the reply.
     pub(crate) fn charge(&mut self, cx: &mut Context, open: &OpenRequest) -> bool {
         if !is_counted(cx, open) {
             return false;
         }
-        // A counter that fails is still called, less often; what is not charged now is with the next call.
+        // A counter that is short of capacity, or down, is called less often. The request is admitted by
+        // what this gateway knows, and its units are charged with the next call.
         if !self
             .counter
             .limiter
@@ -158,7 +148,8 @@
         self.counter.max_wait_ms(open.objective_ms)
     }
 
-    /// Asks the counter for the customer's total now and then, while requests are rejected without a charge.
+    /// Queries the customer's total at the counter now and then, while requests are rejected without a
+    /// charge: the level would not be corrected otherwise.
     pub(crate) fn query_total(&mut self, cx: &mut Context, open: &OpenRequest) {
         let customer = self.customers.get(open.request.customer);
         let due =
@@ -168,7 +159,7 @@
         }
     }
 
-    /// Calls the counter with the units not settled yet, if it is well.
+    /// Charges the units not settled yet, if the pace of calls permits an optional one.
     pub(crate) fn settle_now(&mut self, cx: &mut Context, open: &OpenRequest) {
         if self
             .counter
@@ -190,12 +181,12 @@
             .charge(cx.now, units, quota_limits(cx, account));
         customer.pending_calls += 1;
         customer.last_call_at = cx.now;
-        let call = PendingCharge {
+        let pending = PendingCharge {
             account,
             request: open.request.id,
             charge,
         };
-        self.counter.start(cx, call);
+        self.counter.start(cx, pending);
     }
 
     /// The counter has replied to a call, or the call has failed. Returns the request that it was made for.
@@ -204,40 +195,25 @@
         cx: &Context,
         reply: &CounterReply,
     ) -> Option<RequestId> {
-        let call = self.counter.end(reply)?;
+        let pending = self.counter.end(reply)?;
         if self.counter.record_reply(cx, reply) {
             self.gossip.record_shortage(cx.now);
         }
-        self.apply_result(cx, &call, reply.charge_result());
-        Some(call.request)
+        self.apply_result(cx, &pending, reply.charge_result());
+        Some(pending.request)
     }
 
-    fn apply_result(&mut self, cx: &Context, call: &PendingCharge, result: ChargeResult) {
-        let Some(customer) = self.customers.get_mut(call.account.customer) else {
+    fn apply_result(&mut self, cx: &Context, pending: &PendingCharge, result: ChargeResult) {
+        let gossip_active = self.gossip.is_active(cx);
+        let Some(customer) = self.customers.get_mut(pending.account.customer) else {
             return;
         };
-        let limits = quota_limits(cx, call.account);
         customer.pending_calls = customer.pending_calls.saturating_sub(1);
-        match result {
-            ChargeResult::Counted { total } => {
-                customer.refill(cx.now, limits, PeerUsage::AwaitTotal);
-                let quota = &mut customer.quota;
-                let applied = quota.apply_total(cx.now, call.charge, total, limits);
-                // While gateways exchange usage, what they could not charge is missing from the count.
-                if applied && !self.gossip.is_active(cx) {
-                    customer.gossip_level = customer.quota.level;
-                }
-            }
-            ChargeResult::NotCounted => {
-                let quota = &mut customer.quota;
-                quota.settle_later(cx.now, call.charge.units, limits);
-            }
-            // Charged again, the units could count twice and the customer lose quota that it hasn't used.
-            ChargeResult::MayHaveCounted => {}
-        }
+        let limits = quota_limits(cx, pending.account);
+        customer.apply_result(cx.now, pending.charge, result, limits, gossip_active);
     }
 
-    /// Subtracts what customers used at another gateway, as its message says.
+    /// Subtracts what customers used at another gateway, by its message.
     pub(crate) fn receive_gossip(&mut self, cx: &Context, from: u32, body: &[u8]) {
         for usage in self.gossip.receive(cx, from, body) {
             let account = Account {
@@ -247,13 +223,14 @@
             let Some(plan) = cx.settings.plans.get(account.plan) else {
                 continue;
             };
-            // The number of its gateways is unknown: the least share of a ceiling, as nothing is sent here.
+            // The message doesn't state through how many gateways the customer's requests come. The least
+            // share of the ceiling is safe, as none of them comes through this one now.
             let customer = self.refresh(cx, account, f64::INFINITY);
             customer.record_peer_usage(usage.units, plan.burst);
         }
     }
 
-    /// Forgets the customers whose quotas must be full again.
+    /// Forgets the idle customers whose quotas must be full again.
     pub(crate) fn forget_idle(&mut self, now: Millis, settings: &Settings) {
         let idle_timeout_ms = idle_timeout_ms(settings);
         self.customers
