--- a/src/policy/endpoint_comparison.rs
+++ b/src/policy/endpoint_comparison.rs
@@ -52,9 +52,8 @@
         let mut best: Option<Candidate> = None;
         for endpoint in endpoints.filter(|endpoint| endpoint.is_ready()) {
             let is_warming = endpoint.warm_up.capacity_share(self.now).is_some();
-            if !self.scope.contains(&endpoint.endpoint)
-                || is_warming && !endpoint.warm_up.has_token()
-            {
+            let is_in_scope = self.scope.contains(&endpoint.endpoint);
+            if !is_in_scope || is_warming && !endpoint.warm_up.has_token() {
                 continue;
             }
             // A warming endpoint with a token costs nothing: by its latency, or by chance among many
@@ -83,30 +82,32 @@
         latency_ms: Millis,
         ignore_ejections: bool,
     ) -> Candidate {
-        let id = endpoint.endpoint.id;
-        let is_avoided = self
-            .open
-            .attempts
-            .iter()
-            .any(|attempt| attempt.endpoint == id)
-            || endpoint
-                .health
-                .is_rejecting(self.now, self.open.request.plan as usize)
-            || !(ignore_ejections || endpoint.is_admitted(self.now));
-        let preference = if is_avoided {
-            Preference::LastResort
-        } else {
-            Preference::Preferred
-        };
         let handshake_ms = if endpoint.has_free_connection(self.now) {
             0.0
         } else {
             self.handshake_cost_ms
         };
         Candidate {
-            preference,
+            preference: self.preference(endpoint, ignore_ejections),
             cost_ms: latency_ms + handshake_ms,
-            endpoint: id,
+            endpoint: endpoint.endpoint.id,
+        }
+    }
+
+    fn preference(&self, endpoint: &TrackedEndpoint, ignore_ejections: bool) -> Preference {
+        let id = endpoint.endpoint.id;
+        let plan = self.open.request.plan as usize;
+        let had_attempt = self
+            .open
+            .attempts
+            .iter()
+            .any(|attempt| attempt.endpoint == id);
+        let is_rejecting = endpoint.health.is_rejecting(self.now, plan);
+        let is_ejected = !ignore_ejections && !endpoint.is_admitted(self.now);
+        if had_attempt || is_rejecting || is_ejected {
+            Preference::LastResort
+        } else {
+            Preference::Preferred
         }
     }
 }
--- a/src/policy/load_balancer.rs
+++ b/src/policy/load_balancer.rs
@@ -62,7 +62,7 @@
         self.baselines[class].value()
     }
 
-    /// Brings the subset up to date: the endpoints used first, by number; all ready ones where there are few.
+    /// Updates the subset and returns its members, sorted by id; all ready endpoints where there are few.
     pub(crate) fn subset(&mut self) -> &[EndpointId] {
         if self.subset.update() {
             self.warming_members.is_stale = true;
@@ -70,6 +70,7 @@
         self.subset.members()
     }
 
+    /// Number of ready endpoints, in the subset or not.
     pub(crate) fn ready_count(&self) -> usize {
         self.subset.node_count()
     }
@@ -106,30 +107,39 @@
         subset::resize(&mut self.subset, cx.settings, &self.subset_load);
     }
 
-    /// The best endpoint for the request's next attempt. With many endpoints, it is the first of these that
-    /// has a candidate: preferred ones in a sample of the subset, preferred ones in all of the subset, any
-    /// endpoint.
+    /// The best endpoint for the request's next attempt: a preferred member of the subset, if there is a
+    /// subset and it has one, or else the best of all endpoints.
     pub(crate) fn choose(&mut self, cx: &mut Context, open: &OpenRequest) -> Option<EndpointId> {
         let mut rng = cx.rng.fork();
         self.refill_warming_members(cx);
         let comparison = self.compare_for(cx, open);
-        let mut best = None;
-        if subset::is_partial(&self.subset) {
-            let sample = self.sample(cx, &mut rng);
-            best = comparison
-                .best(sample.iter().copied(), &mut rng)
-                .filter(Candidate::is_preferred);
-            let members = self.endpoints.select(self.subset.members());
-            best = best.or_else(|| {
-                comparison
-                    .best(members, &mut rng)
-                    .filter(Candidate::is_preferred)
-            });
-        }
-        best.or_else(|| comparison.best(self.endpoints.all(), &mut rng))
+        self.preferred_member(cx, &comparison, &mut rng)
+            .or_else(|| comparison.best(self.endpoints.all(), &mut rng))
             .map(|candidate| candidate.endpoint)
     }
 
+    /// The best preferred candidate of a sample of the subset; if it has none, of the full subset. None with
+    /// few endpoints.
+    fn preferred_member(
+        &self,
+        cx: &Context,
+        comparison: &EndpointComparison,
+        rng: &mut Rng,
+    ) -> Option<Candidate> {
+        if !subset::is_partial(&self.subset) {
+            return None;
+        }
+        let sample = self.sample(cx, rng);
+        let of_sample = comparison.best(sample.iter().copied(), rng);
+        of_sample.filter(Candidate::is_preferred).or_else(|| {
+            let members = self.endpoints.select(self.subset.members());
+            comparison
+                .best(members, rng)
+                .filter(Candidate::is_preferred)
+        })
+    }
+
+    /// The comparison of endpoints for the request's next attempt.
     fn compare_for<'a>(&self, cx: &Context, open: &'a OpenRequest) -> EndpointComparison<'a> {
         let first_executor = open
             .first_execution
@@ -139,6 +149,7 @@
         EndpointComparison::new(cx, open, first_executor, baseline_ms)
     }
 
+    /// Brings the tokens of the members that are warming up to now.
     fn refill_warming_members(&mut self, cx: &Context) {
         self.subset();
         let capacity = self
