--- a/src/policy/avoidance.rs
+++ b/src/policy/avoidance.rs
@@ -44,3 +44,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/policy/avoidance/tests.rs
@@ -0,0 +1,50 @@
+use super::*;
+
+fn avoided(outcome: Outcome, request_rate: f64) -> EndpointHealth {
+    let mut health = EndpointHealth::default();
+    if let Some(rejection) = Rejection::new(outcome, 1, 3) {
+        health.avoid(0.0, &rejection, request_rate);
+    }
+    health
+}
+
+#[test]
+fn an_endpoint_that_rejects_a_request_is_avoided_for_its_plan() {
+    let health = avoided(Outcome::Rejected, 1000.0);
+    assert!(health.is_rejecting(0.0, 1));
+    assert!(!health.is_rejecting(0.0, 0) && !health.is_rejecting(0.0, 2));
+    assert!(!health.is_rejecting(MIN_AVOIDANCE_MS, 1));
+}
+
+/// An endpoint is down and accepts no connections. It has to be avoided for requests of all plans.
+#[test]
+fn an_endpoint_that_accepts_no_connection_is_avoided_for_all_plans() {
+    let health = avoided(Outcome::ConnectFailed, 1000.0);
+    assert!((0..3).all(|plan| health.is_rejecting(0.0, plan)));
+}
+
+#[test]
+fn other_failures_lead_to_no_avoidance() {
+    for outcome in [
+        Outcome::Success,
+        Outcome::Timeout,
+        Outcome::ErrorResponse,
+        Outcome::ConnectionReset,
+        Outcome::Cancelled,
+        Outcome::NotSent,
+    ] {
+        assert!(
+            !avoided(outcome, 1000.0).is_rejecting_any(0.0),
+            "{outcome:?}"
+        );
+    }
+}
+
+/// An endpoint rejects requests, and the gateway has few requests. After a fixed time each of its requests would meet
+/// the endpoint again and be rejected: it has to be avoided for a number of requests.
+#[test]
+fn a_quiet_gateway_avoids_for_longer() {
+    let health = avoided(Outcome::Rejected, 10.0);
+    assert!(health.is_rejecting(MIN_AVOIDANCE_REQUESTS * 100.0 - 1.0, 1));
+    assert!(!health.is_rejecting(MIN_AVOIDANCE_REQUESTS * 100.0, 1));
+}
--- a/src/policy/call_limiter.rs
+++ b/src/policy/call_limiter.rs
@@ -12,7 +12,7 @@
 const MIN_RATE: f64 = 0.2;
 /// Most calls per second.
 const MAX_RATE: f64 = 10_000.0;
-/// Share of the rate that a failure leaves.
+/// Factor on the rate at a failure.
 const DECREASE_FACTOR: f64 = 0.75;
 /// Calls per second that each success adds, besides a share of the rate.
 const ADDITIVE_INCREASE: f64 = 0.02;
--- a/src/policy/ceiling.rs
+++ b/src/policy/ceiling.rs
@@ -41,3 +41,6 @@
         elapsed_s * self.rate * self.share
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/policy/customer_quota.rs
+++ b/src/policy/customer_quota.rs
@@ -108,3 +108,6 @@
         .map(until_full_ms)
         .fold(MIN_IDLE_MS, f64::max)
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -6,8 +6,8 @@
 use crate::primitives::ring::{evenly_spaced_position, RingArc};
 use crate::state::SubsetLoad;
 
-/// With up to this number of endpoints a gateway uses all. The time that a choice takes grows with this
-/// number.
+/// Least number of members; with up to this number of endpoints a gateway uses all. The time that a choice
+/// takes grows with it.
 const MIN_MEMBERS: usize = 256;
 /// Least number of gateways that use each endpoint. Gateways differ in load; the more of them share an
 /// endpoint, the less the loads of endpoints differ.
