--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,7 +1,7 @@
 //! The entry point of the library: events in, actions out. Their types are in `src/api`, the decisions in `src/policy`.
 
 use crate::api::{Action, EndpointId, Event, Millis, Settings};
-use crate::policy::{endpoints::PollRetry, forwarding::Forwarder};
+use crate::policy::{forwarding::Forwarder, poll_retry::PollRetry};
 use crate::state::{Context, CounterReply, OpenRequests, Timer};
 
 /// Time between two runs of the periodic housekeeping, in ms.
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -1,30 +1,9 @@
-//! How an update of the endpoint list changes the table and the ring of endpoints, and when a failed poll
-//! of the list is retried.
+//! How an update of the endpoint list changes the table and the ring of endpoints.
 
-use crate::api::{Endpoint, EndpointState, Millis};
+use crate::api::{Endpoint, EndpointState};
 use crate::policy::{connections::usable_idle_ms, slow_start};
 use crate::primitives::ring::RingArc;
 use crate::state::{ConnectionEstimate, Context, EndpointTable, TrackedEndpoint, WarmUp};
-use fastrand::Rng;
-
-/// Shortest time until a failed poll is retried, in ms. A random time of up to as much is added: a service
-/// that has recovered would be polled by all gateways at once otherwise.
-const POLL_RETRY_MS: Millis = 500.0;
-
-/// When a failed poll of the endpoint list is retried.
-#[derive(Default)]
-pub(crate) struct PollRetry(Option<Millis>);
-
-impl PollRetry {
-    pub(crate) fn poll_failed(&mut self, now: Millis, rng: &mut Rng) {
-        self.0 = Some(now + POLL_RETRY_MS * (1.0 + rng.f64()));
-    }
-
-    /// Whether a retry is due. The caller has to make it, as it is due only once.
-    pub(crate) fn take_due(&mut self, now: Millis) -> bool {
-        self.0.take_if(|at| *at <= now).is_some()
-    }
-}
 
 /// Updates the table and the ring by entries of the list.
 pub(super) fn update(
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -21,7 +21,8 @@
 /// Changes of the arc's length by up to this share of it are left out, as each replaces members.
 const MIN_RESIZE_SHARE: f64 = 0.15;
 
-/// The subset of a gateway that knows no endpoint yet.
+/// The subset of a gateway that knows no endpoint yet. The arcs of gateways of consecutive index are far
+/// apart: a customer's requests come through such gateways, and would meet the same endpoints otherwise.
 pub(super) fn empty(settings: &Settings) -> RingArc {
     let start = evenly_spaced_position(settings.gateway_index, settings.gateway_count);
     RingArc::new(start, MIN_MEMBERS_PER_ZONE)
--- a/src/primitives/ring.rs
+++ b/src/primitives/ring.rs
@@ -142,8 +142,7 @@
     (share.clamp(0.0, 1.0) * u64::MAX as f64) as u64
 }
 
-/// The position of the process of this index among `count` that are spaced evenly. Consecutive indexes are far apart:
-/// a customer's requests come through consecutive gateways, which would share their endpoints otherwise.
+/// The position of the process of this index among `count` that are spaced evenly. Consecutive indexes are far apart.
 pub(crate) fn evenly_spaced_position(index: u32, count: u32) -> u64 {
     let count = u64::from(count.max(1));
     // A step without a common divisor visits each position once.
