--- a/src/policy/avoidance.rs
+++ b/src/policy/avoidance.rs
@@ -6,20 +6,22 @@
 
 /// Shortest time for which an endpoint is avoided, in ms.
 const MIN_AVOIDANCE_MS: Millis = 200.0;
-/// Least number of requests of this gateway that come while an endpoint is avoided. For a quiet gateway the
+/// Least number of requests of this gateway that arrive while an endpoint is avoided. For a quiet gateway the
 /// shortest time alone would be over before each next request.
 const MIN_AVOIDANCE_REQUESTS: f64 = 20.0;
+/// A lower rate of requests per second counts as this one, which limits the time of an avoidance to 20 s.
+const MIN_REQUEST_RATE: f64 = 1.0;
 
 /// How long an endpoint is avoided, in ms, at this rate of requests per second.
 fn avoidance_ms(request_rate: f64) -> Millis {
-    MIN_AVOIDANCE_MS.max(MIN_AVOIDANCE_REQUESTS * 1000.0 / request_rate.max(1.0))
+    MIN_AVOIDANCE_MS.max(MIN_AVOIDANCE_REQUESTS * 1000.0 / request_rate.max(MIN_REQUEST_RATE))
 }
 
-/// Whom an attempt that has ended shows to be rejected by its endpoint.
+/// The requests that an endpoint is likely to reject, by the outcome of an attempt.
 pub(super) enum Rejection {
     /// Requests of this plan.
     Plan(usize),
-    /// Requests of any of this number of plans.
+    /// Requests of all plans, which are this many.
     AllPlans(usize),
 }
 
@@ -35,7 +37,7 @@
 }
 
 impl EndpointHealth {
-    /// Has the endpoint avoided from now on.
+    /// Avoids the endpoint from now on.
     pub(super) fn avoid(&mut self, now: Millis, rejection: &Rejection, request_rate: f64) {
         let until = now + avoidance_ms(request_rate);
         match *rejection {
--- a/src/policy/shared_quota.rs
+++ b/src/policy/shared_quota.rs
@@ -8,9 +8,9 @@
 //!
 //! - Lost count: a counter that restarts loses what was added to it. `SharedQuota::apply_total` sees that
 //!   by a total below what this gateway added itself, and keeps the level.
-//! - Extrapolation: while calls to the counter are few, peers are taken to go on as before for a while.
+//! - Extrapolation: while calls to the counter are few, peers are assumed to continue as before for a while.
 //! - Window change: what peers added at the end of a window is never returned to this gateway. They are
-//!   taken to have continued as before for a moment.
+//!   assumed to have continued as before for a moment.
 
 use crate::api::{Millis, Plan, Settings};
 use crate::primitives::forward_decay::ForwardDecay;
@@ -94,9 +94,10 @@
 /// How a refill treats the usage at the other gateways since the last total.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PeerUsage {
-    /// Left out: the next total comes soon and shows it.
+    /// Left out: the next total is due soon and shows it.
     AwaitTotal,
-    /// Taken to go on as before for a while, as calls to the counter are few. The next total corrects it.
+    /// Assumed to continue as before for a while, as calls to the counter are few. The next total corrects
+    /// it.
     Extrapolate,
 }
 
@@ -113,7 +114,7 @@
 
 impl SharedQuota {
     /// Refills the level up to now and returns the time since the last refill, in s. The level may pass the
-    /// burst until the next total is known: usage in the gap may have come before the refill.
+    /// burst until the next total is known: usage in the gap may have been earlier than the refill.
     pub(crate) fn refill(
         &mut self,
         now: Millis,
@@ -130,7 +131,7 @@
         elapsed_s
     }
 
-    /// Subtracts what the peers are taken to have used since the last refill: as much as before.
+    /// Subtracts what the peers are assumed to have used since the last refill: as much per second as before.
     fn extrapolate_peer_usage(&mut self, now: Millis) {
         let until = now.min(self.last_total_at + MAX_EXTRAPOLATION_MS);
         let unseen_s = (until - self.refilled_at.max(self.last_total_at)).max(0.0) / 1000.0;
@@ -165,7 +166,7 @@
     }
 
     /// Starts to count in a new window. No total will show the usage at the peers after the last total of the
-    /// old one: they are taken to have continued as before, for `PEER_RATE_AVERAGING_MS` at most.
+    /// old one: they are assumed to have continued as before, for `PEER_RATE_AVERAGING_MS` at most.
     fn enter_window(&mut self, window: &Window, limits: QuotaLimits) {
         let unseen_ms = window.start - self.last_total_at;
         if let Some(last_usage) = self.last_usage {
@@ -212,6 +213,7 @@
         true
     }
 
+    /// The usage that a total shows, in this window and before it.
     fn counted_usage(
         &self,
         now: Millis,
@@ -233,8 +235,9 @@
         }
     }
 
-    /// Subtracts what was used at the peers since the last total. The longer ago that was, the more the level
-    /// follows the count alone: errors of the two ways of counting would add up otherwise.
+    /// Subtracts what was used at the peers since the last total, as if it was spread evenly over the time
+    /// since then. The longer that is, the less is known of it, and the more the level follows the count
+    /// alone.
     fn correct_level(
         &mut self,
         now: Millis,
@@ -248,6 +251,7 @@
         let added = usage.total - last_usage * remaining - usage.charged;
         let peer_units = decay.evenly_spread_usage(added, elapsed_ms);
         self.level += std::mem::take(&mut self.extrapolated_units) - peer_units;
+        // At least as much is left as if all usage that still counts had been taken from a full quota.
         let min_level = limits.burst - usage.before_request;
         let count_weight = (1.0 - remaining).powi(2);
         self.level = (1.0 - count_weight) * self.level.max(min_level)
@@ -255,6 +259,7 @@
         self.update_peer_rate(peer_units, elapsed_ms);
     }
 
+    /// Averages the rate of usage at the peers (EWMA over time).
     fn update_peer_rate(&mut self, peer_units: f64, elapsed_ms: Millis) {
         let remaining = (-elapsed_ms / PEER_RATE_AVERAGING_MS).exp();
         let rate = peer_units.max(0.0) * 1000.0 / elapsed_ms;
--- a/src/policy/shared_quota/tests.rs
+++ b/src/policy/shared_quota/tests.rs
@@ -91,7 +91,7 @@
     extrapolated.refill(START + 2000.0, LIMITS, PeerUsage::Extrapolate);
     assert!(
         extrapolated.level < level + LIMITS.rate,
-        "the peers are taken to continue"
+        "the peers are assumed to continue"
     );
     // They stopped.
     use_units(&mut extrapolated, &mut total, START + 2000.0, 0.0);
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -5,7 +5,7 @@
 use crate::primitives::ramp::LinearRamp;
 use crate::state::{EndpointTable, WarmUp, WarmingMembers};
 
-/// Least share of its capacity that an endpoint is taken to start with.
+/// Least share of its capacity that an endpoint is assumed to start with.
 const MIN_CAPACITY_SHARE: f64 = 0.05;
 /// Most tokens of one endpoint. With more, attempts could come in bursts that it has no capacity for yet.
 const MAX_TOKENS: f64 = 1.0;
