--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -2,7 +2,7 @@
 
 use crate::api::{Action, EndpointId, Event, Millis, Settings};
 use crate::policy::{forwarding::Forwarder, poll_retry::PollRetry};
-use crate::state::{Context, CounterReply, OpenRequests, Timer};
+use crate::state::{ChargeReply, Context, OpenRequests, Timer};
 
 /// Time between two runs of the periodic housekeeping, in ms.
 const TICK_MS: f64 = 1000.0;
@@ -91,7 +91,7 @@
                 total,
                 elapsed_ms,
             } => {
-                let reply = CounterReply {
+                let reply = ChargeReply {
                     key,
                     outcome,
                     total,
--- a/src/policy/counter_calls.rs
+++ b/src/policy/counter_calls.rs
@@ -5,7 +5,7 @@
 use crate::policy::call_limiter::CallLimiter;
 use crate::policy::counter_wait::CounterWait;
 use crate::policy::shared_quota::key_ttl_ms;
-use crate::state::{counter_key, Context, CounterReply, PendingCharge, PendingCharges};
+use crate::state::{counter_key, ChargeReply, Context, PendingCharge, PendingCharges};
 
 /// Paces the calls to the counter, and keeps those in flight.
 pub(super) struct CounterCalls {
@@ -40,12 +40,12 @@
     }
 
     /// The call that was replied to, or has failed; none if it isn't known.
-    pub(super) fn end(&mut self, reply: &CounterReply) -> Option<PendingCharge> {
+    pub(super) fn end(&mut self, reply: &ChargeReply) -> Option<PendingCharge> {
         self.pending.pop(reply.key)
     }
 
     /// Learns from a reply. Returns whether it shows that the counter is short of capacity.
-    pub(super) fn record_reply(&mut self, cx: &Context, reply: &CounterReply) -> bool {
+    pub(super) fn record_reply(&mut self, cx: &Context, reply: &ChargeReply) -> bool {
         let classes = cx.settings.classes.iter();
         let shortest_objective_ms = classes
             .map(|class| class.latency_objective_ms)
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -13,7 +13,7 @@
 use crate::policy::customer_quota::{idle_timeout_ms, retry_after_ms};
 use crate::policy::shared_quota::{PeerUsage, QuotaLimits};
 use crate::primitives::mean::ExponentialMean;
-use crate::state::{Account, ChargeResult, Context, CounterReply, PendingCharge};
+use crate::state::{Account, ChargeReply, ChargeResult, Context, PendingCharge};
 use crate::state::{Customer, Customers, OpenRequest, SharedQuota};
 
 /// Least time between two calls that only ask for a customer's total, in ms.
@@ -193,7 +193,7 @@
     pub(crate) fn counter_replied(
         &mut self,
         cx: &Context,
-        reply: &CounterReply,
+        reply: &ChargeReply,
     ) -> Option<RequestId> {
         let pending = self.counter.end(reply)?;
         if self.counter.record_reply(cx, reply) {
--- a/src/state/counter_call.rs
+++ b/src/state/charge.rs
@@ -1,7 +1,6 @@
 //! Charges at the shared counter, and the replies to them.
 
 use crate::api::{CustomerId, Millis, Outcome, Request, RequestId};
-use crate::state::Charge;
 use std::collections::{BTreeMap, VecDeque};
 
 /// A customer under a plan: what a charge is made to.
@@ -22,6 +21,19 @@
     }
 }
 
+/// An addition to the shared counter.
+#[derive(Clone, Copy)]
+pub(crate) struct Charge {
+    /// Number of the customer's window in which it is counted.
+    pub(crate) window: u64,
+    /// Time until that window ends, in ms.
+    pub(crate) window_remaining_ms: Millis,
+    /// What is added to the count: the request's units and those not settled before, weighted by forward decay.
+    pub(crate) weighted_units: f64,
+    /// The request's units.
+    pub(crate) units: f64,
+}
+
 /// A charge whose call to the counter awaits its reply.
 pub(crate) struct PendingCharge {
     pub(crate) account: Account,
@@ -30,9 +42,9 @@
     pub(crate) charge: Charge,
 }
 
-/// The reply to a call, or its failure.
+/// The reply of the counter to a charge, or the failure of the call.
 #[derive(Clone, Copy)]
-pub(crate) struct CounterReply {
+pub(crate) struct ChargeReply {
     pub(crate) key: u64,
     pub(crate) outcome: Outcome,
     /// The count after the call, in weighted units; meaningful only after a success.
@@ -51,7 +63,7 @@
     MayHaveCounted,
 }
 
-impl CounterReply {
+impl ChargeReply {
     pub(crate) fn charge_result(&self) -> ChargeResult {
         match self.valid_total() {
             Some(total) => ChargeResult::Counted { total },
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,9 +1,9 @@
 //! The state of the gateway: plain records with their constructors, and the tables that hold them. The rules that
 //! change them are in `policy`.
 
+mod charge;
 mod connections;
 mod context;
-mod counter_call;
 mod customer;
 mod ejection;
 mod endpoint;
@@ -15,17 +15,17 @@
 mod warm_up;
 mod warming_members;
 
+pub(crate) use charge::{
+    counter_key, Account, Charge, ChargeReply, ChargeResult, PendingCharge, PendingCharges,
+};
 pub(crate) use connections::ConnectionEstimate;
 pub(crate) use context::Context;
-pub(crate) use counter_call::{
-    counter_key, Account, ChargeResult, CounterReply, PendingCharge, PendingCharges,
-};
 pub(crate) use customer::{Customer, Customers};
 pub(crate) use ejection::Ejection;
 pub(crate) use endpoint::{EndpointHealth, TrackedEndpoint};
 pub(crate) use endpoint_table::EndpointTable;
 pub(crate) use request::{Attempt, OpenRequest, OpenRequests};
-pub(crate) use shared_quota::{Charge, SharedQuota};
+pub(crate) use shared_quota::SharedQuota;
 pub(crate) use subset_load::SubsetLoad;
 pub(crate) use timer::Timer;
 pub(crate) use warm_up::WarmUp;
--- a/src/state/shared_quota.rs
+++ b/src/state/shared_quota.rs
@@ -2,19 +2,6 @@
 
 use crate::api::{CustomerId, Millis};
 
-/// An addition to the shared counter.
-#[derive(Clone, Copy)]
-pub(crate) struct Charge {
-    /// Number of the customer's window in which it is counted.
-    pub(crate) window: u64,
-    /// Time until that window ends, in ms.
-    pub(crate) window_remaining_ms: Millis,
-    /// What is added to the count: the request's units and those not settled before, weighted by forward decay.
-    pub(crate) weighted_units: f64,
-    /// The request's units.
-    pub(crate) units: f64,
-}
-
 /// A customer's quota as one gateway sees it. The rules that keep it up to date are in `policy::shared_quota`;
 /// decayed units are those of a leaky bucket (`primitives::forward_decay`).
 pub(crate) struct SharedQuota {
