--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,8 +1,8 @@
 //! The entry point of the library: events in, actions out. Their types are in `src/api`, the decisions in `src/policy`.
 
 use crate::api::{Action, EndpointId, Event, Millis, Settings};
-use crate::policy::{endpoints::PollRetry, request_handler::RequestHandler};
-use crate::state::{Context, CounterReply, OpenRequests, Timer};
+use crate::policy::{poll_retry::PollRetry, request_handler::RequestHandler};
+use crate::state::{ChargeReply, Context, OpenRequests, Timer};
 
 /// Time between two runs of the periodic housekeeping, in ms.
 const HOUSEKEEPING_INTERVAL_MS: Millis = 1000.0;
@@ -93,7 +93,7 @@
                 total,
                 elapsed_ms,
             } => {
-                let reply = CounterReply {
+                let reply = ChargeReply {
                     key,
                     outcome,
                     total,
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -1,31 +1,11 @@
-//! What an update of the endpoint list changes, and when a failed poll of it is retried.
+//! How an update of the endpoint list changes the table and the ring of endpoints.
 
-use crate::api::{Endpoint, EndpointState, Millis};
+use crate::api::{Endpoint, EndpointState};
 use crate::policy::{connections::usable_idle_ms, slow_start};
-use crate::primitives::{ramp::WarmUp, ring::RingArc};
-use crate::state::{ConnectionEstimate, Context, EndpointTable, TrackedEndpoint};
-use fastrand::Rng;
+use crate::primitives::ring::RingArc;
+use crate::state::{ConnectionEstimate, Context, EndpointTable, TrackedEndpoint, WarmUp};
 
-/// A failed poll is retried after this time and up to as much again by chance, in ms: a service that comes
-/// back is not polled by all gateways at once.
-const POLL_RETRY_MS: f64 = 500.0;
-
-/// When a failed poll of the endpoint list is retried.
-#[derive(Default)]
-pub(crate) struct PollRetry(Option<Millis>);
-
-impl PollRetry {
-    pub(crate) fn poll_failed(&mut self, now: Millis, rng: &mut Rng) {
-        self.0 = Some(now + POLL_RETRY_MS * (1.0 + rng.f64()));
-    }
-
-    /// Whether a retry is due; it is then taken as made.
-    pub(crate) fn take_due(&mut self, now: Millis) -> bool {
-        self.0.take_if(|at| *at <= now).is_some()
-    }
-}
-
-/// Takes in entries of the list.
+/// Updates the table and the ring by entries of the list.
 pub(super) fn update(
     cx: &mut Context,
     table: &mut EndpointTable,
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -1,40 +1,24 @@
 //! The customers' quotas, which all gateways enforce together by means of a shared counter.
+//!
+//! [`QuotaLedger`] connects the parts that a request meets: the customers' levels (`customer_quota`), the
+//! calls to the counter (`counter_calls`) and the exchange of usage with other gateways (`gossip`). A
+//! request's units are charged before it is forwarded. Units that could not be charged, and differences to
+//! the units that the request really used, are settled with a later charge.
 
-use crate::api::{Action, Millis, RequestId, Settings};
+use crate::api::{Millis, RequestId, Settings};
 use crate::gossip::UsageExchange;
 use crate::policy::call_limiter::CallPriority;
+use crate::policy::ceiling::CeilingShare;
 use crate::policy::counter_calls::CounterCalls;
+use crate::policy::customer_quota::{idle_timeout_ms, retry_after_ms};
+use crate::policy::shared_quota::{PeerUsage, QuotaLimits};
 use crate::primitives::mean::ExponentialMean;
-use crate::primitives::shared_bucket::{
-    BucketLimits, RemoteUsage, SharedBucket, SharedBucketParameters,
-};
-use crate::primitives::token_bucket::TokenBucket;
-use crate::state::{counter_key, CounterCall, CounterReply, OpenRequest, PendingCounterCalls};
-use crate::state::{Account, Context, Customer, Customers};
+use crate::state::{Account, ChargeReply, ChargeResult, Context, PendingCharge};
+use crate::state::{Customer, Customers, OpenRequest, SharedQuota};
 
-/// How a customer's quota is rebuilt from the counter.
-const QUOTA_COUNT: SharedBucketParameters = SharedBucketParameters {
-    decay_bursts: 1.25,  // more is kinder to chance, less to sudden bursts
-    window_decays: 20.0, // longer windows have fewer edges, where usage may go unseen
-    min_window_ms: 100.0,
-    max_window_ms: 50_000.0, // less than the longest life of a key at the counter
-    lost_count_share: 0.99,
-    remote_rate_ms: 2000.0, // a few of a customer's requests
-    projection_ms: 10_000.0,
-};
-/// Longest life of a key, in ms, as the counter allows it.
-const MAX_KEY_TTL_MS: f64 = 60_000.0;
-/// The quota falls below 0 by the units of one request, or by this share of the burst.
-const MAX_DEFICIT_PER_BURST: f64 = 0.25;
 /// Least time between two calls that only ask for a customer's total, in ms.
-const MIN_TOTAL_QUERY_INTERVAL_MS: f64 = 100.0;
-/// A customer idle for this many decay times of its usage is forgotten: its quota must be full again.
-const IDLE_DECAYS: f64 = 3.0;
-/// The shortest such time, in ms.
-const MIN_IDLE_MS: f64 = 1000.0;
-/// Retry-After of a request over its quota: half the time in which the missing units are refilled.
-const RETRY_AFTER_MS_PER_REFILL_SECOND: f64 = 500.0;
-/// Weight of one request in the mean units: about the last hundred count.
+const MIN_TOTAL_QUERY_INTERVAL_MS: Millis = 100.0;
+/// Weight of one request in the mean units: about the last 100 requests count.
 const MEAN_UNITS_GAIN: f64 = 0.01;
 /// The mean units before any request.
 const INITIAL_MEAN_UNITS: f64 = 1.0;
@@ -47,7 +31,7 @@
     pub(crate) customers: Customers,
     counter: CounterCalls,
     pub(crate) gossip: UsageExchange,
-    pending_calls: PendingCounterCalls,
+    /// Units of one request, averaged over all customers.
     mean_units: ExponentialMean,
 }
 
@@ -58,34 +42,23 @@
             customers: Customers::default(),
             counter: CounterCalls::new(now),
             gossip: UsageExchange::default(),
-            pending_calls: PendingCounterCalls::default(),
             mean_units: ExponentialMean::new(INITIAL_MEAN_UNITS, MEAN_UNITS_GAIN),
         }
     }
 
-    /// Units left for a request that has just come in; other gateways can only have used more.
+    /// Units left for a request that has just arrived.
     pub(crate) fn available_units(&mut self, cx: &Context, open: &OpenRequest) -> f64 {
         self.mean_units.update(open.request.units);
         let gossip_active = self.gossip.is_active(cx);
         let customer = self.refresh(cx, open.account(), open.request.gateway_set_size);
-        let level = customer.quota.level().min(cx.plan(open.account()).burst);
-        let level = if gossip_active {
-            customer.gossip_level
-        } else {
-            level
-        };
-        level - customer.reserved_units
+        customer.available_units(cx.plan(open.account()).burst, gossip_active)
     }
 
     /// Units left for a request that has waited for the counter.
     pub(crate) fn counted_units(&mut self, cx: &Context, open: &OpenRequest) -> f64 {
         let gossip_active = self.gossip.is_active(cx);
         let customer = self.refresh(cx, open.account(), open.request.gateway_set_size);
-        let level = customer.quota.level();
-        if gossip_active {
-            return level.min(customer.gossip_level);
-        }
-        level
+        customer.counted_units(gossip_active)
     }
 
     /// The customer's attempts in flight at all gateways, where one takes `baseline_ms`.
@@ -97,76 +70,66 @@
         })
     }
 
-    /// Refills what the customer may use, up to now; a customer that is not known yet is added. It comes
-    /// through `gateway_set_size` gateways.
+    /// Refills what the customer may use, up to now; a customer that is not known yet is added. Its requests
+    /// come through `gateway_set_size` gateways.
     fn refresh(&mut self, cx: &Context, account: Account, gateway_set_size: f64) -> &mut Customer {
         let plan = cx.plan(account);
-        let ceiling_share =
-            1.0 / gateway_set_size.clamp(1.0, f64::from(cx.settings.gateway_count.max(1)));
-        let ceiling_capacity = plan.ceiling_burst * ceiling_share;
-        let uptime_s = (cx.now - self.started_at).max(0.0) / 1000.0;
+        let ceiling_share = CeilingShare::new(cx.settings, plan, gateway_set_size);
+        let uptime_ms = cx.now - self.started_at;
         let customer = self.customers.get_or_insert_with(account.customer, || {
-            // A restarted gateway can't know what it sent before: its share of a ceiling starts empty.
-            let ceiling = (uptime_s * plan.ceiling_rate * ceiling_share).min(ceiling_capacity);
-            let quota = SharedBucket::new(&QUOTA_COUNT, account.customer, cx.now, plan.burst);
-            Customer::new(cx.now, quota, TokenBucket::new(ceiling))
+            let quota = SharedQuota::new(account.customer, cx.now, plan.burst);
+            Customer::new(cx.now, quota, ceiling_share.initial_bucket(uptime_ms))
         });
-        let exhausted = self.counter.limiter.is_exhausted();
-        let remote_usage = if exhausted {
-            RemoteUsage::Projected
+        let peer_usage = if self.counter.limiter.is_exhausted() {
+            PeerUsage::Extrapolate
         } else {
-            RemoteUsage::Ignored
+            PeerUsage::AwaitTotal
         };
-        let elapsed_s = customer.refill(cx.now, bucket_limits(cx, account), remote_usage);
-        customer.ceiling.refill(
-            elapsed_s * plan.ceiling_rate * ceiling_share,
-            ceiling_capacity,
-        );
+        let elapsed_s = customer.refill(cx.now, quota_limits(cx, account), peer_usage);
+        ceiling_share.refill(&mut customer.ceiling, elapsed_s);
         customer.last_seen_at = cx.now;
         customer
     }
 
-    /// The customer used units here, or is refunded if negative.
+    /// Records units that the customer used here, or a refund if negative.
     pub(crate) fn record_usage(&mut self, cx: &mut Context, account: Account, units: f64) {
         self.customers.record_usage(account.customer, units);
         self.gossip.record_usage(cx, account, units);
     }
 
-    /// Units that the customer's next charge carries to the counter, or refunds if negative.
+    /// Adds units, or a refund if negative, to the customer's next charge.
     pub(crate) fn settle_later(&mut self, cx: &Context, account: Account, units: f64) {
         if let Some(customer) = self.customers.get_mut(account.customer) {
             customer
                 .quota
-                .settle_later(cx.now, units, bucket_limits(cx, account));
+                .settle_later(cx.now, units, quota_limits(cx, account));
         }
     }
 
-    /// Corrects a charge whose request turned out to use other units.
+    /// Settles the difference between the units that a request was charged and those that it used.
     pub(crate) fn settle(&mut self, cx: &mut Context, account: Account, units: f64) {
         self.settle_later(cx, account, units);
         self.record_usage(cx, account, units);
     }
 
-    /// Advice to a client whose request is over its quota, in ms.
+    /// Time after which the client may retry a request that is over its quota, in ms.
     pub(crate) fn retry_after(&self, cx: &Context, open: &OpenRequest) -> Millis {
         let plan = cx.plan(open.account());
         if plan.rate <= 0.0 {
             return cx.class(&open.request).latency_objective_ms;
         }
-        let level = self
-            .customers
-            .get(open.request.customer)
-            .map_or(0.0, |customer| customer.quota.level());
-        let missing = open.request.units.min(plan.burst) - level;
-        (missing / plan.rate * RETRY_AFTER_MS_PER_REFILL_SECOND).max(0.0)
+        let customer = self.customers.get(open.request.customer);
+        let level = customer.map_or(0.0, |customer| customer.quota.level);
+        retry_after_ms(plan, open.request.units, level)
     }
 
-    /// Charges a request at the counter, if there is one. Returns whether it waits for the answer.
+    /// Charges a request at the counter, if there is one. Returns whether it waits for the reply.
     pub(crate) fn charge(&mut self, cx: &mut Context, open: &OpenRequest) -> bool {
         if !is_counted(cx, open) {
             return false;
         }
-        // A counter that fails is still called, less often; what is not charged now is with the next call.
+        // A counter that is short of capacity, or down, is called less often. The request is admitted by
+        // what this gateway knows, and its units are charged with the next call.
         if !self
             .counter
             .limiter
@@ -182,10 +145,11 @@
 
     /// Longest time that the request waits for the counter, in ms.
     pub(crate) fn max_wait(&self, open: &OpenRequest) -> Millis {
-        self.counter.wait.timeout(open.objective_ms)
+        self.counter.max_wait_ms(open.objective_ms)
     }
 
-    /// Asks the counter for the customer's total now and then, while requests are rejected without a charge.
+    /// Queries the customer's total at the counter now and then, while requests are rejected without a
+    /// charge: the level would not be corrected otherwise.
     pub(crate) fn query_total(&mut self, cx: &mut Context, open: &OpenRequest) {
         let customer = self.customers.get(open.request.customer);
         let due =
@@ -195,7 +159,7 @@
         }
     }
 
-    /// Calls the counter with the units not settled yet, if it is well.
+    /// Charges the units not settled yet, if the pace of calls permits an optional one.
     pub(crate) fn settle_now(&mut self, cx: &mut Context, open: &OpenRequest) {
         if self
             .counter
@@ -214,66 +178,42 @@
         };
         let charge = customer
             .quota
-            .charge(cx.now, units, bucket_limits(cx, account));
+            .charge(cx.now, units, quota_limits(cx, account));
         customer.pending_calls += 1;
         customer.last_call_at = cx.now;
-        let key = counter_key(account.customer, charge.window);
-        let ttl_ms =
-            (charge.remaining_ms + MAX_KEY_TTL_MS - QUOTA_COUNT.max_window_ms).min(MAX_KEY_TTL_MS);
-        cx.actions.push(Action::AddToCounter {
-            key,
-            amount: charge.amount,
-            ttl_ms,
-        });
-        self.pending_calls.push(
-            key,
-            CounterCall {
-                account,
-                request: open.request.id,
-                charge,
-            },
-        );
+        let pending = PendingCharge {
+            account,
+            request: open.request.id,
+            charge,
+        };
+        self.counter.start(cx, pending);
     }
 
-    /// The counter has answered a call, or the call has failed. Returns the request that it was made for.
+    /// The counter has replied to a call, or the call has failed. Returns the request that it was made for.
     pub(crate) fn counter_replied(
         &mut self,
         cx: &Context,
-        reply: &CounterReply,
+        reply: &ChargeReply,
     ) -> Option<RequestId> {
-        let call = self.pending_calls.pop(reply.key)?;
+        let pending = self.counter.end(reply)?;
         if self.counter.record_reply(cx, reply) {
             self.gossip.record_shortage(cx.now);
         }
-        self.apply_reply(cx, &call, reply);
-        Some(call.request)
+        self.apply_result(cx, &pending, reply.charge_result());
+        Some(pending.request)
     }
 
-    /// Rebuilds the customer's quota from the reply to a call.
-    fn apply_reply(&mut self, cx: &Context, call: &CounterCall, reply: &CounterReply) {
-        let Some(customer) = self.customers.get_mut(call.account.customer) else {
+    fn apply_result(&mut self, cx: &Context, pending: &PendingCharge, result: ChargeResult) {
+        let gossip_active = self.gossip.is_active(cx);
+        let Some(customer) = self.customers.get_mut(pending.account.customer) else {
             return;
         };
-        let limits = bucket_limits(cx, call.account);
         customer.pending_calls = customer.pending_calls.saturating_sub(1);
-        if let Some(total) = reply.valid_total() {
-            customer.refill(cx.now, limits, RemoteUsage::Ignored);
-            let applied = customer
-                .quota
-                .apply_total(cx.now, call.charge, total, limits);
-            // All usage is on the count unless gateways exchange it.
-            if applied && !self.gossip.is_active(cx) {
-                customer.gossip_level = customer.quota.level();
-            }
-        } else if reply.outcome.never_executed() {
-            // A call that timed out may have been counted, and is not repeated.
-            customer
-                .quota
-                .settle_later(cx.now, call.charge.tokens, limits);
-        }
+        let limits = quota_limits(cx, pending.account);
+        customer.apply_result(cx.now, pending.charge, result, limits, gossip_active);
     }
 
-    /// Subtracts what customers used at another gateway, as its message says.
+    /// Subtracts what customers used at another gateway, by its message.
     pub(crate) fn receive_gossip(&mut self, cx: &Context, from: u32, body: &[u8]) {
         for usage in self.gossip.receive(cx, from, body) {
             let account = Account {
@@ -283,39 +223,23 @@
             let Some(plan) = cx.settings.plans.get(account.plan) else {
                 continue;
             };
-            // The number of its gateways is unknown: the least share of a ceiling, as nothing is sent here.
+            // The message doesn't state through how many gateways the customer's requests come. The least
+            // share of the ceiling is safe, as none of them comes through this one now.
             let customer = self.refresh(cx, account, f64::INFINITY);
-            if customer.gossip_level >= usage.units {
-                customer.gossip_level = (customer.gossip_level - usage.units).min(plan.burst);
-            }
+            customer.record_peer_usage(usage.units, plan.burst);
         }
     }
 
-    /// Forgets the customers whose quotas must be full again.
+    /// Forgets the idle customers whose quotas must be full again.
     pub(crate) fn forget_idle(&mut self, now: Millis, settings: &Settings) {
-        let refill_s = |burst: f64, rate: f64| if rate > 0.0 { burst / rate } else { 0.0 };
-        let idle_ms = settings.plans.iter().map(|plan| {
-            let decay_ms =
-                refill_s(plan.burst, plan.rate) * QUOTA_COUNT.decay_bursts * IDLE_DECAYS * 1000.0;
-            decay_ms.max(refill_s(plan.ceiling_burst, plan.ceiling_rate) * 1000.0)
-        });
-        let longest_ms = idle_ms.fold(MIN_IDLE_MS, f64::max);
+        let idle_timeout_ms = idle_timeout_ms(settings);
         self.customers
-            .forget_idle(|last_seen_at| now - last_seen_at >= longest_ms);
+            .forget_idle(|last_seen_at| now - last_seen_at >= idle_timeout_ms);
     }
 }
 
-fn bucket_limits(cx: &Context, account: Account) -> BucketLimits {
-    let plan = cx.plan(account);
-    let max_deficit = cx
-        .settings
-        .max_units
-        .max(plan.burst * MAX_DEFICIT_PER_BURST);
-    BucketLimits {
-        rate: plan.rate,
-        burst: plan.burst,
-        max_deficit,
-    }
+fn quota_limits(cx: &Context, account: Account) -> QuotaLimits {
+    QuotaLimits::new(cx.settings, cx.plan(account))
 }
 
 /// Whether the counter holds the customer's usage.
