--- a/src/bin/quota-gateway/http/body.rs
+++ b/src/bin/quota-gateway/http/body.rs
@@ -1,16 +1,17 @@
 //! The framing of bodies, without input or output: takes the bytes of a body out of a buffer.
 
 use super::error::MalformedResponse;
-use super::head::MAX_HEAD_BYTES;
 use bytes::{Buf, Bytes, BytesMut};
 use httparse::Status;
 
+/// Largest line with a chunk's size, and largest trailer line.
+const MAX_LINE_BYTES: usize = 16 * 1024;
 /// The end of a line.
 const LINE_END: &[u8] = b"\r\n";
 
 /// What is still to come of a body.
 #[derive(Clone, Copy)]
-pub enum Body {
+pub enum BodyDecoder {
     /// This many bytes.
     Length(usize),
     /// The line with a chunk's size.
@@ -35,10 +36,10 @@
     Incomplete,
 }
 
-impl Body {
+impl BodyDecoder {
     /// True if only the end of the connection ends the body.
     pub fn ends_with_connection(&self) -> bool {
-        matches!(self, Body::UntilClose)
+        matches!(self, BodyDecoder::UntilClose)
     }
 
     /// Takes the next bytes out of the buffer. A claimed length is never waited for or stored: what is there is
@@ -46,11 +47,11 @@
     pub fn decode(&mut self, buffer: &mut BytesMut) -> Result<Decoded, MalformedResponse> {
         loop {
             let advanced = match *self {
-                Body::Complete | Body::Length(0) => return Ok(Decoded::End),
-                Body::ChunkSize => self.read_chunk_size(buffer)?,
-                Body::ChunkData(0) => self.read_chunk_end(buffer)?,
-                Body::Trailers => self.read_trailer(buffer)?,
-                Body::Length(_) | Body::ChunkData(_) | Body::UntilClose => {
+                BodyDecoder::Complete | BodyDecoder::Length(0) => return Ok(Decoded::End),
+                BodyDecoder::ChunkSize => self.read_chunk_size(buffer)?,
+                BodyDecoder::ChunkData(0) => self.read_chunk_end(buffer)?,
+                BodyDecoder::Trailers => self.read_trailer(buffer)?,
+                BodyDecoder::Length(_) | BodyDecoder::ChunkData(_) | BodyDecoder::UntilClose => {
                     return Ok(self.take_data(buffer));
                 }
             };
@@ -65,16 +66,16 @@
             return Decoded::Incomplete;
         }
         let data = match *self {
-            Body::Length(left) => {
+            BodyDecoder::Length(left) => {
                 let length = left.min(buffer.len());
-                *self = Body::Length(left - length);
+                *self = BodyDecoder::Length(left - length);
                 buffer.split_to(length)
             }
-            Body::ChunkData(left) => {
+            BodyDecoder::ChunkData(left) => {
                 let length = usize::try_from(left)
                     .unwrap_or(usize::MAX)
                     .min(buffer.len());
-                *self = Body::ChunkData(left - length as u64);
+                *self = BodyDecoder::ChunkData(left - length as u64);
                 buffer.split_to(length)
             }
             _ => buffer.split(),
@@ -88,13 +89,13 @@
             Ok(Status::Complete((line_length, size))) => {
                 buffer.advance(line_length);
                 *self = if size == 0 {
-                    Body::Trailers
+                    BodyDecoder::Trailers
                 } else {
-                    Body::ChunkData(size)
+                    BodyDecoder::ChunkData(size)
                 };
                 Ok(true)
             }
-            Ok(Status::Partial) if buffer.len() > MAX_HEAD_BYTES => {
+            Ok(Status::Partial) if buffer.len() > MAX_LINE_BYTES => {
                 Err(MalformedResponse::ChunkLineTooLong)
             }
             Ok(Status::Partial) => Ok(false),
@@ -112,7 +113,7 @@
             return Err(MalformedResponse::MissingChunkEnd);
         }
         buffer.advance(LINE_END.len());
-        *self = Body::ChunkSize;
+        *self = BodyDecoder::ChunkSize;
         Ok(true)
     }
 
@@ -122,14 +123,14 @@
             .windows(LINE_END.len())
             .position(|window| window == LINE_END)
         else {
-            if buffer.len() > MAX_HEAD_BYTES {
+            if buffer.len() > MAX_LINE_BYTES {
                 return Err(MalformedResponse::TrailerTooLong);
             }
             return Ok(false);
         };
         buffer.advance(end + LINE_END.len());
         if end == 0 {
-            *self = Body::Complete;
+            *self = BodyDecoder::Complete;
         }
         Ok(true)
     }
--- a/src/bin/quota-gateway/http/head.rs
+++ b/src/bin/quota-gateway/http/head.rs
@@ -1,11 +1,11 @@
 //! Heads of responses, by httparse.
 
-use super::body::Body;
+use super::body::BodyDecoder;
 use super::error::MalformedResponse;
 use bytes::Bytes;
 use httparse::{Header, Status};
 
-/// Largest head, chunk line or trailer line.
+/// Largest head.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Most headers of a head.
 const MAX_HEADERS: usize = 64;
@@ -30,14 +30,14 @@
     /// What the gateway needs of it.
     pub head: Head,
     /// The framing of the body behind it.
-    pub body: Body,
+    pub body: BodyDecoder,
     /// Its length in bytes.
     pub length: usize,
 }
 
 /// The headers that say how long the body and the connection last.
 #[derive(Default)]
-struct Framing {
+struct FramingHeaders {
     content_length: Option<usize>,
     chunked: bool,
     close: bool,
@@ -59,7 +59,7 @@
         units: None,
         content_type: None,
     };
-    let mut framing = Framing::default();
+    let mut framing = FramingHeaders::default();
     for header in response.headers.iter() {
         read_header(header, &mut head, &mut framing)?;
     }
@@ -74,7 +74,7 @@
 fn read_header(
     header: &Header<'_>,
     head: &mut Head,
-    framing: &mut Framing,
+    framing: &mut FramingHeaders,
 ) -> Result<(), MalformedResponse> {
     let value = std::str::from_utf8(header.value).unwrap_or("").trim();
     let is_named = |name: &str| header.name.eq_ignore_ascii_case(name);
@@ -94,7 +94,7 @@
     Ok(())
 }
 
-fn read_connection_options(value: &str, head: &mut Head, framing: &mut Framing) {
+fn read_connection_options(value: &str, head: &mut Head, framing: &mut FramingHeaders) {
     for option in value.split(',').map(str::trim) {
         if option.eq_ignore_ascii_case("close") {
             framing.close = true;
@@ -111,7 +111,7 @@
         .filter(|units: &f64| units.is_finite() && *units >= 0.0)
 }
 
-impl Framing {
+impl FramingHeaders {
     fn set_content_length(&mut self, value: &str) -> Result<(), MalformedResponse> {
         // The number's parser would take a sign, too.
         if !value.bytes().all(|byte| byte.is_ascii_digit()) {
@@ -135,15 +135,15 @@
         Ok(())
     }
 
-    fn body(&self, status: u16) -> Result<Body, MalformedResponse> {
+    fn body(&self, status: u16) -> Result<BodyDecoder, MalformedResponse> {
         match (status, self.chunked, self.content_length) {
-            (100..=199 | 204 | 304, ..) => Ok(Body::Complete),
+            (100..=199 | 204 | 304, ..) => Ok(BodyDecoder::Complete),
             // Which of the two holds can't be known: the rest of the body would be read as the next response.
             (_, true, Some(_)) => Err(MalformedResponse::LengthAndTransferEncoding),
-            (_, true, None) => Ok(Body::ChunkSize),
-            (_, false, Some(length)) => Ok(Body::Length(length)),
+            (_, true, None) => Ok(BodyDecoder::ChunkSize),
+            (_, false, Some(length)) => Ok(BodyDecoder::Length(length)),
             // Its end is that of the connection. A break resets the connection, and is told from that.
-            (_, false, None) => Ok(Body::UntilClose),
+            (_, false, None) => Ok(BodyDecoder::UntilClose),
         }
     }
 }
--- a/src/bin/quota-gateway/http/reader.rs
+++ b/src/bin/quota-gateway/http/reader.rs
@@ -1,6 +1,6 @@
 //! Responses on a socket.
 
-use super::body::{Body, Decoded};
+use super::body::{BodyDecoder, Decoded};
 use super::error::MalformedResponse;
 use super::head::{parse_head, Head, MAX_HEAD_BYTES};
 use bytes::{Buf, Bytes, BytesMut};
@@ -22,7 +22,7 @@
     pub io: R,
     buffer: BytesMut,
     /// What is still to come of the body that is being read.
-    body: Body,
+    body: BodyDecoder,
     interim_responses: u32,
     /// The response that `read_response` is reading: its head, and its body up to now.
     partial_head: Option<Head>,
@@ -35,7 +35,7 @@
         Reader {
             io,
             buffer: BytesMut::new(),
-            body: Body::Complete,
+            body: BodyDecoder::Complete,
             interim_responses: 0,
             partial_head: None,
             partial_body: BytesMut::new(),
@@ -85,7 +85,7 @@
                 Err(e)
                     if e.kind() == ErrorKind::UnexpectedEof && self.body.ends_with_connection() =>
                 {
-                    self.body = Body::Complete;
+                    self.body = BodyDecoder::Complete;
                 }
                 other => other?,
             }
@@ -98,7 +98,7 @@
             self.partial_head = Some(self.read_head().await?);
         }
         // A body of gigabytes is not waited for.
-        if matches!(self.body, Body::Length(length) if length > max_body) {
+        if matches!(self.body, BodyDecoder::Length(length) if length > max_body) {
             return Err(MalformedResponse::BodyTooLong.into());
         }
         while let Some(chunk) = self.read_body_chunk().await? {
