--- a/src/bin/quota-gateway/counter/client.rs
+++ b/src/bin/quota-gateway/counter/client.rs
@@ -11,7 +11,7 @@
 
 /// A call that adds an amount to the count of a key.
 #[derive(Clone)]
-pub struct CounterCall {
+pub struct IncrementCall {
     pub key: u64,
     pub amount: f64,
     /// The counter forgets a new key after this time.
@@ -21,11 +21,11 @@
 
 /// Puts calls into the queues.
 pub struct CounterClient {
-    queues: Vec<Sender<CounterCall>>,
+    queues: Vec<Sender<IncrementCall>>,
 }
 
 /// The other ends of the queues, one for each connection.
-pub type CounterQueues = Vec<Receiver<CounterCall>>;
+pub type CounterQueues = Vec<Receiver<IncrementCall>>;
 
 impl CounterClient {
     pub fn new() -> (Self, CounterQueues) {
@@ -35,7 +35,7 @@
 
     /// Queues a call; false if its queue is full.
     #[must_use]
-    pub fn call(&self, call: CounterCall) -> bool {
+    pub fn call(&self, call: IncrementCall) -> bool {
         let index = (call.key ^ call.key >> 30) as usize % self.queues.len();
         self.queues[index].try_send(call).is_ok()
     }
--- a/src/bin/quota-gateway/counter/codec.rs
+++ b/src/bin/quota-gateway/counter/codec.rs
@@ -1,6 +1,6 @@
 //! The text of a call to the counter, and the meaning of its response.
 
-use super::client::CounterCall;
+use super::client::IncrementCall;
 use quota_gateway::Outcome;
 use std::net::SocketAddr;
 
@@ -18,14 +18,14 @@
 
 /// What a response says.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct CounterReply {
+pub struct CounterResponse {
     pub outcome: Outcome,
     /// The total after the call; 0 unless it succeeded.
     pub total: f64,
 }
 
 /// The requests that together add the amount of a call.
-pub fn encode(call: &CounterCall, addr: SocketAddr) -> Vec<String> {
+pub fn encode(call: &IncrementCall, addr: SocketAddr) -> Vec<String> {
     let parts = split_amount(call.amount * SCALE);
     parts
         .into_iter()
@@ -33,7 +33,7 @@
         .collect()
 }
 
-fn request(call: &CounterCall, part: f64, addr: SocketAddr) -> String {
+fn request(call: &IncrementCall, part: f64, addr: SocketAddr) -> String {
     let key = call.key;
     let expire_ms = call.ttl_ms.max(1.0) as u64;
     format!(
@@ -53,17 +53,17 @@
 }
 
 /// Reads a response. Without a total that is a number the amount may or may not have been added.
-pub fn decode(status: u16, body: &[u8]) -> CounterReply {
+pub fn decode(status: u16, body: &[u8]) -> CounterResponse {
     match (status, parse_total(body)) {
-        (200, Some(total)) => CounterReply {
+        (200, Some(total)) => CounterResponse {
             outcome: Outcome::Success,
             total: total / SCALE,
         },
-        (503 | 400 | 404, _) => CounterReply {
+        (503 | 400 | 404, _) => CounterResponse {
             outcome: Outcome::Rejected,
             total: 0.0,
         },
-        _ => CounterReply {
+        _ => CounterResponse {
             outcome: Outcome::ErrorResponse,
             total: 0.0,
         },
--- a/src/bin/quota-gateway/counter/codec/tests.rs
+++ b/src/bin/quota-gateway/counter/codec/tests.rs
@@ -11,7 +11,7 @@
 
 #[test]
 fn only_a_finite_number_is_a_total() {
-    let success = CounterReply {
+    let success = CounterResponse {
         outcome: Outcome::Success,
         total: 2.0,
     };
--- a/src/bin/quota-gateway/counter/connection.rs
+++ b/src/bin/quota-gateway/counter/connection.rs
@@ -1,6 +1,6 @@
 //! One connection to the counter, on which calls are pipelined.
 
-use super::client::{CounterCall, QUEUE_CAPACITY};
+use super::client::{IncrementCall, QUEUE_CAPACITY};
 use super::codec;
 use super::report::CallReporter;
 use crate::http::{Head, Reader};
@@ -25,16 +25,16 @@
 const MAX_RESPONSE_BYTES: usize = 1024;
 
 /// What all connections share.
-pub struct ConnectionContext {
+pub struct CounterContext {
     /// A call without a response is reported as timed out after this.
     pub call_timeout: Duration,
     pub reporter: CallReporter,
-    pub invalid_response: RateLimitedWarning,
+    pub invalid_response_warning: RateLimitedWarning,
 }
 
 /// A request that is queued or written and has no response yet.
 struct PendingRequest {
-    call: CounterCall,
+    call: IncrementCall,
     /// Position in the connection's outgoing bytes at which the request ends.
     end_offset: u64,
     /// The call was reported as timed out, or this request adds only a part of its amount that is not the last.
@@ -42,12 +42,12 @@
 }
 
 /// An open connection. All state is kept here, so that dropping `serve` at any point loses nothing.
-pub struct Connection {
+pub struct CounterConnection {
     reader: Reader<Socket>,
     /// Another handle of the reader's socket.
     writer: Socket,
     addr: SocketAddr,
-    context: Rc<ConnectionContext>,
+    context: Rc<CounterContext>,
     /// Bytes still to be written.
     outgoing: BytesMut,
     /// All bytes ever put into `outgoing`.
@@ -59,9 +59,9 @@
     last_response_at: Instant,
 }
 
-impl Connection {
-    pub fn new(socket: Socket, addr: SocketAddr, context: Rc<ConnectionContext>) -> Self {
-        Connection {
+impl CounterConnection {
+    pub fn new(socket: Socket, addr: SocketAddr, context: Rc<CounterContext>) -> Self {
+        CounterConnection {
             reader: Reader::new(socket.clone()),
             writer: socket,
             addr,
@@ -75,7 +75,7 @@
     }
 
     /// Puts a call into the outgoing bytes.
-    pub fn enqueue(&mut self, call: &CounterCall) {
+    pub fn enqueue(&mut self, call: &IncrementCall) {
         let requests = codec::encode(call, self.addr);
         for (index, request) in requests.iter().enumerate() {
             self.outgoing.extend_from_slice(request.as_bytes());
@@ -91,7 +91,7 @@
 
     /// Serves calls until the connection breaks, falls silent or has been idle for too long. Without a queue it ends
     /// with the last response that is awaited.
-    pub async fn serve(&mut self, mut queue: Option<&mut Receiver<CounterCall>>) {
+    pub async fn serve(&mut self, mut queue: Option<&mut Receiver<IncrementCall>>) {
         loop {
             let has_room = self.pending.len() < QUEUE_CAPACITY;
             match queue.as_deref_mut() {
@@ -135,13 +135,13 @@
         }
     }
 
-    fn enqueue_waiting_calls(&mut self, queue: &mut Receiver<CounterCall>) {
+    fn enqueue_waiting_calls(&mut self, queue: &mut Receiver<IncrementCall>) {
         while let Ok(call) = queue.try_recv() {
             self.enqueue(&call);
         }
     }
 
-    fn on_call(&mut self, call: Option<CounterCall>) -> ControlFlow<()> {
+    fn on_call(&mut self, call: Option<IncrementCall>) -> ControlFlow<()> {
         let Some(call) = call else {
             return ControlFlow::Break(());
         };
@@ -172,7 +172,7 @@
         let is_invalid = reply.outcome == Outcome::ErrorResponse;
         if is_invalid {
             self.context
-                .invalid_response
+                .invalid_response_warning
                 .warn("invalid response from the counter with status", head.status);
         }
         if !request.ignore_response {
@@ -256,7 +256,7 @@
 }
 
 /// The next call from the queue; never, without one.
-async fn next_call(queue: Option<&mut Receiver<CounterCall>>) -> Option<CounterCall> {
+async fn next_call(queue: Option<&mut Receiver<IncrementCall>>) -> Option<IncrementCall> {
     match queue {
         Some(queue) => queue.recv().await,
         None => std::future::pending().await,
--- a/src/bin/quota-gateway/counter/mod.rs
+++ b/src/bin/quota-gateway/counter/mod.rs
@@ -6,11 +6,11 @@
 mod report;
 mod worker;
 
-pub use client::{CounterCall, CounterClient, CounterQueues};
+pub use client::{CounterClient, CounterQueues, IncrementCall};
 pub use report::CounterReplyHandler;
 
 use crate::rate_limited_warning::RateLimitedWarning;
-use connection::ConnectionContext;
+use connection::CounterContext;
 use report::CallReporter;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -25,10 +25,10 @@
     timeout_ms: f64,
     handler: Rc<dyn CounterReplyHandler>,
 ) {
-    let context = Rc::new(ConnectionContext {
+    let context = Rc::new(CounterContext {
         call_timeout: Duration::from_secs_f64(timeout_ms / 1000.0),
         reporter: CallReporter::new(handler),
-        invalid_response: RateLimitedWarning::default(),
+        invalid_response_warning: RateLimitedWarning::default(),
     });
     for queue in queues {
         tokio::task::spawn_local(worker::run(addr.clone(), queue, context.clone()));
--- a/src/bin/quota-gateway/counter/report.rs
+++ b/src/bin/quota-gateway/counter/report.rs
@@ -1,6 +1,6 @@
 //! Reports how calls ended.
 
-use super::client::CounterCall;
+use super::client::IncrementCall;
 use quota_gateway::Outcome;
 use std::rc::Rc;
 
@@ -20,7 +20,7 @@
         CallReporter { handler }
     }
 
-    pub fn report(&self, call: &CounterCall, outcome: Outcome, total: f64) {
+    pub fn report(&self, call: &IncrementCall, outcome: Outcome, total: f64) {
         let elapsed_ms = call.started_at.elapsed().as_secs_f64() * 1000.0;
         self.handler
             .clone()
--- a/src/bin/quota-gateway/counter/worker.rs
+++ b/src/bin/quota-gateway/counter/worker.rs
@@ -1,7 +1,7 @@
 //! Serves one queue of calls: connects when a call is waiting and the former connection has ended.
 
-use super::client::CounterCall;
-use super::connection::{Connection, ConnectionContext};
+use super::client::IncrementCall;
+use super::connection::{CounterConnection, CounterContext};
 use crate::socket::Socket;
 use quota_gateway::Outcome;
 use std::net::SocketAddr;
@@ -13,8 +13,8 @@
 /// Runs until the sender of the queue is dropped. A new address is used at once.
 pub async fn run(
     mut addr: watch::Receiver<SocketAddr>,
-    mut queue: Receiver<CounterCall>,
-    context: Rc<ConnectionContext>,
+    mut queue: Receiver<IncrementCall>,
+    context: Rc<CounterContext>,
 ) {
     while let Some(first_call) = queue.recv().await {
         let current_addr = *addr.borrow_and_update();
@@ -23,7 +23,7 @@
             fail_waiting_calls(&first_call, &mut queue, &context);
             continue;
         };
-        let mut connection = Connection::new(socket, current_addr, context.clone());
+        let mut connection = CounterConnection::new(socket, current_addr, context.clone());
         connection.enqueue(&first_call);
         tokio::select! {
             () = connection.serve(Some(&mut queue)) => connection.close(),
@@ -36,9 +36,9 @@
 
 /// Without a connection nothing was added for any of the calls.
 fn fail_waiting_calls(
-    first_call: &CounterCall,
-    queue: &mut Receiver<CounterCall>,
-    context: &ConnectionContext,
+    first_call: &IncrementCall,
+    queue: &mut Receiver<IncrementCall>,
+    context: &CounterContext,
 ) {
     context
         .reporter
--- a/src/bin/quota-gateway/discovery/mod.rs
+++ b/src/bin/quota-gateway/discovery/mod.rs
@@ -57,7 +57,7 @@
 }
 
 impl DiscoveryClient {
-    /// Opens a watch, follows it until it ends and pauses.
+    /// Opens a watch, follows it until it ends, and waits before the next one.
     async fn watch_once(&mut self, addr: SocketAddr) {
         let request = WatchRequest {
             addr,
@@ -69,11 +69,11 @@
         let watch = open_watch(&mut self.policy, call, on_failure).await;
         let opened_at = Instant::now();
         let end = follow(watch, &self.updates).await;
-        let pause = self
+        let delay = self
             .policy
-            .pause_after_watch(opened_at.elapsed(), end.is_invalid_response());
+            .reopen_delay(opened_at.elapsed(), end.is_invalid_response());
         self.warning.warn(WATCH_ENDED, end);
-        sleep(pause).await;
+        sleep(delay).await;
     }
 
     fn address_changed(&mut self) {
--- a/src/bin/quota-gateway/discovery/policy.rs
+++ b/src/bin/quota-gateway/discovery/policy.rs
@@ -1,6 +1,6 @@
 //! Timeouts and retry times of the calls to discovery.
 
-use super::schedule::{Backoff, Cadence};
+use super::schedule::{Backoff, CallSchedule};
 use quota_gateway::Settings;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -22,11 +22,11 @@
 /// A call to the agent may take this share of the time in which a draining endpoint may still get requests. A call
 /// written while discovery is down may never be answered, and the next one has to fit in as well.
 const AGENT_CALL_SHARE_OF_DRAIN_GRACE: f64 = 0.2;
-/// The pause between two calls to the agent, which answers from memory at no cost to anyone.
-const AGENT_RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// The delay between two calls to the agent, which answers from memory at no cost to anyone.
+const AGENT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// A watch on a shared service that ended after it had been open is reopened within this time: at once, all gateways
 /// would call together, and later would exceed the propagation limit.
-const MAX_REOPEN_PAUSE: Duration = Duration::from_secs(2);
+const MAX_REOPEN_DELAY: Duration = Duration::from_secs(2);
 /// Longest drain grace that the timeouts take into account.
 const MAX_DRAIN_GRACE_MS: f64 = 60_000.0;
 
@@ -53,7 +53,7 @@
     timeouts: CallTimeouts,
     /// Longest time from the start of an unanswered call to the start of the next one.
     max_call_interval: Duration,
-    cadence: Cadence,
+    call_schedule: CallSchedule,
     invalid_response_backoff: Backoff,
     rng: fastrand::Rng,
 }
@@ -82,12 +82,12 @@
             source,
             timeouts,
             max_call_interval: match source {
-                Source::LocalAgent => agent_timeout + AGENT_RETRY_PAUSE,
+                Source::LocalAgent => agent_timeout + AGENT_RETRY_DELAY,
                 Source::SharedService => service_interval,
             },
-            cadence: Cadence::new(settings.gateway_count, service_interval, seed),
+            call_schedule: CallSchedule::new(settings.gateway_count, service_interval, seed),
             invalid_response_backoff: Backoff::new(
-                AGENT_RETRY_PAUSE,
+                AGENT_RETRY_DELAY,
                 service_interval,
                 seed.rotate_left(16),
             ),
@@ -105,7 +105,7 @@
     pub fn unanswered_interval(&mut self, only_one: bool) -> Duration {
         match self.source {
             Source::LocalAgent => self.max_call_interval,
-            Source::SharedService => self.cadence.unanswered_interval(only_one),
+            Source::SharedService => self.call_schedule.unanswered_interval(only_one),
         }
     }
 
@@ -117,41 +117,37 @@
         invalid_response: bool,
     ) -> Instant {
         let now = Instant::now();
-        let pause = match self.source {
-            Source::LocalAgent => AGENT_RETRY_PAUSE,
-            Source::SharedService => self.cadence.pause_after_failure(now - started_at),
+        let delay = match self.source {
+            Source::LocalAgent => AGENT_RETRY_DELAY,
+            Source::SharedService => self.call_schedule.delay_after_failure(now - started_at),
         };
-        now + self.back_off_if(invalid_response, pause)
+        now + self.with_backoff_if(invalid_response, delay)
     }
 
-    /// The pause after a watch that was open for this long. Invalid events are not requested in a loop.
+    /// The delay after a watch that was open for this long. Invalid events are not requested in a loop.
     #[must_use]
-    pub fn pause_after_watch(
-        &mut self,
-        was_open_for: Duration,
-        invalid_response: bool,
-    ) -> Duration {
-        self.cadence.reset();
-        let pause = match self.source {
-            Source::LocalAgent => AGENT_RETRY_PAUSE,
-            Source::SharedService => MAX_REOPEN_PAUSE.mul_f64(self.rng.f64()),
+    pub fn reopen_delay(&mut self, was_open_for: Duration, invalid_response: bool) -> Duration {
+        self.call_schedule.reset();
+        let delay = match self.source {
+            Source::LocalAgent => AGENT_RETRY_DELAY,
+            Source::SharedService => MAX_REOPEN_DELAY.mul_f64(self.rng.f64()),
         };
         if was_open_for >= self.max_call_interval {
             self.invalid_response_backoff.reset();
         }
-        self.back_off_if(invalid_response, pause)
+        self.with_backoff_if(invalid_response, delay)
     }
 
     /// Discovery has moved to another address.
     pub fn address_changed(&mut self) {
-        self.cadence.reset();
+        self.call_schedule.reset();
     }
 
-    fn back_off_if(&mut self, invalid_response: bool, pause: Duration) -> Duration {
+    fn with_backoff_if(&mut self, invalid_response: bool, delay: Duration) -> Duration {
         if invalid_response {
-            pause.max(self.invalid_response_backoff.next_pause())
+            delay.max(self.invalid_response_backoff.next_delay())
         } else {
-            pause
+            delay
         }
     }
 }
@@ -159,5 +155,5 @@
 fn agent_call_timeout(drain_grace_ms: f64) -> Duration {
     let grace_s = drain_grace_ms.clamp(0.0, MAX_DRAIN_GRACE_MS) / 1000.0;
     let timeout = Duration::from_secs_f64(grace_s * AGENT_CALL_SHARE_OF_DRAIN_GRACE);
-    timeout.max(AGENT_RETRY_PAUSE).min(CONNECT_TIMEOUT)
+    timeout.max(AGENT_RETRY_DELAY).min(CONNECT_TIMEOUT)
 }
--- a/src/bin/quota-gateway/discovery/policy/tests.rs
+++ b/src/bin/quota-gateway/discovery/policy/tests.rs
@@ -28,28 +28,28 @@
 fn invalid_responses_are_not_requested_in_a_loop() {
     for (endpoints_polled, watches) in [(false, false), (false, true), (true, true)] {
         let mut policy = policy(1, endpoints_polled, 1);
-        let pauses: Vec<_> = (0..20)
+        let delays: Vec<_> = (0..20)
             .map(|_| {
                 if watches {
-                    policy.pause_after_watch(Duration::ZERO, true)
+                    policy.reopen_delay(Duration::ZERO, true)
                 } else {
                     policy.next_call_after_failure(Instant::now(), true) - Instant::now()
                 }
             })
             .collect();
         let longest = PROPAGATION_LIMIT - RESPONSE_ALLOWANCE;
-        assert!(pauses.iter().all(|pause| *pause <= longest), "{pauses:?}");
+        assert!(delays.iter().all(|delay| *delay <= longest), "{delays:?}");
         assert!(
-            pauses[8..].iter().sum::<Duration>() > 12 * longest / 4,
-            "{pauses:?}"
+            delays[8..].iter().sum::<Duration>() > 12 * longest / 4,
+            "{delays:?}"
         );
-        let _ = policy.pause_after_watch(PROPAGATION_LIMIT, false);
-        let longest_pause = if endpoints_polled {
-            MAX_REOPEN_PAUSE
+        let _ = policy.reopen_delay(PROPAGATION_LIMIT, false);
+        let longest_delay = if endpoints_polled {
+            MAX_REOPEN_DELAY
         } else {
-            AGENT_RETRY_PAUSE
+            AGENT_RETRY_DELAY
         };
-        assert!(policy.pause_after_watch(PROPAGATION_LIMIT, false) <= longest_pause);
+        assert!(policy.reopen_delay(PROPAGATION_LIMIT, false) <= longest_delay);
     }
 }
 
@@ -58,9 +58,9 @@
 fn watches_on_a_shared_service_that_end_together_are_reopened_spread_out() {
     let mut reopened = [0; 20];
     for seed in 0..300 {
-        let pause = policy(300, true, seed).pause_after_watch(Duration::from_secs(60), false);
-        assert!(IDLE_TIMEOUT + pause < Duration::from_secs(5));
-        reopened[(pause.as_millis() / 100) as usize] += 1;
+        let delay = policy(300, true, seed).reopen_delay(Duration::from_secs(60), false);
+        assert!(IDLE_TIMEOUT + delay < Duration::from_secs(5));
+        reopened[(delay.as_millis() / 100) as usize] += 1;
     }
     assert!(reopened.iter().all(|n| *n <= 30), "{reopened:?}");
 }
--- a/src/bin/quota-gateway/discovery/schedule.rs
+++ b/src/bin/quota-gateway/discovery/schedule.rs
@@ -1,4 +1,4 @@
-//! When to retry: exponential backoff for a caller whose retries disturb nobody else, and a cadence for calls to a
+//! When to retry: exponential backoff for a caller whose retries disturb nobody else, and a schedule for calls to a
 //! service that all gateways share.
 
 use std::time::Duration;
@@ -11,8 +11,8 @@
     rng: fastrand::Rng,
     initial: Duration,
     max: Duration,
-    /// Longest pause that may be drawn next.
-    ceiling: Duration,
+    /// Longest delay that may be drawn next.
+    next_max: Duration,
 }
 
 impl Backoff {
@@ -22,26 +22,26 @@
             rng: fastrand::Rng::with_seed(seed),
             initial,
             max,
-            ceiling: initial,
+            next_max: initial,
         }
     }
 
-    /// The pause before the next attempt after one more failure.
+    /// The delay before the next attempt after one more failure.
     #[must_use]
-    pub fn next_pause(&mut self) -> Duration {
+    pub fn next_delay(&mut self) -> Duration {
         let shortest = self.initial / 2;
-        let pause = shortest
+        let delay = shortest
             + self
-                .ceiling
+                .next_max
                 .saturating_sub(shortest)
                 .mul_f64(self.rng.f64());
-        self.ceiling = (self.ceiling * 2).min(self.max);
-        pause
+        self.next_max = (self.next_max * 2).min(self.max);
+        delay
     }
 
     /// An attempt has succeeded.
     pub fn reset(&mut self) {
-        self.ceiling = self.initial;
+        self.next_max = self.initial;
     }
 }
 
@@ -57,32 +57,32 @@
 /// Spaces one caller's attempts at a service that all gateways share, until one succeeds. The first interval is
 /// random, so that callers that failed together do not come back together. All later ones are the same for every
 /// caller, which keeps the callers as far apart as they are and makes none wait longer than the others.
-pub struct Cadence {
+pub struct CallSchedule {
     rng: fastrand::Rng,
     interval: Duration,
     max_interval: Duration,
     /// The random interval has passed.
-    dispersed: bool,
+    has_jittered: bool,
 }
 
-impl Cadence {
+impl CallSchedule {
     /// For one of this number of gateways; the seed sets it apart from the others.
     pub fn new(gateway_count: u32, max_interval: Duration, seed: u64) -> Self {
         let min_interval = MIN_INTERVAL.min(max_interval);
         let interval = (INTERVAL_PER_GATEWAY * gateway_count).clamp(min_interval, max_interval);
-        Cadence {
+        CallSchedule {
             rng: fastrand::Rng::with_seed(seed),
             interval,
             max_interval,
-            dispersed: false,
+            has_jittered: false,
         }
     }
 
     /// From the failure of an attempt that took this long to the next attempt.
     #[must_use]
-    pub fn pause_after_failure(&mut self, took: Duration) -> Duration {
+    pub fn delay_after_failure(&mut self, took: Duration) -> Duration {
         let fraction = self.fraction();
-        self.dispersed = true;
+        self.has_jittered = true;
         self.interval.saturating_sub(took).mul_f64(fraction)
     }
 
@@ -91,7 +91,7 @@
     #[must_use]
     pub fn unanswered_interval(&mut self, only_one: bool) -> Duration {
         if !only_one {
-            self.dispersed = true;
+            self.has_jittered = true;
         }
         let fraction = self.fraction();
         self.max_interval
@@ -100,12 +100,12 @@
 
     /// An attempt has succeeded: all gateways may see the next failure at the same time.
     pub fn reset(&mut self) {
-        self.dispersed = false;
+        self.has_jittered = false;
     }
 
     /// The part of the interval to wait.
     fn fraction(&mut self) -> f64 {
-        if self.dispersed {
+        if self.has_jittered {
             1.0
         } else {
             self.rng.f64()
--- a/src/bin/quota-gateway/discovery/schedule/tests.rs
+++ b/src/bin/quota-gateway/discovery/schedule/tests.rs
@@ -5,8 +5,8 @@
 /// When each gateway calls a service that fails all of them at the same time, in the first 20 s.
 fn attempt_times(gateway_count: u32) -> Vec<Vec<Duration>> {
     let attempts = |seed| {
-        let mut cadence = Cadence::new(gateway_count, MAX_INTERVAL, seed);
-        let next = |at: &Duration| Some(*at + cadence.pause_after_failure(Duration::ZERO));
+        let mut call_schedule = CallSchedule::new(gateway_count, MAX_INTERVAL, seed);
+        let next = |at: &Duration| Some(*at + call_schedule.delay_after_failure(Duration::ZERO));
         std::iter::successors(Some(Duration::ZERO), next)
             .take_while(|at| *at < 5 * MAX_INTERVAL)
             .collect()
@@ -61,21 +61,21 @@
 fn backoff_grows_up_to_its_maximum_and_a_success_resets_it() {
     let initial = Duration::from_millis(50);
     let mut backoff = Backoff::new(initial, MAX_INTERVAL, 1);
-    let pauses: Vec<_> = (0..50).map(|_| backoff.next_pause()).collect();
+    let delays: Vec<_> = (0..50).map(|_| backoff.next_delay()).collect();
     assert!(
-        pauses
+        delays
             .iter()
-            .all(|pause| *pause >= initial / 2 && *pause <= MAX_INTERVAL),
-        "{pauses:?}"
+            .all(|delay| *delay >= initial / 2 && *delay <= MAX_INTERVAL),
+        "{delays:?}"
     );
     assert!(
-        pauses.iter().any(|pause| *pause > MAX_INTERVAL / 2),
-        "{pauses:?}"
+        delays.iter().any(|delay| *delay > MAX_INTERVAL / 2),
+        "{delays:?}"
     );
     assert!(
-        pauses.iter().sum::<Duration>() > 20 * MAX_INTERVAL / 2,
-        "{pauses:?}"
+        delays.iter().sum::<Duration>() > 20 * MAX_INTERVAL / 2,
+        "{delays:?}"
     );
     backoff.reset();
-    assert!(backoff.next_pause() <= initial);
+    assert!(backoff.next_delay() <= initial);
 }
--- a/src/bin/quota-gateway/driver/actions.rs
+++ b/src/bin/quota-gateway/driver/actions.rs
@@ -3,7 +3,7 @@
 use super::messages::FinalResponse;
 use super::requests::UnsentAttempt;
 use super::Driver;
-use crate::counter::CounterCall;
+use crate::counter::IncrementCall;
 use quota_gateway::{Action, AttemptEnd, EndpointId, Event, Outcome, RequestId};
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -115,7 +115,7 @@
     /// Calls the counter, or reports that there is no room for the call.
     fn add_to_counter(&self, key: u64, amount: f64, ttl_ms: f64) -> Option<Event> {
         let counter = self.counter.as_ref()?;
-        if counter.call(CounterCall {
+        if counter.call(IncrementCall {
             key,
             amount,
             ttl_ms,
--- a/src/bin/quota-gateway/server/accept.rs
+++ b/src/bin/quota-gateway/server/accept.rs
@@ -17,9 +17,9 @@
 use tokio::time::{sleep, timeout, Instant};
 
 /// Pause after an error that concerns all connections, such as a lack of descriptors in the whole system.
-const ACCEPT_RETRY: Duration = Duration::from_millis(5);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
 /// Errors in a row that may each concern one connection only; more are taken for one that concerns all.
-const MAX_ERRORS_WITHOUT_PAUSE: u32 = 64;
+const MAX_ERRORS_WITHOUT_DELAY: u32 = 64;
 /// A new connection keeps its slot for this long in any case: its request may be on the way.
 const NEW_CLIENT_GRACE: Duration = Duration::from_millis(20);
 /// A client that was evicted has gone by then.
@@ -29,14 +29,14 @@
 struct AcceptQueue {
     listener: TcpListener,
     /// The queue was not empty, and stalled, from then on.
-    held_up_since: Option<Instant>,
+    backlog_since: Option<Instant>,
 }
 
 impl AcceptQueue {
     fn new(listener: TcpListener) -> Self {
         AcceptQueue {
             listener,
-            held_up_since: None,
+            backlog_since: None,
         }
     }
 
@@ -45,7 +45,7 @@
         poll_fn(|cx| {
             let accepted = self.listener.poll_accept(cx);
             if accepted.is_pending() {
-                self.held_up_since = None;
+                self.backlog_since = None;
             }
             accepted.map_ok(|(stream, _)| Socket::new(stream))
         })
@@ -53,22 +53,22 @@
     }
 
     /// Accepting has failed: those in the queue have to wait.
-    fn is_held_up(&mut self) {
-        self.held_up_since.get_or_insert_with(Instant::now);
+    fn record_accept_failure(&mut self) {
+        self.backlog_since.get_or_insert_with(Instant::now);
     }
 
     /// When what a connection has sent by now may have come, if it had to wait in the queue.
-    fn first_arrival(&self, socket: &Socket) -> Option<Instant> {
-        self.held_up_since
+    fn earliest_arrival(&self, socket: &Socket) -> Option<Instant> {
+        self.backlog_since
             .filter(|_| socket.peek() == PeekResult::Data)
     }
 }
 
 /// Leaves time for a lack of resources to pass. Most other errors concern the one connection that they took out of
 /// the queue, and the next one may be accepted at once.
-async fn pause_after_error(error: &io::Error, errors_in_a_row: u32) {
-    if lacks_resources(error) || errors_in_a_row >= MAX_ERRORS_WITHOUT_PAUSE {
-        sleep(ACCEPT_RETRY).await;
+async fn delay_after_error(error: &io::Error, consecutive_errors: u32) {
+    if lacks_resources(error) || consecutive_errors >= MAX_ERRORS_WITHOUT_DELAY {
+        sleep(ACCEPT_RETRY_DELAY).await;
     } else {
         yield_now().await;
     }
@@ -82,7 +82,7 @@
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         let warning = RateLimitedWarning::default();
         let mut phase = self.lifecycle.subscribe();
-        let mut errors_in_a_row = 0;
+        let mut consecutive_errors = 0;
         let mut queue = AcceptQueue::new(listener);
         for number in 0.. {
             let accepted = tokio::select! {
@@ -93,15 +93,15 @@
             let stream = match accepted {
                 Ok(stream) => stream,
                 Err(e) => {
-                    queue.is_held_up();
-                    errors_in_a_row += 1;
+                    queue.record_accept_failure();
+                    consecutive_errors += 1;
                     self.driver.metrics().accept_errors.inc();
-                    pause_after_error(&e, errors_in_a_row).await;
+                    delay_after_error(&e, consecutive_errors).await;
                     warning.warn("accept", e);
                     continue;
                 }
             };
-            errors_in_a_row = 0;
+            consecutive_errors = 0;
             self.driver.metrics().connections_accepted.inc();
             let Some(slot) = self.acquire_slot().await else {
                 // A broken connection needs no response.
@@ -112,7 +112,7 @@
                     .increment(ConnectionEnd::NoSlot);
                 continue;
             };
-            let client = Rc::new(Client::new(queue.first_arrival(&stream)));
+            let client = Rc::new(Client::new(queue.earliest_arrival(&stream)));
             self.spawn_client(number, stream, client, slot);
             // Its request is read before it can be taken for an idle client.
             yield_now().await;
--- a/src/bin/quota-gateway/server/client.rs
+++ b/src/bin/quota-gateway/server/client.rs
@@ -18,7 +18,7 @@
 
 /// Where a client stands between connecting and leaving.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Phase {
+enum ClientPhase {
     /// It has sent no request yet.
     New,
     /// Its request is being read.
@@ -28,7 +28,7 @@
     /// It has its last response.
     Idle,
     /// Nothing more that it sends is taken for a request.
-    Ended,
+    Closed,
 }
 
 /// Counts the empty lines that end heads.
@@ -58,7 +58,7 @@
 
 /// What the server knows of one client's connection.
 pub struct Client {
-    phase: Cell<Phase>,
+    phase: Cell<ClientPhase>,
     connected_at: Instant,
     /// When it connected or got its last response.
     idle_since: Cell<Instant>,
@@ -87,7 +87,7 @@
     pub fn new(first_arrival: Option<Instant>) -> Self {
         let now = Instant::now();
         Client {
-            phase: Cell::new(Phase::New),
+            phase: Cell::new(ClientPhase::New),
             connected_at: now,
             idle_since: Cell::new(now),
             first_arrival: Cell::new(first_arrival),
@@ -108,7 +108,7 @@
         let arrived_at = self.first_arrival.take().unwrap_or(read_at);
         self.last_arrival.set(arrived_at);
         // What is read with a body may belong to the next head; that has only begun with the next bytes.
-        if self.phase.get() != Phase::Receiving && self.head_begun_at.get().is_none() {
+        if self.phase.get() != ClientPhase::Receiving && self.head_begun_at.get().is_none() {
             self.head_begun_at.set(Some(arrived_at));
         }
     }
@@ -131,10 +131,10 @@
         let begun_at = self.head_begun_at.take().unwrap_or(self.last_arrival.get());
         self.request_begun_at
             .set(begun_at.max(self.idle_since.get()));
-        if self.phase.get() == Phase::New {
+        if self.phase.get() == ClientPhase::New {
             self.request_begun_at.set(self.connected_at);
         }
-        self.phase.set(Phase::Receiving);
+        self.phase.set(ClientPhase::Receiving);
     }
 
     /// When the bytes that were read last came.
@@ -149,12 +149,12 @@
 
     /// The request is complete, and nothing more is due from the client before the response.
     pub fn request_complete(&self) {
-        self.phase.set(Phase::Serving);
+        self.phase.set(ClientPhase::Serving);
     }
 
     /// The request's response is made and about to be written, or the client has gone.
     pub fn request_ended(&self) {
-        self.phase.set(Phase::Idle);
+        self.phase.set(ClientPhase::Idle);
         self.has_unwritten_response.set(true);
         self.idle_since.set(Instant::now());
     }
@@ -166,7 +166,7 @@
 
     /// Nothing more that it sends is taken for a request.
     pub fn connection_ended(&self) {
-        self.phase.set(Phase::Ended);
+        self.phase.set(ClientPhase::Closed);
         self.head_begun_at.set(None);
         self.has_unwritten_response.set(false);
     }
@@ -175,15 +175,15 @@
     pub fn head_deadline(&self) -> Option<Instant> {
         let head_begun_at = self.head_begun_at.get();
         match self.phase.get() {
-            Phase::New => Some(match head_begun_at {
+            ClientPhase::New => Some(match head_begun_at {
                 Some(at) => (at + HEAD_TIMEOUT).min(self.connected_at + REQUEST_TIMEOUT),
                 None => self.connected_at + IDLE_TIMEOUT,
             }),
-            Phase::Idle => Some(match head_begun_at {
+            ClientPhase::Idle => Some(match head_begun_at {
                 Some(at) => at.max(self.idle_since.get()) + HEAD_TIMEOUT,
                 None => self.idle_since.get() + IDLE_TIMEOUT,
             }),
-            Phase::Receiving | Phase::Serving | Phase::Ended => None,
+            ClientPhase::Receiving | ClientPhase::Serving | ClientPhase::Closed => None,
         }
     }
 
@@ -199,15 +199,15 @@
 
     /// True while nothing more is due from it before its response.
     pub fn is_being_served(&self) -> bool {
-        self.phase.get() == Phase::Serving
+        self.phase.get() == ClientPhase::Serving
     }
 
     /// True if it has no request open, and is not so new that its first one may be on the way.
     pub fn is_evictable(&self, new_client_grace: Duration) -> bool {
         match self.phase.get() {
-            Phase::New => self.connected_at.elapsed() > new_client_grace,
-            Phase::Idle | Phase::Ended => !self.has_unwritten_response.get(),
-            Phase::Receiving | Phase::Serving => false,
+            ClientPhase::New => self.connected_at.elapsed() > new_client_grace,
+            ClientPhase::Idle | ClientPhase::Closed => !self.has_unwritten_response.get(),
+            ClientPhase::Receiving | ClientPhase::Serving => false,
         }
     }
 
@@ -218,7 +218,7 @@
 
     /// True once the head of its first request has come.
     pub fn has_sent_request(&self) -> bool {
-        self.phase.get() != Phase::New
+        self.phase.get() != ClientPhase::New
     }
 
     /// True if a part of a head has come and the rest has not.
@@ -239,6 +239,9 @@
 
     /// True while it has a request without a response.
     pub fn has_open_request(&self) -> bool {
-        matches!(self.phase.get(), Phase::Receiving | Phase::Serving)
+        matches!(
+            self.phase.get(),
+            ClientPhase::Receiving | ClientPhase::Serving
+        )
     }
 }
--- a/src/bin/quota-gateway/server/client/tests.rs
+++ b/src/bin/quota-gateway/server/client/tests.rs
@@ -64,11 +64,11 @@
 /// What a client had sent before it was accepted may have come as long ago as the queue stalled.
 #[tokio::test(start_paused = true)]
 async fn the_first_bytes_of_a_client_that_waited_count_from_the_start_of_its_wait() {
-    let held_up_since = Instant::now();
+    let backlog_since = Instant::now();
     advance(SECOND).await;
-    let client = Client::new(Some(held_up_since));
+    let client = Client::new(Some(backlog_since));
     client.bytes_read(b"x", Instant::now());
-    assert_eq!(client.last_arrival(), held_up_since);
+    assert_eq!(client.last_arrival(), backlog_since);
     advance(SECOND).await;
     client.bytes_read(b"x", Instant::now());
     assert_eq!(client.last_arrival(), Instant::now());
--- a/src/bin/quota-gateway/server/connection.rs
+++ b/src/bin/quota-gateway/server/connection.rs
@@ -34,17 +34,17 @@
 const LINGER_BUFFER_BYTES: usize = 64 * 1024;
 
 /// Why the requests on a connection have ended.
-enum Ended {
+enum CloseReason {
     /// hyper has ended the connection.
-    Closed,
+    Finished,
     /// The client has gone while its request was being served.
-    ClientGone,
+    ClientDisconnected,
     /// The client has sent no complete head in time.
-    TimedOut,
+    HeadTimeout,
     /// The process ends, and nothing is owed to the client.
     Drained,
     /// The process ends, and a request has come in part.
-    Incomplete,
+    PartialRequest,
 }
 
 /// Wakes a connection when its client has to have a complete head.
@@ -113,8 +113,8 @@
     }
 
     /// No connection may be closed under a complete request without a response, unless its client has gone.
-    fn check_end(&self, client: &Client, stream: &ClientStream) {
-        if client.is_being_served() && !stream.has_ended() {
+    fn report_unanswered_close(&self, client: &Client, stream: &ClientStream) {
+        if client.is_being_served() && !stream.has_disconnected() {
             self.driver
                 .guard()
                 .report(Rule::CloseUnanswered, "the connection ended first");
@@ -145,44 +145,42 @@
             .serve_connection(TokioIo::new(stream.clone()), service);
         let mut head_timer = HeadTimer::new(client);
         let mut phase = self.lifecycle.subscribe();
-        let ended = loop {
+        let reason = loop {
             let current_phase = *phase.borrow_and_update();
-            let ended = poll_fn(|cx| {
+            let reason = poll_fn(|cx| {
                 let served = connection.poll_without_shutdown(cx).is_ready();
-                poll_ended(served, current_phase, &stream, client, &mut head_timer, cx)
+                poll_close_reason(served, current_phase, &stream, client, &mut head_timer, cx)
             });
-            let ended = tokio::select! {
+            let reason = tokio::select! {
                 // What has come is read before the connection counts as idle.
                 biased;
-                ended = ended => ended,
+                reason = reason => reason,
                 // Fails only once the process has no lifecycle any more.
                 Ok(()) = phase.changed() => continue,
             };
-            if matches!(ended, Ended::Closed | Ended::ClientGone) {
-                break ended;
+            if matches!(
+                reason,
+                CloseReason::Finished | CloseReason::ClientDisconnected
+            ) {
+                break reason;
             }
             // The system may have bytes that the runtime does not know of, as after a stall of the whole process:
             // they are read first, and the connection goes on if they change what is owed.
             yield_now().await;
             if poll_fn(|cx| Poll::Ready(connection.poll_without_shutdown(cx).is_ready())).await {
-                break Ended::Closed;
+                break CloseReason::Finished;
             }
-            let still_ends = match ended {
-                Ended::TimedOut => is_expired(client),
-                Ended::Incomplete => is_incomplete(current_phase, client),
-                _ => is_drained(current_phase, client),
-            };
-            if still_ends && !stream.has_unread_bytes() {
-                break ended;
+            if still_applies(&reason, current_phase, client) && !stream.has_unread_bytes() {
+                break reason;
             }
         };
-        self.record_end(end_reason(&ended, *phase.borrow()));
-        match ended {
-            Ended::Closed => {
-                self.check_end(client, &stream);
+        self.record_end(metric_label(&reason, *phase.borrow()));
+        match reason {
+            CloseReason::Finished => {
+                self.report_unanswered_close(client, &stream);
                 Some(stream)
             }
-            Ended::Incomplete => {
+            CloseReason::PartialRequest => {
                 // A broken connection needs no response.
                 let _ = stream
                     .socket()
@@ -191,19 +189,21 @@
                 Some(stream)
             }
             // Closed unread: a request that crosses the close may be sent again.
-            Ended::ClientGone | Ended::TimedOut | Ended::Drained => None,
+            CloseReason::ClientDisconnected | CloseReason::HeadTimeout | CloseReason::Drained => {
+                None
+            }
         }
     }
 }
 
-fn end_reason(ended: &Ended, phase: Phase) -> ConnectionEnd {
-    match ended {
-        Ended::ClientGone => ConnectionEnd::ClientGone,
-        Ended::TimedOut => ConnectionEnd::TimedOut,
-        Ended::Incomplete => ConnectionEnd::Incomplete,
-        Ended::Drained => ConnectionEnd::Draining,
-        Ended::Closed if phase >= Phase::NoNewConnections => ConnectionEnd::Draining,
-        Ended::Closed => ConnectionEnd::Finished,
+fn metric_label(reason: &CloseReason, phase: Phase) -> ConnectionEnd {
+    match reason {
+        CloseReason::ClientDisconnected => ConnectionEnd::ClientGone,
+        CloseReason::HeadTimeout => ConnectionEnd::TimedOut,
+        CloseReason::PartialRequest => ConnectionEnd::Incomplete,
+        CloseReason::Drained => ConnectionEnd::Draining,
+        CloseReason::Finished if phase >= Phase::NoNewConnections => ConnectionEnd::Draining,
+        CloseReason::Finished => ConnectionEnd::Finished,
     }
 }
 
@@ -216,35 +216,45 @@
 }
 
 /// Whether a connection is refused as the process ends: a request has come in part, and nothing else is owed.
-fn is_incomplete(phase: Phase, client: &Client) -> bool {
+fn has_only_partial_request(phase: Phase, client: &Client) -> bool {
     phase >= Phase::Refusing && client.has_begun_head() && !client.is_owed_response()
 }
 
+/// Whether a reason to close a connection that was found before still applies.
+fn still_applies(reason: &CloseReason, phase: Phase, client: &Client) -> bool {
+    match reason {
+        CloseReason::Finished | CloseReason::ClientDisconnected => true,
+        CloseReason::HeadTimeout => is_expired(client),
+        CloseReason::PartialRequest => has_only_partial_request(phase, client),
+        CloseReason::Drained => is_drained(phase, client),
+    }
+}
+
 /// Whether requests on a connection end for now. `served` tells that hyper has ended it.
-fn poll_ended(
+fn poll_close_reason(
     served: bool,
     phase: Phase,
     stream: &ClientStream,
     client: &Client,
     head_timer: &mut HeadTimer,
     cx: &mut Context<'_>,
-) -> Poll<Ended> {
+) -> Poll<CloseReason> {
     if served {
-        return Poll::Ready(Ended::Closed);
+        return Poll::Ready(CloseReason::Finished);
     }
     // With bytes sent ahead hyper does not read on, and would not see the client go.
-    if client.is_being_served() && stream.poll_client_gone(cx).is_ready() {
-        return Poll::Ready(Ended::ClientGone);
+    if client.is_being_served() && stream.poll_disconnected(cx).is_ready() {
+        return Poll::Ready(CloseReason::ClientDisconnected);
     }
     if is_drained(phase, client) {
-        return Poll::Ready(Ended::Drained);
+        return Poll::Ready(CloseReason::Drained);
     }
-    if is_incomplete(phase, client) {
-        return Poll::Ready(Ended::Incomplete);
+    if has_only_partial_request(phase, client) {
+        return Poll::Ready(CloseReason::PartialRequest);
     }
     head_timer
         .poll_expired(client, cx)
-        .map(|()| Ended::TimedOut)
+        .map(|()| CloseReason::HeadTimeout)
 }
 
 /// Closes the sending side, then reads and drops what the client still sends, up to a bound.
--- a/src/bin/quota-gateway/server/disconnect.rs
+++ b/src/bin/quota-gateway/server/disconnect.rs
@@ -19,21 +19,21 @@
 
 /// Bytes that one client may have sent ahead while its request is served. A client sends one request at a time, so
 /// more than one complete message is never due.
-const MAX_READ_AHEAD: usize = 1 << 20;
+const MAX_READ_AHEAD_BYTES: usize = 1 << 20;
 /// The same for all clients together.
-const MAX_READ_AHEAD_TOTAL: usize = 4 << 20;
+const MAX_TOTAL_READ_AHEAD_BYTES: usize = 4 << 20;
 /// Beyond that nothing is read, and the system is polled at this interval for whether the client has gone. An
 /// attempt that begins 0.1 s after that is one too many.
-const POLL_INTERVAL: Duration = Duration::from_millis(40);
+const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(40);
 /// The end of a client is hidden from the system, too, behind more than its buffers hold. With this much unread, which
 /// is less than that, the rest is read and dropped.
-const MAX_UNREAD: usize = 32 * 1024;
+const MAX_UNREAD_BYTES: usize = 32 * 1024;
 /// Bytes of one client that are dropped at most, to bound the work.
-const MAX_DROPPED: u64 = 64 << 20;
+const MAX_DISCARDED_BYTES: u64 = 64 << 20;
 /// Room for one read.
 const READ_BUFFER_BYTES: usize = 4096;
 /// Room for one read of bytes that are dropped.
-const DROP_BUFFER_BYTES: usize = 16 * 1024;
+const DISCARD_BUFFER_BYTES: usize = 16 * 1024;
 /// Bytes that come within this time of one another count as having come together, with the first of them.
 const ARRIVAL_RESOLUTION: Duration = Duration::from_millis(5);
 
@@ -60,7 +60,7 @@
 /// The stream. Clones are handles of the same one: hyper holds one, the connection's loop the other.
 #[derive(Clone)]
 pub struct ClientStream {
-    inner: Rc<RefCell<Inner>>,
+    state: Rc<RefCell<StreamState>>,
 }
 
 /// Bytes sent ahead that came together.
@@ -69,7 +69,7 @@
     bytes: BytesMut,
 }
 
-struct Inner {
+struct StreamState {
     socket: Socket,
     client: Rc<Client>,
     /// Read while a request was served, and not yet taken by hyper.
@@ -79,18 +79,18 @@
     budget: ReadAheadBudget,
     next_poll: Pin<Box<Sleep>>,
     /// Bytes that came behind `read_ahead` and were dropped. Once there are some, the requests end before them.
-    dropped: u64,
+    discarded: u64,
     /// The client has closed its side, or the connection broke.
     ended: bool,
 }
 
-impl Drop for Inner {
+impl Drop for StreamState {
     fn drop(&mut self) {
         self.budget.release(self.read_ahead_bytes);
     }
 }
 
-impl Inner {
+impl StreamState {
     /// Reads what the client sends ahead, or its end.
     fn poll_read_ahead(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         let mut space = [0; READ_BUFFER_BYTES];
@@ -100,12 +100,12 @@
         if result.is_err() || bytes.is_empty() {
             self.ended = true;
         } else {
-            self.keep(bytes);
+            self.push_read_ahead(bytes);
         }
         Poll::Ready(())
     }
 
-    fn keep(&mut self, bytes: &[u8]) {
+    fn push_read_ahead(&mut self, bytes: &[u8]) {
         let now = Instant::now();
         match self.read_ahead.back_mut() {
             Some(last) if now - last.at < ARRIVAL_RESOLUTION => last.bytes.extend_from_slice(bytes),
@@ -120,36 +120,39 @@
     }
 
     /// Reads and drops what the client sends ahead, up to its end.
-    fn poll_drop(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        let mut space = [0; DROP_BUFFER_BYTES];
+    fn poll_discard(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+        let mut space = [0; DISCARD_BUFFER_BYTES];
         let mut buffer = ReadBuf::new(&mut space);
         let result = ready!(Pin::new(&mut self.socket).poll_read(cx, &mut buffer));
         let bytes = buffer.filled().len();
         self.ended = result.is_err() || bytes == 0;
-        self.dropped += bytes as u64;
+        self.discarded += bytes as u64;
         Poll::Ready(())
     }
 
     /// Polls the system at the next interval.
-    fn poll_ended_unread(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+    fn poll_peer_closed(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         ready!(self.next_poll.as_mut().poll(cx));
-        self.next_poll.set(sleep(POLL_INTERVAL));
+        self.next_poll.set(sleep(DISCONNECT_POLL_INTERVAL));
         self.ended = self.socket.peer_has_closed();
         Poll::Ready(())
     }
 
     /// Takes one more step towards the client's end.
-    fn poll_towards_end(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        let is_dropping = self.dropped > 0 || self.read_ahead_bytes >= MAX_READ_AHEAD;
-        if is_dropping && self.dropped < MAX_DROPPED {
-            return self.poll_drop(cx);
+    fn poll_for_end(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+        let is_discarding = self.discarded > 0 || self.read_ahead_bytes >= MAX_READ_AHEAD_BYTES;
+        if is_discarding && self.discarded < MAX_DISCARDED_BYTES {
+            return self.poll_discard(cx);
         }
-        if !is_dropping && self.budget.used() < MAX_READ_AHEAD_TOTAL {
+        if !is_discarding && self.budget.used() < MAX_TOTAL_READ_AHEAD_BYTES {
             return self.poll_read_ahead(cx);
         }
-        ready!(self.poll_ended_unread(cx));
-        if !self.ended && self.dropped < MAX_DROPPED && self.socket.has_unread_bytes(MAX_UNREAD) {
-            return self.poll_drop(cx);
+        ready!(self.poll_peer_closed(cx));
+        if !self.ended
+            && self.discarded < MAX_DISCARDED_BYTES
+            && self.socket.has_unread_bytes(MAX_UNREAD_BYTES)
+        {
+            return self.poll_discard(cx);
         }
         Poll::Ready(())
     }
@@ -175,43 +178,43 @@
 impl ClientStream {
     /// Counts what is sent ahead towards the budget, and tells the client's record what is read.
     pub fn new(socket: Socket, client: Rc<Client>, budget: ReadAheadBudget) -> Self {
-        let inner = Inner {
+        let state = StreamState {
             socket,
             client,
             read_ahead: VecDeque::new(),
             read_ahead_bytes: 0,
             budget,
-            next_poll: Box::pin(sleep(POLL_INTERVAL)),
-            dropped: 0,
+            next_poll: Box::pin(sleep(DISCONNECT_POLL_INTERVAL)),
+            discarded: 0,
             ended: false,
         };
         ClientStream {
-            inner: Rc::new(RefCell::new(inner)),
+            state: Rc::new(RefCell::new(state)),
         }
     }
 
     /// Ready once the client has closed its side or the connection broke. What it sent before is kept, up to a bound.
-    pub fn poll_client_gone(&self, cx: &mut Context<'_>) -> Poll<()> {
-        let inner = &mut *self.inner.borrow_mut();
-        while !inner.ended {
-            ready!(inner.poll_towards_end(cx));
+    pub fn poll_disconnected(&self, cx: &mut Context<'_>) -> Poll<()> {
+        let state = &mut *self.state.borrow_mut();
+        while !state.ended {
+            ready!(state.poll_for_end(cx));
         }
         Poll::Ready(())
     }
 
     /// True if the system has bytes of the client that nobody has read, whether or not the runtime knows of them.
     pub fn has_unread_bytes(&self) -> bool {
-        self.inner.borrow().socket.peek() == PeekResult::Data
+        self.state.borrow().socket.peek() == PeekResult::Data
     }
 
     /// True once the client is known to have closed its side, or the connection to be broken.
-    pub fn has_ended(&self) -> bool {
-        self.inner.borrow().ended
+    pub fn has_disconnected(&self) -> bool {
+        self.state.borrow().ended
     }
 
     /// Another handle of its socket.
     pub fn socket(&self) -> Socket {
-        self.inner.borrow().socket.clone()
+        self.state.borrow().socket.clone()
     }
 }
 
@@ -221,22 +224,22 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let inner = &mut *self.inner.borrow_mut();
-        if !inner.read_ahead.is_empty() {
-            inner.take_read_ahead(buf);
+        let state = &mut *self.state.borrow_mut();
+        if !state.read_ahead.is_empty() {
+            state.take_read_ahead(buf);
             return Poll::Ready(Ok(()));
         }
-        if inner.ended || inner.dropped > 0 {
+        if state.ended || state.discarded > 0 {
             return Poll::Ready(Ok(()));
         }
         let before = buf.filled().len();
-        ready!(Pin::new(&mut inner.socket).poll_read(cx, buf))
-            .inspect_err(|_| inner.ended = true)?;
+        ready!(Pin::new(&mut state.socket).poll_read(cx, buf))
+            .inspect_err(|_| state.ended = true)?;
         let bytes = &buf.filled()[before..];
         if !bytes.is_empty() {
-            inner.client.bytes_read(bytes, Instant::now());
+            state.client.bytes_read(bytes, Instant::now());
         } else if buf.remaining() > 0 {
-            inner.ended = true;
+            state.ended = true;
         }
         Poll::Ready(Ok(()))
     }
@@ -248,7 +251,7 @@
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        Pin::new(&mut self.inner.borrow_mut().socket).poll_write(cx, buf)
+        Pin::new(&mut self.state.borrow_mut().socket).poll_write(cx, buf)
     }
 
     fn poll_write_vectored(
@@ -256,22 +259,22 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        Pin::new(&mut self.inner.borrow_mut().socket).poll_write_vectored(cx, bufs)
+        Pin::new(&mut self.state.borrow_mut().socket).poll_write_vectored(cx, bufs)
     }
 
     fn is_write_vectored(&self) -> bool {
-        self.inner.borrow().socket.is_write_vectored()
+        self.state.borrow().socket.is_write_vectored()
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let inner = &mut *self.inner.borrow_mut();
-        ready!(Pin::new(&mut inner.socket).poll_flush(cx))?;
+        let state = &mut *self.state.borrow_mut();
+        ready!(Pin::new(&mut state.socket).poll_flush(cx))?;
         // hyper flushes the stream only once it has nothing left to write.
-        inner.client.responses_written();
+        state.client.responses_written();
         Poll::Ready(Ok(()))
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.inner.borrow_mut().socket).poll_shutdown(cx)
+        Pin::new(&mut self.state.borrow_mut().socket).poll_shutdown(cx)
     }
 }
--- a/src/bin/quota-gateway/server/disconnect/tests.rs
+++ b/src/bin/quota-gateway/server/disconnect/tests.rs
@@ -1,6 +1,6 @@
 //! The end of a client's connection is seen behind bytes that nobody reads.
 
-use super::{ClientStream, ReadAheadBudget, MAX_READ_AHEAD_TOTAL, POLL_INTERVAL};
+use super::{ClientStream, ReadAheadBudget, DISCONNECT_POLL_INTERVAL, MAX_TOTAL_READ_AHEAD_BYTES};
 use crate::server::client::Client;
 use crate::socket::Socket;
 use std::future::poll_fn;
@@ -18,7 +18,7 @@
     let (stream, _) = listener.accept().unwrap();
     stream.set_nonblocking(true).unwrap();
     let budget = ReadAheadBudget::default();
-    budget.add(MAX_READ_AHEAD_TOTAL);
+    budget.add(MAX_TOTAL_READ_AHEAD_BYTES);
     let socket = Socket::new(TcpStream::from_std(stream).unwrap());
     let stream = ClientStream::new(socket, Rc::new(Client::new(None)), budget.clone());
     (client, stream, budget)
@@ -31,9 +31,11 @@
     for reset in [false, true] {
         let (mut client, stream, budget) = connect_without_room();
         client.write_all(b"GET /look").unwrap();
-        let client_gone = || poll_fn(|cx| stream.poll_client_gone(cx));
+        let disconnected = || poll_fn(|cx| stream.poll_disconnected(cx));
         assert!(
-            timeout(20 * POLL_INTERVAL, client_gone()).await.is_err(),
+            timeout(20 * DISCONNECT_POLL_INTERVAL, disconnected())
+                .await
+                .is_err(),
             "it has not gone"
         );
         if reset {
@@ -44,10 +46,14 @@
         } else {
             client.shutdown(Shutdown::Write).unwrap();
         }
-        timeout(3 * POLL_INTERVAL, client_gone())
+        timeout(3 * DISCONNECT_POLL_INTERVAL, disconnected())
             .await
             .expect("it has gone");
-        assert_eq!(budget.used(), MAX_READ_AHEAD_TOTAL, "nothing was read");
+        assert_eq!(
+            budget.used(),
+            MAX_TOTAL_READ_AHEAD_BYTES,
+            "nothing was read"
+        );
     }
 }
 
@@ -56,10 +62,14 @@
 async fn a_disconnect_is_seen_behind_megabytes_though_the_budget_is_used_up() {
     let (mut client, stream, budget) = connect_without_room();
     let sending = std::thread::spawn(move || client.write_all(&vec![b'x'; 4 << 20]));
-    let client_gone = poll_fn(|cx| stream.poll_client_gone(cx));
-    timeout(Duration::from_secs(10), client_gone)
+    let disconnected = poll_fn(|cx| stream.poll_disconnected(cx));
+    timeout(Duration::from_secs(10), disconnected)
         .await
         .expect("it has gone");
     assert!(sending.join().unwrap().is_ok(), "all of it was read");
-    assert_eq!(budget.used(), MAX_READ_AHEAD_TOTAL, "nothing was kept");
+    assert_eq!(
+        budget.used(),
+        MAX_TOTAL_READ_AHEAD_BYTES,
+        "nothing was kept"
+    );
 }
--- a/src/bin/quota-gateway/socket.rs
+++ b/src/bin/quota-gateway/socket.rs
@@ -23,9 +23,9 @@
 const MAX_CONNECT_ATTEMPTS: u32 = 4;
 /// Looks into a socket and writes without waiting, if they fail for a reason that may pass; after that nothing is known
 /// to lie there, and nothing more is written.
-const MAX_LOOKS: u32 = 8;
+const MAX_TRANSIENT_FAILURES: u32 = 8;
 /// Pause before the next attempt to connect.
-const CONNECT_RETRY: Duration = Duration::from_millis(3);
+const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(3);
 
 /// A TCP stream. Clones are handles of the same one; it is closed with the last of them.
 #[derive(Clone)]
@@ -57,7 +57,7 @@
                 Err(error) => return Err(error),
             }
             attempts += 1;
-            sleep(CONNECT_RETRY).await;
+            sleep(CONNECT_RETRY_DELAY).await;
         }
     }
 
@@ -98,7 +98,10 @@
             match self.try_write(&message[written..]) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
                 Ok(bytes) => written += bytes,
-                Err(error) if error.kind() == ErrorKind::WouldBlock && failures < MAX_LOOKS => {
+                Err(error)
+                    if error.kind() == ErrorKind::WouldBlock
+                        && failures < MAX_TRANSIENT_FAILURES =>
+                {
                     failures += 1;
                 }
                 Err(error) => return Err(error),
@@ -110,7 +113,7 @@
     /// What the system has received and nobody has read, whether or not the runtime knows of it.
     pub fn peek(&self) -> PeekResult {
         let mut byte = [MaybeUninit::uninit()];
-        for _ in 0..MAX_LOOKS {
+        for _ in 0..MAX_TRANSIENT_FAILURES {
             match SockRef::from(&*self.stream).peek(&mut byte) {
                 Ok(0) => return PeekResult::EndOfStream,
                 Ok(_) => return PeekResult::Data,
@@ -136,7 +139,7 @@
         // Asked for no other event, the system reports these alone.
         let closed = PollFlags::from_bits_retain(nix::libc::POLLRDHUP);
         let mut sockets = [PollFd::new(self.stream.as_fd(), closed)];
-        for _ in 0..MAX_LOOKS {
+        for _ in 0..MAX_TRANSIENT_FAILURES {
             match poll(&mut sockets, PollTimeout::ZERO) {
                 Ok(found) => return found > 0,
                 Err(error) if may_pass_for_transfer(&error.into()) => {}
