--- a/src/bin/quota-gateway/server/accept.rs
+++ b/src/bin/quota-gateway/server/accept.rs
@@ -1,4 +1,16 @@
-//! The listener, and the slots that keep the program from running out of descriptors.
+//! Accepts clients. Each connection takes a slot, and there are as many slots as leave descriptors for all else.
+//!
+//! Failures that this module guards against:
+//!
+//! - Hundreds of silent connections lock out other clients. With all slots taken, the client that has been longest
+//!   without a request is evicted.
+//! - A lack of descriptors or memory makes `accept` fail in a tight loop that starves the other tasks. It is retried
+//!   after a delay.
+//! - While `accept` fails, clients wait in the queue with their requests sent. Read afterwards as if they had just
+//!   arrived, those would propagate more time than their clients have left. The queue keeps the time since when a client
+//!   may have waited.
+//! - When the listener closes in the shutdown, the system resets the connections that wait in its queue, and requests on
+//!   them are lost. The queue is emptied first.
 
 use super::client::Client;
 use super::Server;
@@ -16,19 +28,19 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, timeout, Instant};
 
-/// Pause after an error that concerns all connections, such as a lack of descriptors in the whole system.
+/// Delay after an error that concerns all connections, such as a lack of descriptors in the system.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
-/// Errors in a row that may each concern one connection only; more are taken for one that concerns all.
+/// Most consecutive errors that are taken for errors of one connection each. With more, the error concerns all.
 const MAX_ERRORS_WITHOUT_DELAY: u32 = 64;
-/// A new connection keeps its slot for this long in any case: its request may be on the way.
+/// A new connection is not evicted for this long: its request may be on the way.
 const NEW_CLIENT_GRACE: Duration = Duration::from_millis(20);
-/// A client that was evicted has gone by then.
+/// Longest wait for an evicted client's slot. A client that has sent a request meanwhile keeps it.
 const EVICTION_TIMEOUT: Duration = Duration::from_millis(5);
 
-/// The listener, and since when clients may have waited in its queue.
+/// The listener's queue of connections.
 struct AcceptQueue {
     listener: TcpListener,
-    /// The queue was not empty, and stalled, from then on.
+    /// When accepting failed first since the queue was last empty.
     backlog_since: Option<Instant>,
 }
 
@@ -52,20 +64,21 @@
         .await
     }
 
-    /// Accepting has failed: those in the queue have to wait.
+    /// Accepting has failed: the clients in the queue have to wait.
     fn record_accept_failure(&mut self) {
         self.backlog_since.get_or_insert_with(Instant::now);
     }
 
-    /// When what a connection has sent by now may have come, if it had to wait in the queue.
+    /// The earliest time at which bytes that a connection has sent by now may have arrived, if it may have waited in
+    /// the queue with them.
     fn earliest_arrival(&self, socket: &Socket) -> Option<Instant> {
         self.backlog_since
             .filter(|_| socket.peek() == PeekResult::Data)
     }
 }
 
-/// Leaves time for a lack of resources to pass. Most other errors concern the one connection that they took out of
-/// the queue, and the next one may be accepted at once.
+/// Waits for a lack of resources to pass. Most other errors concern the connection that they remove from the queue, so
+/// that the next one may be accepted at once.
 async fn delay_after_error(error: &io::Error, consecutive_errors: u32) {
     if lacks_resources(error) || consecutive_errors >= MAX_ERRORS_WITHOUT_DELAY {
         sleep(ACCEPT_RETRY_DELAY).await;
@@ -75,10 +88,8 @@
 }
 
 impl Server {
-    /// Accepts clients until the shutdown stops that, at most as many as there are slots. With all taken, the client
-    /// that has been longest without a request gives up its slot: hundreds of silent ones must not lock out others.
-    /// At the end those that have connected by then are still accepted, whatever errors come between: their
-    /// connections are established, and closing them unseen would lose their requests.
+    /// Accepts clients until the shutdown reaches `NoNewConnections`, at most as many as there are slots. Those that
+    /// have connected by then are still accepted, whatever errors come between.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         let warning = RateLimitedWarning::default();
         let mut phase = self.lifecycle.subscribe();
@@ -86,6 +97,7 @@
         let mut queue = AcceptQueue::new(listener);
         for number in 0.. {
             let accepted = tokio::select! {
+                // The queue first: the shutdown ends the loop only once the queue is empty.
                 biased;
                 accepted = queue.next() => accepted,
                 _ = phase.wait_for(|phase| *phase >= Phase::NoNewConnections) => return,
@@ -97,7 +109,7 @@
                     consecutive_errors += 1;
                     self.driver.metrics().accept_errors.inc();
                     delay_after_error(&e, consecutive_errors).await;
-                    warning.warn("accept", e);
+                    warning.warn("accept failed", e);
                     continue;
                 }
             };
@@ -114,13 +126,12 @@
             };
             let client = Rc::new(Client::new(queue.earliest_arrival(&stream)));
             self.spawn_client(number, stream, client, slot);
-            // Its request is read before it can be taken for an idle client.
+            // The client's task runs, and reads a request that has arrived, before the next client can evict it as idle.
             yield_now().await;
         }
     }
 
-    /// Starts the task of one client. It holds the slot and ends with the connection, which ends by itself, by
-    /// eviction, or in the shutdown.
+    /// Starts the task of one client, which holds the slot until the connection is closed.
     fn spawn_client(
         self: &Rc<Self>,
         number: u64,
@@ -143,15 +154,15 @@
             if self.slots.available_permits() == 0 && !self.evict_idle_client() {
                 return None;
             }
-            // The evicted client may turn out to have sent a request: then another one is evicted.
+            // An evicted client that has sent a request keeps its slot: then another one is evicted.
             if let Ok(slot) = timeout(EVICTION_TIMEOUT, self.slots.clone().acquire_owned()).await {
                 return slot.ok();
             }
         }
     }
 
-    /// Evicts the client that has been longest without a request, one that never sent any first. False if there is
-    /// none.
+    /// Evicts the client that has been longest without a request, those that never sent one first. False if no client
+    /// may be evicted.
     fn evict_idle_client(&self) -> bool {
         let clients = self.clients.borrow();
         let evictable = clients
--- a/src/bin/quota-gateway/server/disconnect.rs
+++ b/src/bin/quota-gateway/server/client_stream.rs
@@ -1,10 +1,20 @@
-//! A client's stream that shows its end while a request is being served, also behind bytes sent ahead.
+//! A client's stream that notices a disconnect while a request is being served.
+//!
+//! Failure: a client sends its request and more bytes behind it, and disconnects. hyper stops reading once it has bytes
+//! of the next request, so nobody sees the end of the stream, and attempts and retries go on for a client that will not
+//! read the response. It shows as attempts that are written over 0.1 s after the disconnect.
+//!
+//! While a request is being served the connection therefore reads on by itself, in three steps:
+//!
+//! 1. What the client sends ahead is buffered within the bounds of `read_ahead`, for hyper to read later.
+//! 2. A client that exceeds its own bound has what follows discarded; its later requests end there.
+//! 3. If the budget of all clients is used up nothing is read, and the system is polled for the end. The system sees
+//!    the end only once all bytes before it fit into its receive buffer, so a client with more unread is discarded, too.
 
 use super::client::Client;
+use super::read_ahead::{ReadAheadBudget, ReadAheadBuffer};
 use crate::socket::{PeekResult, Socket};
-use bytes::BytesMut;
-use std::cell::{Cell, RefCell};
-use std::collections::VecDeque;
+use std::cell::RefCell;
 use std::future::Future;
 use std::io;
 use std::pin::Pin;
@@ -17,45 +27,18 @@
 #[cfg(test)]
 mod tests;
 
-/// Bytes that one client may have sent ahead while its request is served. A client sends one request at a time, so
-/// more than one complete message is never due.
-const MAX_READ_AHEAD_BYTES: usize = 1 << 20;
-/// The same for all clients together.
-const MAX_TOTAL_READ_AHEAD_BYTES: usize = 4 << 20;
-/// Beyond that nothing is read, and the system is polled at this interval for whether the client has gone. An
-/// attempt that begins 0.1 s after that is one too many.
+/// Interval at which the system is polled for the end of a client that is not read. A disconnect has to be noticed
+/// within 0.1 s, as an attempt that is written later breaks a rule.
 const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(40);
-/// The end of a client is hidden from the system, too, behind more than its buffers hold. With this much unread, which
-/// is less than that, the rest is read and dropped.
+/// With this much unread a client is read and its bytes are discarded. It is less than the system's receive buffer
+/// holds, so that the end of the stream always fits in behind it.
 const MAX_UNREAD_BYTES: usize = 32 * 1024;
-/// Bytes of one client that are dropped at most, to bound the work.
+/// Most bytes of one client that are discarded, to bound the work.
 const MAX_DISCARDED_BYTES: u64 = 64 << 20;
-/// Room for one read.
+/// Size of one read into the buffer.
 const READ_BUFFER_BYTES: usize = 4096;
-/// Room for one read of bytes that are dropped.
+/// Size of one read of bytes that are discarded.
 const DISCARD_BUFFER_BYTES: usize = 16 * 1024;
-/// Bytes that come within this time of one another count as having come together, with the first of them.
-const ARRIVAL_RESOLUTION: Duration = Duration::from_millis(5);
-
-/// The bytes that clients have sent ahead, over all connections. Clones share one count.
-#[derive(Clone, Default)]
-pub struct ReadAheadBudget {
-    used: Rc<Cell<usize>>,
-}
-
-impl ReadAheadBudget {
-    fn used(&self) -> usize {
-        self.used.get()
-    }
-
-    fn add(&self, bytes: usize) {
-        self.used.set(self.used.get() + bytes);
-    }
-
-    fn release(&self, bytes: usize) {
-        self.used.set(self.used.get() - bytes);
-    }
-}
 
 /// The stream. Clones are handles of the same one: hyper holds one, the connection's loop the other.
 #[derive(Clone)]
@@ -63,35 +46,21 @@
     state: Rc<RefCell<StreamState>>,
 }
 
-/// Bytes sent ahead that came together.
-struct Arrival {
-    at: Instant,
-    bytes: BytesMut,
-}
-
 struct StreamState {
     socket: Socket,
     client: Rc<Client>,
     /// Read while a request was served, and not yet taken by hyper.
-    read_ahead: VecDeque<Arrival>,
-    /// Bytes of `read_ahead`.
-    read_ahead_bytes: usize,
+    read_ahead: ReadAheadBuffer,
     budget: ReadAheadBudget,
     next_poll: Pin<Box<Sleep>>,
-    /// Bytes that came behind `read_ahead` and were dropped. Once there are some, the requests end before them.
+    /// Bytes behind `read_ahead` that were discarded. Once there are any, hyper sees the end of the stream before them.
     discarded: u64,
     /// The client has closed its side, or the connection broke.
     ended: bool,
 }
 
-impl Drop for StreamState {
-    fn drop(&mut self) {
-        self.budget.release(self.read_ahead_bytes);
-    }
-}
-
 impl StreamState {
-    /// Reads what the client sends ahead, or its end.
+    /// Buffers what the client sends ahead, or notices its end.
     fn poll_read_ahead(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         let mut space = [0; READ_BUFFER_BYTES];
         let mut buffer = ReadBuf::new(&mut space);
@@ -100,26 +69,13 @@
         if result.is_err() || bytes.is_empty() {
             self.ended = true;
         } else {
-            self.push_read_ahead(bytes);
+            self.read_ahead.push(bytes);
+            self.client.set_sent_ahead(self.read_ahead.len());
         }
         Poll::Ready(())
     }
 
-    fn push_read_ahead(&mut self, bytes: &[u8]) {
-        let now = Instant::now();
-        match self.read_ahead.back_mut() {
-            Some(last) if now - last.at < ARRIVAL_RESOLUTION => last.bytes.extend_from_slice(bytes),
-            _ => self.read_ahead.push_back(Arrival {
-                at: now,
-                bytes: BytesMut::from(bytes),
-            }),
-        }
-        self.read_ahead_bytes += bytes.len();
-        self.client.set_sent_ahead(self.read_ahead_bytes);
-        self.budget.add(bytes.len());
-    }
-
-    /// Reads and drops what the client sends ahead, up to its end.
+    /// Reads and discards what the client sends ahead, or notices its end.
     fn poll_discard(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         let mut space = [0; DISCARD_BUFFER_BYTES];
         let mut buffer = ReadBuf::new(&mut space);
@@ -130,7 +86,7 @@
         Poll::Ready(())
     }
 
-    /// Polls the system at the next interval.
+    /// Asks the system for the client's end, at the next interval.
     fn poll_peer_closed(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         ready!(self.next_poll.as_mut().poll(cx));
         self.next_poll.set(sleep(DISCONNECT_POLL_INTERVAL));
@@ -138,13 +94,13 @@
         Poll::Ready(())
     }
 
-    /// Takes one more step towards the client's end.
+    /// Takes one step towards the client's end, as described at the head of this module.
     fn poll_for_end(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        let is_discarding = self.discarded > 0 || self.read_ahead_bytes >= MAX_READ_AHEAD_BYTES;
+        let is_discarding = self.discarded > 0 || self.read_ahead.is_full();
         if is_discarding && self.discarded < MAX_DISCARDED_BYTES {
             return self.poll_discard(cx);
         }
-        if !is_discarding && self.budget.used() < MAX_TOTAL_READ_AHEAD_BYTES {
+        if !is_discarding && self.budget.has_room() {
             return self.poll_read_ahead(cx);
         }
         ready!(self.poll_peer_closed(cx));
@@ -157,32 +113,23 @@
         Poll::Ready(())
     }
 
-    /// Hands on bytes sent ahead that came together.
+    /// Hands on bytes sent ahead that arrived together.
     fn take_read_ahead(&mut self, buf: &mut ReadBuf<'_>) {
-        let Some(first) = self.read_ahead.front_mut() else {
-            return;
-        };
-        let bytes = first.bytes.len().min(buf.remaining());
-        let taken = first.bytes.split_to(bytes);
-        buf.put_slice(&taken);
-        self.client.bytes_read(&taken, first.at);
-        if first.bytes.is_empty() {
-            self.read_ahead.pop_front();
+        if let Some(arrival) = self.read_ahead.take(buf.remaining()) {
+            buf.put_slice(&arrival.bytes);
+            self.client.bytes_read(&arrival.bytes, arrival.at);
+            self.client.set_sent_ahead(self.read_ahead.len());
         }
-        self.read_ahead_bytes -= bytes;
-        self.client.set_sent_ahead(self.read_ahead_bytes);
-        self.budget.release(bytes);
     }
 }
 
 impl ClientStream {
-    /// Counts what is sent ahead towards the budget, and tells the client's record what is read.
+    /// Counts what is sent ahead towards the budget, and records in `client` what is read.
     pub fn new(socket: Socket, client: Rc<Client>, budget: ReadAheadBudget) -> Self {
         let state = StreamState {
             socket,
             client,
-            read_ahead: VecDeque::new(),
-            read_ahead_bytes: 0,
+            read_ahead: ReadAheadBuffer::new(budget.clone()),
             budget,
             next_poll: Box::pin(sleep(DISCONNECT_POLL_INTERVAL)),
             discarded: 0,
@@ -193,7 +140,8 @@
         }
     }
 
-    /// Ready once the client has closed its side or the connection broke. What it sent before is kept, up to a bound.
+    /// Ready once the client has closed its side or the connection broke. What it sent before is kept, up to a
+    /// bound.
     pub fn poll_disconnected(&self, cx: &mut Context<'_>) -> Poll<()> {
         let state = &mut *self.state.borrow_mut();
         while !state.ended {
--- a/src/bin/quota-gateway/server/disconnect/tests.rs
+++ b/src/bin/quota-gateway/server/client_stream/tests.rs
@@ -1,7 +1,8 @@
 //! The end of a client's connection is seen behind bytes that nobody reads.
 
-use super::{ClientStream, ReadAheadBudget, DISCONNECT_POLL_INTERVAL, MAX_TOTAL_READ_AHEAD_BYTES};
+use super::{ClientStream, ReadAheadBudget, DISCONNECT_POLL_INTERVAL};
 use crate::server::client::Client;
+use crate::server::read_ahead::MAX_TOTAL_BYTES;
 use crate::socket::Socket;
 use std::future::poll_fn;
 use std::io::Write;
@@ -18,7 +19,7 @@
     let (stream, _) = listener.accept().unwrap();
     stream.set_nonblocking(true).unwrap();
     let budget = ReadAheadBudget::default();
-    budget.add(MAX_TOTAL_READ_AHEAD_BYTES);
+    budget.add(MAX_TOTAL_BYTES);
     let socket = Socket::new(TcpStream::from_std(stream).unwrap());
     let stream = ClientStream::new(socket, Rc::new(Client::new(None)), budget.clone());
     (client, stream, budget)
@@ -49,11 +50,7 @@
         timeout(3 * DISCONNECT_POLL_INTERVAL, disconnected())
             .await
             .expect("it has gone");
-        assert_eq!(
-            budget.used(),
-            MAX_TOTAL_READ_AHEAD_BYTES,
-            "nothing was read"
-        );
+        assert_eq!(budget.used(), MAX_TOTAL_BYTES, "nothing was read");
     }
 }
 
@@ -67,9 +64,5 @@
         .await
         .expect("it has gone");
     assert!(sending.join().unwrap().is_ok(), "all of it was read");
-    assert_eq!(
-        budget.used(),
-        MAX_TOTAL_READ_AHEAD_BYTES,
-        "nothing was kept"
-    );
+    assert_eq!(budget.used(), MAX_TOTAL_BYTES, "nothing was kept");
 }
--- a/src/bin/quota-gateway/server/connection.rs
+++ b/src/bin/quota-gateway/server/connection.rs
@@ -1,88 +1,35 @@
-//! One client's connection: HTTP/1.1 by hyper, eviction, draining and the end.
+//! One client's connection: HTTP/1.1 by hyper, from the first byte to the close.
+//!
+//! - `close_reason`: when and why the gateway closes it
+//! - `head_timer`: the time limit for the head of the next request
+//! - `linger`: the close behind a last response
+
+mod close_reason;
+mod head_timer;
+mod linger;
 
 use super::client::Client;
-use super::disconnect::ClientStream;
+use super::client_stream::ClientStream;
 use super::response;
 use super::Server;
-use crate::lifecycle::Phase;
 use crate::metrics::{ConnectionEnd, Rule};
 use crate::socket::Socket;
+use close_reason::{poll_close_reason, CloseReason};
+use head_timer::HeadTimer;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
+use linger::linger;
 use std::convert::Infallible;
 use std::future::{poll_fn, Future};
-use std::io;
-use std::pin::{pin, Pin};
+use std::pin::pin;
 use std::rc::Rc;
-use std::task::{Context, Poll};
-use std::time::Duration;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use std::task::Poll;
+use tokio::io::AsyncWriteExt;
 use tokio::task::yield_now;
-use tokio::time::{sleep_until, timeout_at, Instant, Sleep};
 
-/// How often a client that has a request open is looked at again: for whether its time for the next one runs.
-const DEADLINE_CHECK_INTERVAL: Duration = Duration::from_secs(2);
-/// Largest head.
+/// Largest head of a request.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// After the last response this much more is read and dropped. Closed with bytes unread, the system would reset the
-/// connection, and a client that is still sending would lose its response.
-const LINGER_MAX_BYTES: u64 = 64 << 20;
-/// For this long.
-const LINGER_TIMEOUT: Duration = Duration::from_millis(2500);
-/// In pieces of this size.
-const LINGER_BUFFER_BYTES: usize = 64 * 1024;
-
-/// Why the requests on a connection have ended.
-enum CloseReason {
-    /// hyper has ended the connection.
-    Finished,
-    /// The client has gone while its request was being served.
-    ClientDisconnected,
-    /// The client has sent no complete head in time.
-    HeadTimeout,
-    /// The process ends, and nothing is owed to the client.
-    Drained,
-    /// The process ends, and a request has come in part.
-    PartialRequest,
-}
-
-/// Wakes a connection when its client has to have a complete head.
-struct HeadTimer {
-    timer: Pin<Box<Sleep>>,
-}
-
-impl HeadTimer {
-    fn new(client: &Client) -> Self {
-        HeadTimer {
-            timer: Box::pin(sleep_until(next_check(client))),
-        }
-    }
-
-    /// Ready once the client's time is over. The timer may go off earlier: it is set anew only then, as setting it for
-    /// each request would cost more.
-    fn poll_expired(&mut self, client: &Client, cx: &mut Context<'_>) -> Poll<()> {
-        while self.timer.as_mut().poll(cx).is_ready() {
-            if is_expired(client) {
-                return Poll::Ready(());
-            }
-            self.timer.as_mut().reset(next_check(client));
-        }
-        Poll::Pending
-    }
-}
-
-fn next_check(client: &Client) -> Instant {
-    client
-        .head_deadline()
-        .unwrap_or_else(|| Instant::now() + DEADLINE_CHECK_INTERVAL)
-}
-
-fn is_expired(client: &Client) -> bool {
-    client
-        .head_deadline()
-        .is_some_and(|deadline| deadline <= Instant::now())
-}
 
 impl Server {
     /// Serves a connection until it ends or its client is evicted.
@@ -94,8 +41,10 @@
                 () = &mut connection => return,
                 () = client.evicted() => {}
             }
-            // Guards against losing a request that has come but was not read yet, as after a stall of the whole
-            // program: the runtime takes in what has come, then the connection reads it.
+            // Failure: the client sent a request while the process was stalled, and is evicted as idle before the
+            // request is read. It sees its connection closed without a response.
+            // Yielding has the runtime poll the sockets, and polling the connection reads what they have; only then
+            // is the client asked again whether anything is owed to it.
             yield_now().await;
             let ended = poll_fn(|cx| Poll::Ready(connection.as_mut().poll(cx).is_ready())).await;
             if ended {
@@ -109,10 +58,10 @@
 
     fn record_end(&self, end: ConnectionEnd) {
         self.driver.metrics().connections_ended.increment(end);
-        tracing::debug!(reason = %end, "connection of a client ended");
+        tracing::debug!(reason = %end, "client connection closed");
     }
 
-    /// No connection may be closed under a complete request without a response, unless its client has gone.
+    /// Reports a connection that ended under a complete request without a response, unless its client disconnected.
     fn report_unanswered_close(&self, client: &Client, stream: &ClientStream) {
         if client.is_being_served() && !stream.has_disconnected() {
             self.driver
@@ -123,16 +72,22 @@
 
     async fn serve_connection(&self, socket: Socket, client: &Rc<Client>) {
         let stream = ClientStream::new(socket, client.clone(), self.read_ahead.clone());
-        let stream = self.serve_requests(stream, client).await;
+        let reason = self.serve_requests(&stream, client).await;
+        if matches!(reason, CloseReason::PartialRequest) {
+            // A broken connection needs no response.
+            let _ = stream
+                .socket()
+                .write_all(response::incomplete_at_shutdown().as_bytes())
+                .await;
+        }
         client.connection_ended();
-        if let Some(stream) = stream {
-            // The client may reset the connection meanwhile.
-            let _ = timeout_at(Instant::now() + LINGER_TIMEOUT, linger(stream.socket())).await;
+        if reason.may_still_be_sending() {
+            linger(stream.socket()).await;
         }
     }
 
-    /// Serves requests until the connection ends. Returns the stream if the client may still be sending.
-    async fn serve_requests(&self, stream: ClientStream, client: &Client) -> Option<ClientStream> {
+    /// Serves requests until there is a reason to close the connection.
+    async fn serve_requests(&self, stream: &ClientStream, client: &Client) -> CloseReason {
         let socket = stream.socket().downgrade();
         let service = service_fn(|request| {
             let socket = socket.clone();
@@ -147,127 +102,38 @@
         let mut phase = self.lifecycle.subscribe();
         let reason = loop {
             let current_phase = *phase.borrow_and_update();
-            let reason = poll_fn(|cx| {
+            let close_reason = poll_fn(|cx| {
                 let served = connection.poll_without_shutdown(cx).is_ready();
-                poll_close_reason(served, current_phase, &stream, client, &mut head_timer, cx)
+                poll_close_reason(served, current_phase, stream, client, &mut head_timer, cx)
             });
             let reason = tokio::select! {
                 // What has come is read before the connection counts as idle.
                 biased;
-                reason = reason => reason,
+                reason = close_reason => reason,
                 // Fails only once the process has no lifecycle any more.
                 Ok(()) = phase.changed() => continue,
             };
-            if matches!(
-                reason,
-                CloseReason::Finished | CloseReason::ClientDisconnected
-            ) {
+            if !reason.is_revocable() {
                 break reason;
             }
-            // The system may have bytes that the runtime does not know of, as after a stall of the whole process:
-            // they are read first, and the connection goes on if they change what is owed.
+            // Failure: a request arrives together with the time-out or the end of an idle connection, usually during
+            // a stall of the process, and the connection is closed with the request unread. The client sees a close
+            // or a reset without a response.
+            // Yielding has the runtime poll the sockets, polling the connection reads what they have, and the peek
+            // asks the system for what came since. Nothing is awaited between the peek and the decision to close.
             yield_now().await;
             if poll_fn(|cx| Poll::Ready(connection.poll_without_shutdown(cx).is_ready())).await {
                 break CloseReason::Finished;
             }
-            if still_applies(&reason, current_phase, client) && !stream.has_unread_bytes() {
+            if reason.still_applies(current_phase, client) && !stream.has_unread_bytes() {
                 break reason;
             }
         };
-        self.record_end(metric_label(&reason, *phase.borrow()));
-        match reason {
-            CloseReason::Finished => {
-                self.report_unanswered_close(client, &stream);
-                Some(stream)
-            }
-            CloseReason::PartialRequest => {
-                // A broken connection needs no response.
-                let _ = stream
-                    .socket()
-                    .write_all(response::incomplete_at_shutdown().as_bytes())
-                    .await;
-                Some(stream)
-            }
-            // Closed unread: a request that crosses the close may be sent again.
-            CloseReason::ClientDisconnected | CloseReason::HeadTimeout | CloseReason::Drained => {
-                None
-            }
-        }
-    }
-}
-
-fn metric_label(reason: &CloseReason, phase: Phase) -> ConnectionEnd {
-    match reason {
-        CloseReason::ClientDisconnected => ConnectionEnd::ClientGone,
-        CloseReason::HeadTimeout => ConnectionEnd::TimedOut,
-        CloseReason::PartialRequest => ConnectionEnd::Incomplete,
-        CloseReason::Drained => ConnectionEnd::Draining,
-        CloseReason::Finished if phase >= Phase::NoNewConnections => ConnectionEnd::Draining,
-        CloseReason::Finished => ConnectionEnd::Finished,
-    }
-}
-
-/// Whether a connection closes as the process ends: nothing is owed to its client. One that has not sent its first
-/// request is waited for, until requests are refused.
-fn is_drained(phase: Phase, client: &Client) -> bool {
-    !client.is_busy()
-        && phase >= Phase::NoNewConnections
-        && (client.has_sent_request() || phase >= Phase::Refusing)
-}
-
-/// Whether a connection is refused as the process ends: a request has come in part, and nothing else is owed.
-fn has_only_partial_request(phase: Phase, client: &Client) -> bool {
-    phase >= Phase::Refusing && client.has_begun_head() && !client.is_owed_response()
-}
-
-/// Whether a reason to close a connection that was found before still applies.
-fn still_applies(reason: &CloseReason, phase: Phase, client: &Client) -> bool {
-    match reason {
-        CloseReason::Finished | CloseReason::ClientDisconnected => true,
-        CloseReason::HeadTimeout => is_expired(client),
-        CloseReason::PartialRequest => has_only_partial_request(phase, client),
-        CloseReason::Drained => is_drained(phase, client),
-    }
-}
-
-/// Whether requests on a connection end for now. `served` tells that hyper has ended it.
-fn poll_close_reason(
-    served: bool,
-    phase: Phase,
-    stream: &ClientStream,
-    client: &Client,
-    head_timer: &mut HeadTimer,
-    cx: &mut Context<'_>,
-) -> Poll<CloseReason> {
-    if served {
-        return Poll::Ready(CloseReason::Finished);
-    }
-    // With bytes sent ahead hyper does not read on, and would not see the client go.
-    if client.is_being_served() && stream.poll_disconnected(cx).is_ready() {
-        return Poll::Ready(CloseReason::ClientDisconnected);
-    }
-    if is_drained(phase, client) {
-        return Poll::Ready(CloseReason::Drained);
-    }
-    if has_only_partial_request(phase, client) {
-        return Poll::Ready(CloseReason::PartialRequest);
-    }
-    head_timer
-        .poll_expired(client, cx)
-        .map(|()| CloseReason::HeadTimeout)
-}
-
-/// Closes the sending side, then reads and drops what the client still sends, up to a bound.
-async fn linger(mut stream: Socket) -> io::Result<()> {
-    stream.shutdown().await?;
-    let mut buffer = vec![0; LINGER_BUFFER_BYTES];
-    let mut left = LINGER_MAX_BYTES;
-    while left > 0 {
-        let read = stream.read(&mut buffer).await?;
-        if read == 0 {
-            break;
+        self.record_end(reason.metric_label(*phase.borrow()));
+        // Checked while hyper's connection still holds the open request: dropping it ends the request.
+        if matches!(reason, CloseReason::Finished) {
+            self.report_unanswered_close(client, stream);
         }
-        left = left.saturating_sub(read as u64);
+        reason
     }
-    Ok(())
 }
--- a/src/bin/quota-gateway/server/forward.rs
+++ b/src/bin/quota-gateway/server/forward.rs
@@ -6,10 +6,10 @@
 use hyper::{HeaderMap, Method, Uri};
 use std::io::Write;
 
-/// Room for a usual head.
+/// Initial capacity for a head.
 const HEAD_BYTES: usize = 256;
 
-/// Makes the request for endpoints out of a client's. Of its headers only those named here are forwarded.
+/// Makes the request for endpoints out of a client's. Only the headers that are named here are forwarded.
 pub fn forwarded_request(
     class: &ClassRoute,
     uri: &Uri,
--- a/src/bin/quota-gateway/server/handler.rs
+++ b/src/bin/quota-gateway/server/handler.rs
@@ -19,18 +19,18 @@
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// The decision library ends a request by its deadline; one that it has not ended this long after is failed.
+/// The library ends each request by its deadline. One that it has not ended this long after the deadline fails.
 const DEADLINE_GRACE: Duration = Duration::from_millis(5);
 
-/// A request whose response is not made yet. If it is dropped without one, the client has gone: the driver cancels
-/// the request.
+/// A request whose response is not made yet. If it is dropped before, its client has disconnected, and the driver
+/// cancels the request.
 struct RequestInProgress<'a> {
     server: &'a Server,
     client: &'a Client,
     transaction_id: Option<u64>,
     /// Its id at the driver, while the driver owes a final response.
     driver_id: Option<RequestId>,
-    /// How it ended; none until its response is made.
+    /// How it ended; `None` until its response is made.
     end: Option<RequestEnd>,
 }
 
@@ -46,7 +46,8 @@
         }
     }
 
-    /// Guards against a second copy of an open request. The open one is not touched.
+    /// Rejects a request with the id of an open one. Failure: a client sends a request again before it has a response,
+    /// and both copies are executed. The open request is not touched.
     fn claim_transaction_id(&mut self, transaction_id: u64) -> Result<(), RequestError> {
         if !self
             .server
@@ -95,13 +96,13 @@
         {
             Ok(response) => response,
             Err(error) => {
-                tracing::debug!(%error, "request not accepted");
+                tracing::debug!(%error, "invalid request");
                 in_progress.end = Some(RequestEnd::Invalid);
                 response::request_error(&error, has_body)
             }
         };
         in_progress.driver_id = None;
-        // Behind a response that asks to close nothing more is answered.
+        // hyper reads no further request behind a response that asks to close.
         if self.lifecycle.is_shutting_down() && !client.may_have_sent_more() {
             response::ask_to_close(&mut response);
         }
@@ -115,11 +116,12 @@
         in_progress: &mut RequestInProgress<'_>,
         complete_by: Instant,
     ) -> Result<Response, RequestError> {
-        // It may have come while another one was served: its time has run since then.
+        // It may have arrived while another one was served: its remaining time counts from then.
         let received_at = in_progress.client.last_arrival();
         let (parts, body) = request.into_parts();
-        // Beside a Content-Length hyper drops it unseen, and another request may hide in the body. The protocol
-        // has no such requests.
+        // Failure: request smuggling. hyper reads a request with both Content-Length and Transfer-Encoding as chunked and
+        // removes the length, so that a second request in what its sender took for the body would be served. The
+        // protocol has no Transfer-Encoding in requests: all that have one are rejected, and their connections closed.
         if parts.headers.contains_key(TRANSFER_ENCODING) {
             return Err(RequestError::TransferEncoding);
         }
@@ -150,7 +152,7 @@
         Ok(response::final_response(final_response))
     }
 
-    /// The whole body; none if requests are refused before it is there.
+    /// The complete body; `None` if requests are refused before it has arrived.
     async fn read_body_unless_refusing(
         &self,
         body: Incoming,
@@ -160,7 +162,7 @@
             return Ok(Some(Bytes::new()));
         }
         tokio::select! {
-            // A body that is there is read: nobody has to send it twice.
+            // A body that has arrived is served rather than refused.
             biased;
             body = read_body(body, deadline) => body.map(Some),
             () = self.lifecycle.reached(Phase::Refusing) => Ok(None),
@@ -213,7 +215,7 @@
     }
 }
 
-/// The response to a request whose body is not read to its end, as the process ends.
+/// The response to a request whose body is incomplete when the shutdown refuses requests.
 fn refuse_unread(incoming: &IncomingRequest, in_progress: &mut RequestInProgress<'_>) -> Response {
     log_refusal(incoming);
     in_progress.end = Some(RequestEnd::ShuttingDown);
@@ -224,7 +226,7 @@
 
 fn log_refusal(incoming: &IncomingRequest) {
     let transaction_id = incoming.transaction_id;
-    tracing::debug!(txn = %format_args!("{transaction_id:016x}"), "refused: the process ends");
+    tracing::debug!(txn = %format_args!("{transaction_id:016x}"), "request refused: shutting down");
 }
 
 fn request_end(response: &FinalResponse) -> RequestEnd {
@@ -236,7 +238,7 @@
     }
 }
 
-/// Reads a request's body, which has to be complete by the deadline.
+/// Reads a request's body, which must be complete by the deadline.
 async fn read_body(body: Incoming, deadline: Instant) -> Result<Bytes, RequestError> {
     match timeout_at(deadline, Limited::new(body, MAX_BODY_BYTES).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
--- a/src/bin/quota-gateway/server/mod.rs
+++ b/src/bin/quota-gateway/server/mod.rs
@@ -1,28 +1,30 @@
-//! The clients' side: takes in their requests by HTTP/1.1 and writes the responses.
+//! The clients' side: reads their requests by HTTP/1.1 and writes the responses.
 //!
 //! - `accept`: the listener, and the slots that bound the number of connections
-//! - `client`: where one client stands
+//! - `client`: the state of one client
 //! - `connection`: one client's connection, from its first byte until it is closed
-//! - `disconnect`: a stream that shows that the client has gone while its request is being served
+//! - `client_stream`: a stream that notices a disconnect while a request is being served
+//! - `read_ahead`: what clients send ahead of a response
 //! - `handler`: one request, from its head to its response
-//! - `request`: what a request says of itself, and what can be wrong with it
+//! - `request`: reads the head of a request
 //! - `forward`: the request as endpoints get it
 //! - `response`: the responses
 
 mod accept;
 mod client;
+mod client_stream;
 mod connection;
-mod disconnect;
 mod forward;
 mod handler;
+mod read_ahead;
 mod request;
 mod response;
 
 use crate::driver::Driver;
 use crate::lifecycle::Lifecycle;
 use client::Client;
-use disconnect::ReadAheadBudget;
 use quota_gateway::Settings;
+use read_ahead::ReadAheadBudget;
 use request::RequestParser;
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -35,7 +37,7 @@
     driver: Rc<Driver>,
     lifecycle: Rc<Lifecycle>,
     parser: RequestParser,
-    /// What a client gets for whom there is no slot, as written on the socket.
+    /// The response to a client without a slot, as written on the socket.
     no_slot_response: String,
     /// One permit for each connection that may still be accepted.
     slots: Arc<Semaphore>,
--- a/src/bin/quota-gateway/server/response.rs
+++ b/src/bin/quota-gateway/server/response.rs
@@ -8,8 +8,7 @@
 use hyper::StatusCode;
 use quota_gateway::Limits;
 
-/// A client for whom there is no slot is asked to stay away for this long, where the site gives such advice and no
-/// longer than clients heed it.
+/// `Retry-After` of a client without a slot, where the settings allow the header, and bounded by their maximum.
 const NO_SLOT_RETRY_AFTER_MS: f64 = 1000.0;
 
 /// A response with its body.
@@ -29,8 +28,8 @@
         .insert(CONNECTION, HeaderValue::from_static("close"));
 }
 
-/// The response to a request that is wrong. A body that was not read is not waited for, and never taken for a
-/// request: the connection is closed.
+/// The response to an invalid request. If its body was not read the connection is closed, so that the body is neither
+/// waited for nor taken for a request.
 pub fn request_error(error: &RequestError, has_body: bool) -> Response {
     let mut response = plain(error.status(), format!("{error}\n"));
     if let RequestError::MethodNotAllowed { allowed } = error {
@@ -79,7 +78,7 @@
     response
 }
 
-/// What a client gets for whom there is no slot, as written on the socket.
+/// The response to a client without a slot, as written on the socket.
 pub fn no_slot(limits: &Limits) -> String {
     let retry_after_ms = NO_SLOT_RETRY_AFTER_MS.min(limits.max_retry_after_ms);
     let advice = if limits.retry_after && retry_after_ms > 0.0 {
@@ -90,17 +89,17 @@
     unavailable(&advice)
 }
 
-/// The response to a request that has not come whole when the process ends, as written on the socket.
+/// The response to a request that is incomplete when the process ends, as written on the socket.
 pub fn incomplete_at_shutdown() -> String {
     unavailable("")
 }
 
-/// `headers` are whole lines.
+/// A 503 as written on the socket. `headers` are complete lines, with their ends.
 fn unavailable(headers: &str) -> String {
     format!("HTTP/1.1 503 Service Unavailable\r\n{headers}Connection: close\r\nContent-Length: 0\r\n\r\n")
 }
 
-/// The value of a `Retry-After` header. The protocol has decimals there.
+/// The value of a `Retry-After` header, in seconds. The protocol allows decimals.
 fn retry_after_seconds(retry_after_ms: f64) -> String {
     format!("{:.3}", retry_after_ms / 1000.0)
 }
