--- a/src/bin/quota-gateway/discovery/framing/tests.rs
+++ b/src/bin/quota-gateway/discovery/framing/tests.rs
@@ -24,6 +24,8 @@
     assert_eq!(objects(&bytes).unwrap(), whole);
 }
 
+/// A watch sends something that is no JSON object, or an object without end. If the framer waited for the end, the
+/// watch would stay open without events, and memory would grow. It is an error as soon as it can be known.
 #[test]
 fn what_is_not_an_object_is_rejected_at_once() {
     for text in ["noise", "[]", "}", "{\"full\": tr\n", "{\"full\" {", "{]"] {
--- a/src/bin/quota-gateway/discovery/open/tests.rs
+++ b/src/bin/quota-gateway/discovery/open/tests.rs
@@ -61,8 +61,9 @@
     }
 }
 
-/// With a shared service: however calls failed during the outage, each gateway has its watch within 6 s of the
-/// return, and their calls come spread out.
+/// The discovery service of a fleet is down and returns. If all gateways called at once it would be overloaded again,
+/// and if they waited too long they would miss changes. However their calls failed, each gateway has its watch within 6
+/// s of the return, and their calls are spread out.
 #[tokio::test(start_paused = true)]
 async fn all_gateways_reopen_their_watches_in_time_after_an_outage_of_a_shared_service() {
     let set = tokio::task::LocalSet::new();
--- a/src/bin/quota-gateway/discovery/policy/tests.rs
+++ b/src/bin/quota-gateway/discovery/policy/tests.rs
@@ -12,7 +12,8 @@
     WatchPolicy::new(&settings, seed)
 }
 
-/// From the return of discovery to the list in hand, with a call that was just written and stays unanswered.
+/// A call was written just before the agent returned and is never answered. If the next call came too late, the gateway
+/// would go on sending to endpoints that drain. The next one is answered within the drain grace.
 #[test]
 fn an_agent_is_called_again_well_within_the_drain_grace() {
     let policy = policy(300, false, 1);
@@ -23,7 +24,9 @@
     );
 }
 
-/// Invalid responses to calls and within watches: no loop, and all the same retried in time.
+/// Discovery sends responses or events that can't be read. Without a backoff the gateway would request them in a loop,
+/// with a backoff that is too long it would miss the return of valid ones. Delays grow up to the longest interval, and
+/// are short again after a valid watch.
 #[test]
 fn invalid_responses_are_not_requested_in_a_loop() {
     for (endpoints_polled, watches) in [(false, false), (false, true), (true, true)] {
@@ -53,7 +56,8 @@
     }
 }
 
-/// Three hundred gateways whose watches fall silent at once: spread, but all in time.
+/// A restart of the discovery service ends the watches of three hundred gateways at once. Reopened together, they would
+/// overload it. They are reopened spread out, and all in time.
 #[test]
 fn watches_on_a_shared_service_that_end_together_are_reopened_spread_out() {
     let mut reopened = [0; 20];
--- a/src/bin/quota-gateway/discovery/schedule/tests.rs
+++ b/src/bin/quota-gateway/discovery/schedule/tests.rs
@@ -14,10 +14,11 @@
     (0..gateway_count.into()).map(attempts).collect()
 }
 
+/// A shared service fails all gateways at once, and each retries at a short fixed interval. A large fleet then sends
+/// more calls than the service can answer, and none succeeds for as long as that goes on. The calls of the fleet are
+/// spread out over the longest interval.
 #[test]
 fn gateways_that_fail_together_do_not_retry_together() {
-    // Found at size: each retried every 200 ms, 430 calls per second in all, and discovery, which serves eight or
-    // nine, served none of them for as long as that lasted.
     for gateway_count in [40, 100, 300, 720] {
         let mut per_second = [0.0; 20];
         for at in attempt_times(gateway_count).concat() {
@@ -32,7 +33,8 @@
     }
 }
 
-/// Whenever the service is back, each gateway calls it within the time that is left for that.
+/// The service returns while a gateway waits for its next attempt. If that wait were too long, the gateway would miss
+/// changes past the propagation limit. No gateway waits longer than the longest interval.
 #[test]
 fn no_gateway_waits_longer_than_the_longest_interval() {
     for gateway_count in [1, 3, 40, 300, 720] {
--- a/src/bin/quota-gateway/discovery/updates/tests.rs
+++ b/src/bin/quota-gateway/discovery/updates/tests.rs
@@ -26,6 +26,9 @@
     }
 }
 
+/// Two calls fetch the list at a time, and the older list arrives last. Applied, it would revive endpoints that drain
+/// by the newer one. It changes nothing, unless a change was missed: then any complete list applies, as another
+/// discovery may number its versions differently.
 #[test]
 fn a_fetched_list_older_than_the_present_one_changes_nothing() {
     let versions = Rc::new(Versions::default());
@@ -40,6 +43,8 @@
     assert_eq!(updates.version(), 5);
 }
 
+/// A watch sends a change that is older than the list, as after a restart of discovery from old data. Applied, it would
+/// undo newer changes. It changes nothing, and the complete list is fetched, which applies whatever its version.
 #[test]
 fn a_stale_change_on_a_watch_has_the_complete_list_fetched() {
     let versions = Rc::new(Versions::default());
--- a/src/bin/quota-gateway/http/tests.rs
+++ b/src/bin/quota-gateway/http/tests.rs
@@ -36,6 +36,8 @@
     }
 }
 
+/// An endpoint, or something else at its address, sends a response that breaks HTTP. Read leniently, its rest would be
+/// taken for the response to another request; read without bounds, it would exhaust the memory. Each is an error.
 #[test]
 fn malformed_responses_are_errors_and_take_bounded_memory() {
     for text in [
@@ -92,6 +94,8 @@
     }
 }
 
+/// A connection breaks in the middle of a body that only the end of the connection ends. Taken for the end, a part of
+/// the body would be forwarded as complete. It is an error.
 #[test]
 fn a_break_is_no_end_of_a_body_without_a_length() {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -122,8 +126,10 @@
     }
 }
 
+/// A response arrives in the smallest pieces. A reader that expects lines or headers in one piece would misread it. It
+/// is read like one that arrives at once.
 #[test]
-fn a_response_that_comes_byte_by_byte_is_read_the_same() {
+fn a_response_that_arrives_byte_by_byte_is_read_the_same() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
         .unwrap();
--- a/src/bin/quota-gateway/server/client/tests.rs
+++ b/src/bin/quota-gateway/server/client/tests.rs
@@ -1,4 +1,4 @@
-//! When a client has to have sent what, on the paused clock.
+//! The deadlines of a client and what is owed to it, on the paused clock.
 
 use super::Client;
 use std::time::Duration;
@@ -6,7 +6,8 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Silent clients go after 2.3 s, and whoever has connected has sent a complete request within 2.8 s.
+/// A client connects and sends nothing, or a request that is never complete, and holds its slot. The protocol has it
+/// get an error or a close within 3 s: a silent one after 2.3 s, any other 2.8 s after it connected.
 #[tokio::test(start_paused = true)]
 async fn a_new_client_is_closed_within_three_seconds_of_connecting() {
     let connected_at = Instant::now();
@@ -29,7 +30,8 @@
     );
 }
 
-/// On a connection that has rested the time runs from the head's first byte.
+/// A client begins a request on a connection that was idle for long. If its time counted from the last response, a
+/// request in transmission would be cut off. It counts from the first byte of the head.
 #[tokio::test(start_paused = true)]
 async fn the_time_for_a_later_request_runs_from_its_first_byte() {
     let client = Client::new(None);
@@ -61,7 +63,9 @@
     );
 }
 
-/// What a client had sent before it was accepted may have come as long ago as the queue stalled.
+/// A client waits in the queue while accepting fails, with its request sent. Counted from when they are read, its bytes
+/// would seem to have just arrived, and too much remaining time would be propagated. They count from the start of the
+/// backlog; later ones from when they are read.
 #[tokio::test(start_paused = true)]
 async fn the_first_bytes_of_a_client_that_waited_count_from_the_start_of_its_wait() {
     let backlog_since = Instant::now();
@@ -74,7 +78,8 @@
     assert_eq!(client.last_arrival(), Instant::now());
 }
 
-/// Requests that came together are known to have come, whole or in part, however they were cut into pieces.
+/// A client has a second request behind the first as the process ends. If the first response asked to close, the second
+/// request would be lost. It is noticed, complete or in part, however the bytes were split.
 #[tokio::test(start_paused = true)]
 async fn a_request_behind_another_one_is_known() {
     let read = |pieces: &[&str]| {
@@ -99,7 +104,9 @@
     assert!(client.may_have_sent_more());
 }
 
-/// A client is owed something until its response is written, and while it has sent something that is not served.
+/// The shutdown closes connections on which nothing is owed. If a client counted as idle while its response is being
+/// written, or its next request is being read, it would lose them. It is busy from its first byte until its response is
+/// written.
 #[tokio::test(start_paused = true)]
 async fn a_client_is_busy_until_its_response_is_written() {
     let client = Client::new(None);
--- a/src/bin/quota-gateway/server/client_stream/tests.rs
+++ b/src/bin/quota-gateway/server/client_stream/tests.rs
@@ -1,4 +1,4 @@
-//! The end of a client's connection is seen behind bytes that nobody reads.
+//! A client's disconnect is noticed behind bytes that nobody reads.
 
 use super::{ClientStream, ReadAheadBudget, DISCONNECT_POLL_INTERVAL};
 use crate::server::client::Client;
@@ -12,7 +12,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// A client, and its stream here, with no room left for what it sends ahead.
+/// A client and the server's stream of it, with the budget for bytes sent ahead used up.
 fn connect_without_room() -> (std::net::TcpStream, ClientStream, ReadAheadBudget) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -25,10 +25,11 @@
     (client, stream, budget)
 }
 
-/// With no room for what it sent ahead, a client that closes its side or breaks off is seen to go, and one that
-/// stays is not. On the paused clock; what a socket has sent on loopback has arrived.
+/// The budget for bytes sent ahead is used up, so a client's bytes stay unread, and it closes its side or resets the
+/// connection. Unnoticed, its request would be sent on for nobody. The disconnect is noticed without reading, and a
+/// client that stays is not taken for one that left. On the paused clock; bytes on loopback arrive at once.
 #[tokio::test(start_paused = true)]
-async fn a_disconnect_is_seen_behind_bytes_that_nobody_reads() {
+async fn a_disconnect_is_noticed_behind_unread_bytes() {
     for reset in [false, true] {
         let (mut client, stream, budget) = connect_without_room();
         client.write_all(b"GET /look").unwrap();
@@ -37,7 +38,7 @@
             timeout(20 * DISCONNECT_POLL_INTERVAL, disconnected())
                 .await
                 .is_err(),
-            "it has not gone"
+            "it has not disconnected"
         );
         if reset {
             socket2::SockRef::from(&client)
@@ -49,20 +50,21 @@
         }
         timeout(3 * DISCONNECT_POLL_INTERVAL, disconnected())
             .await
-            .expect("it has gone");
+            .expect("it has disconnected");
         assert_eq!(budget.used(), MAX_TOTAL_BYTES, "nothing was read");
     }
 }
 
-/// Also behind more than the system's buffers hold, where the system itself can't know of the end.
+/// The same, with more unread than the system's buffers hold: the system itself does not know of the end. The bytes are
+/// read and discarded up to the end, and the disconnect is noticed.
 #[tokio::test]
-async fn a_disconnect_is_seen_behind_megabytes_though_the_budget_is_used_up() {
+async fn a_disconnect_is_noticed_behind_megabytes_though_the_budget_is_used_up() {
     let (mut client, stream, budget) = connect_without_room();
     let sending = std::thread::spawn(move || client.write_all(&vec![b'x'; 4 << 20]));
     let disconnected = poll_fn(|cx| stream.poll_disconnected(cx));
     timeout(Duration::from_secs(10), disconnected)
         .await
-        .expect("it has gone");
+        .expect("it has disconnected");
     assert!(sending.join().unwrap().is_ok(), "all of it was read");
     assert_eq!(budget.used(), MAX_TOTAL_BYTES, "nothing was kept");
 }
--- a/src/bin/quota-gateway/server/request/tests.rs
+++ b/src/bin/quota-gateway/server/request/tests.rs
@@ -1,4 +1,4 @@
-//! Which request heads are in order, and the error of each that is not.
+//! Which request heads are valid, and the error of each that is not.
 
 use super::{RequestError, RequestParser};
 use crate::driver::IncomingRequest;
@@ -39,7 +39,7 @@
     )
 }
 
-/// Parses a head in order, but for these headers.
+/// Parses a valid head in which these headers were replaced or added.
 fn parse(
     method: Method,
     target: &str,
@@ -86,6 +86,8 @@
     );
 }
 
+/// A request of a class that is retried by its idempotency key has none, or a malformed one. Endpoints could not
+/// recognize a retry and would execute it twice. It is an error.
 #[test]
 fn a_class_with_keys_needs_one() {
     let target = "/order?account=0000000000000007";
@@ -105,6 +107,8 @@
     assert!(matches!(without, Err(RequestError::InvalidIdempotencyKey)));
 }
 
+/// A client sends a head with one fault. An unspecific error would leave the client's developers guessing, and a
+/// lenient reader would charge a wrong customer. Each fault has its own error.
 #[test]
 fn each_fault_of_a_head_has_its_error() {
     let error =
--- a/tests/gateway/clients.rs
+++ b/tests/gateway/clients.rs
@@ -6,6 +6,9 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
+/// A customer sends more than its quota allows. Were it forwarded all the same, or left to wait, the customer would
+/// take capacity that others paid for. The request over the quota gets 429 with a Retry-After at once, and no endpoint
+/// sees it.
 #[test]
 fn a_request_over_quota_is_rejected_at_once_with_retry_after() {
     let (endpoint, received) = healthy_endpoint();
@@ -18,6 +21,8 @@
     assert_eq!(received.lock().unwrap().len(), 2);
 }
 
+/// A client disconnects while an endpoint is busy with its request. If the attempt went on until its time-out,
+/// endpoints would work for clients that have left. The connection to the endpoint is closed at once instead.
 #[test]
 fn a_client_disconnect_cancels_its_attempt() {
     let (closed_to, closed) = channel();
@@ -44,7 +49,9 @@
     );
 }
 
-/// With few descriptors clients wait to be accepted; idle connections must not starve them.
+/// Clients keep their connections open between requests, and use up the descriptors of a small process. Later clients
+/// would wait in the queue of the listener until they time out. Idle connections are evicted instead, and each new
+/// client is served.
 #[test]
 fn idle_connections_do_not_starve_clients_of_descriptors() {
     let (endpoint, _) = healthy_endpoint();
@@ -63,7 +70,7 @@
     }
 }
 
-/// What is replaced in a request that is served, what stands in its place, and the status of the response.
+/// A part of a valid request, its replacement, and the status of the response.
 const MALFORMED: [(&str, &str, u16); 26] = [
     ("/look", "/else", 404),
     ("GET", "DELETE", 405),
@@ -93,6 +100,9 @@
     ("account=0000", "account=", 400),
 ];
 
+/// A client sends a request that breaks the protocol. Forwarded, it would cost an endpoint work; answered with 429 or
+/// 503, it would be retried without end. It gets the 4xx status for what is wrong, no endpoint sees it, and the next
+/// valid request is served.
 #[test]
 fn malformed_requests_get_client_error_statuses() {
     let (endpoint, received) = healthy_endpoint();
@@ -148,7 +158,8 @@
     assert_eq!(gateway.exchange(&fine).status(), 200);
 }
 
-/// Silent clients, heads without end and bodies that never come end within 3 s in all.
+/// A client connects and sends nothing, a part of a head, or a part of a body, and holds a slot for as long as it
+/// likes. Enough of them lock out all others. Each gets an error or a close within 3 s of connecting.
 #[test]
 fn slow_clients_are_disconnected() {
     let (endpoint, received) = healthy_endpoint();
@@ -177,7 +188,9 @@
     assert_eq!(received.lock().unwrap().len(), 0);
 }
 
-/// Closed while the client still sends, the connection would be reset and the response lost.
+/// A client gets its error response while it is still sending a long body. If the gateway closed the connection at
+/// once, the system would reset it, and the client would lose the response. The gateway reads and discards the rest, so
+/// that the response arrives before the close.
 #[test]
 fn a_client_still_sending_gets_its_response() {
     let (endpoint, _) = healthy_endpoint();
@@ -202,6 +215,9 @@
     }
 }
 
+/// A client that opens hundreds of connections without a request takes all slots. Other clients would be turned away
+/// for as long as it goes on. Silent connections are evicted first: each other client is served within a few retries,
+/// and the process stays within its descriptors.
 #[test]
 fn hundreds_of_silent_connections_do_not_lock_out_clients() {
     let (endpoint, _) = healthy_endpoint();
@@ -211,7 +227,7 @@
     let mut silent = Vec::new();
     for customer in 0..20 {
         silent.extend((0..10).map(|_| gateway.connect()));
-        // In the first moments there is no slot: the client is rejected, and retries.
+        // Until a silent connection may be evicted there is no slot: the client is rejected, and retries.
         let start = Instant::now();
         loop {
             let mut connection = gateway.connect();
@@ -234,7 +250,9 @@
     assert!(open <= 64, "{open} descriptors");
 }
 
-/// The request in the body of one with two framings must not be taken for one of the client's.
+/// A request has both Content-Length and Transfer-Encoding, and its body holds a second request. By the wrong framing
+/// the second one is served as the client's own (request smuggling). The request gets 411, the connection is closed,
+/// and no endpoint sees either.
 #[test]
 fn a_request_hidden_in_a_body_is_not_served() {
     let (endpoint, received) = healthy_endpoint();
@@ -266,6 +284,8 @@
     assert_eq!(received.lock().unwrap().len(), 0);
 }
 
+/// A client sends a request again while the first copy is still being served. If both were forwarded, the request would
+/// be executed twice. The second copy gets 409, the first one its response, and the id is free afterwards.
 #[test]
 fn a_duplicate_transaction_id_is_rejected_and_the_open_request_completes() {
     let (begun_to, begun) = channel();
@@ -291,9 +311,11 @@
     assert_eq!(begun.try_iter().count(), 1);
 }
 
-/// Clients get a Retry-After only where the site permits it, and none longer than they heed.
+/// All slots are taken by clients with open requests, so that a new client is rejected. Without a Retry-After it would
+/// retry at once and add to the load; where the settings forbid the header, or bound it, clients do not expect it. The
+/// 503 carries the header only if permitted, and no longer than the maximum.
 #[test]
-fn a_client_without_a_slot_gets_retry_after_where_the_site_permits_it() {
+fn a_client_without_a_slot_gets_retry_after_where_the_settings_permit_it() {
     for (permitted, longest_ms, advice) in [
         (true, 2000.0, Some("1.000")),
         (true, 500.0, Some("0.500")),
@@ -304,7 +326,7 @@
         config["settings"]["limits"]["retry-after"] = permitted.into();
         config["settings"]["limits"]["max-retry-after-ms"] = longest_ms.into();
         let gateway = Gateway::new(&config);
-        // A client that was asked to go on with its body has a request open: its slot is its own.
+        // A client that got 100 has a request open, and can't be evicted.
         let head =
             post_request("once", "", "x").replace("\r\n\r\nx", "\r\nExpect: 100-continue\r\n\r\n");
         let mut connections = Vec::new();
--- a/tests/gateway/counter.rs
+++ b/tests/gateway/counter.rs
@@ -5,7 +5,9 @@
 use std::sync::mpsc::channel;
 use std::sync::{Arc, Mutex};
 
-/// Totals have three decimals: a smaller amount would be lost and leave a window unchecked.
+/// The counter writes totals with three decimals, and at the beginning of a window the amounts are tiny. Rounded to 0,
+/// what was used would not be counted, and customers could exceed their quota. All amounts on the wire are large
+/// enough, and small enough for the counter to accept.
 #[test]
 fn amounts_are_large_enough_not_to_be_rounded_away_by_the_counter() {
     let (backend, _) = healthy_endpoint();
@@ -28,6 +30,9 @@
     );
 }
 
+/// The counter is down: it does not answer, answers with something else than a total or than HTTP, or refuses
+/// connections. If requests waited for it or were rejected, an outage of the counter would become one of the gateway.
+/// All are served.
 #[test]
 fn requests_are_served_while_the_counter_is_silent_invalid_or_unreachable() {
     let (backend, _) = healthy_endpoint();
--- a/tests/gateway/crossings.rs
+++ b/tests/gateway/crossings.rs
@@ -1,4 +1,4 @@
-//! Two rare events that coincide.
+//! Rare events that coincide.
 
 use crate::stand_ins::*;
 use socket2::{Domain, Socket, Type};
@@ -10,8 +10,9 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// A response without a length that its endpoint ends is forwarded; one that is reset, has no end or is too long is
-/// none, and is not retried.
+/// An endpoint sends a response without a length, so that only the end of its connection ends the body. If the
+/// connection breaks, the client could get half a body as a success. The response is forwarded only after a proper end;
+/// if it is reset, endless or too long the client gets 502, and the request is not retried, as it was executed.
 #[test]
 fn a_response_without_a_length_counts_once_its_endpoint_has_ended_it() {
     let head = "HTTP/1.1 200 OK\r\n\r\n";
@@ -50,9 +51,11 @@
     }
 }
 
-/// A list that discovery has told holds, though the watch that should follow it is turned away.
+/// An overloaded discovery sends the complete list, and rejects the watch that should follow. If the list were dropped
+/// with the failed watch, the gateway would go on sending to endpoints that drain by that list. The list applies at
+/// once.
 #[test]
-fn a_complete_list_holds_though_its_watch_is_refused() {
+fn a_complete_list_applies_though_its_watch_is_rejected() {
     let (one, got_one) = healthy_endpoint();
     let (two, _) = healthy_endpoint();
     let first = Discovery::new();
@@ -76,7 +79,7 @@
     for _ in 0..3 {
         listed
             .recv_timeout(TEST_TIMEOUT)
-            .expect("the list is asked for");
+            .expect("the list is requested");
     }
     let before = got_one.lock().unwrap().len();
     for customer in 0..10 {
@@ -89,8 +92,9 @@
     );
 }
 
-/// A keyed request whose first attempt broke is sent again within its window only, however late the connection for
-/// that comes up.
+/// A request with an idempotency key fails, and the connection for its retry comes up only after the window in which
+/// endpoints remember the key. The endpoint would not recognize the retry and would execute the request a second time.
+/// Nothing is written on the late connection, and the client gets 502.
 #[test]
 fn a_keyed_retry_is_not_sent_past_its_window() {
     let (begun_to, begun) = channel();
@@ -145,16 +149,17 @@
     );
 }
 
-/// A client that has sent its request and gone while the program stalled gets nothing sent for it, whatever it has
-/// sent behind that, on a new connection and on one that has rested.
+/// The process stalls, and meanwhile a client sends its request and disconnects, with or without bytes behind the
+/// request. Running again, the process reads the request first and would forward it for a client that has left. Nothing
+/// is sent for it, on a new connection and on one that was idle.
 #[test]
-fn a_client_that_went_during_a_pause_gets_nothing_sent() {
+fn a_client_that_disconnects_during_a_stall_gets_nothing_sent() {
     let (endpoint, received) = healthy_endpoint();
     let mut config = config_with_silent_discovery(&[endpoint]);
-    // Nothing is waited for before the attempt.
+    // The attempt does not wait for the counter.
     config["settings"]["domain"]["may-count"] = false.into();
     let gateway = Gateway::new(&config);
-    // So that a connection to the endpoint is there.
+    // Opens a connection to the endpoint, which the next attempts use.
     assert_eq!(gateway.get(90, 1).status(), 200);
     let cases = [
         (false, 0),
@@ -199,9 +204,11 @@
     }
 }
 
-/// The same where other clients have used up the room for what is sent ahead, so that nobody reads up to its end.
+/// Other clients have used up the budget for bytes sent ahead, and a client disconnects during a stall with bytes
+/// behind its request. Nobody reads up to the end of its stream, so the request would be forwarded for a client that
+/// has left. The disconnect is noticed behind the unread bytes, and nothing is sent.
 #[test]
-fn a_client_that_went_is_seen_behind_bytes_that_there_is_no_room_for() {
+fn a_disconnect_is_noticed_behind_bytes_over_the_read_ahead_budget() {
     let sent = Arc::new(Mutex::new(Vec::new()));
     let seen = sent.clone();
     let endpoint = start_server(move |request| {
@@ -214,11 +221,11 @@
         Reply::Send(response(200, "", "done"))
     });
     let mut config = config_with_silent_discovery(&[endpoint]);
-    // Nothing is waited for before the attempt.
+    // The attempt does not wait for the counter.
     config["settings"]["domain"]["may-count"] = false.into();
     let gateway = Gateway::new(&config);
     assert_eq!(gateway.get(90, 1).status(), 200);
-    // 1 MB is kept of each, and 4 MB of all.
+    // 1 MiB is buffered of each client, and 4 MiB of all together.
     let _greedy: Vec<_> = (1..=5)
         .map(|number| {
             let mut client = gateway.connect();
@@ -251,18 +258,20 @@
     sleep(Duration::from_millis(150));
     gateway.signal("-CONT");
     assert_eq!(gateway.get(31, 1).status(), 200);
-    // An attempt for the client that went would come within some milliseconds.
+    // An attempt for the client that disconnected would arrive within some milliseconds.
     sleep(Duration::from_millis(200));
     assert_eq!(
         *sent.lock().unwrap(),
         [format!("{:016x}", 31)],
-        "sent for a client that had gone"
+        "sent for a client that had disconnected"
     );
 }
 
-/// Requests that were sent ahead on one connection are all answered, though the end begins meanwhile.
+/// A client has several requests on one connection when the process is asked to end. If the connection closed behind
+/// the first response, the other requests would be lost. All of them are answered, whether they arrived together or one
+/// by one, and the process ends well.
 #[test]
-fn requests_sent_ahead_are_answered_at_the_end() {
+fn requests_sent_ahead_are_answered_at_shutdown() {
     for pieces in [1, 3] {
         let (begun_to, begun) = channel();
         let endpoint = start_server(move |message| {
@@ -299,10 +308,11 @@
     }
 }
 
-/// A client that reads its response slowly gets all of it, though connections close and the process ends meanwhile, or
-/// though the time passes after which a resting connection is closed.
+/// A client reads its response slowly, while the shutdown closes connections or the idle time-out passes. If the
+/// connection counted as idle once the response is made, the client would get a part of the body. It gets all of it,
+/// and the process still ends well.
 #[test]
-fn a_response_that_is_read_slowly_is_whole() {
+fn a_response_that_is_read_slowly_is_complete() {
     let body = "quote ".repeat(10_000);
     for ends in [true, false] {
         let text = body.clone();
@@ -324,9 +334,9 @@
         if ends {
             gateway.signal("-TERM");
         }
-        // Connections close 0.6 s after the signal, the process may end after 1 s, and rest ends after 2.3 s.
+        // Idle connections close 0.6 s after the signal, or after the idle time-out of 2.3 s; the process may end after 1 s.
         sleep(Duration::from_millis(if ends { 1500 } else { 2800 }));
-        let answer = read_message(&mut client).expect("a whole answer");
+        let answer = read_message(&mut client).expect("a complete response");
         assert_eq!(answer.body.len(), body.len(), "at the end: {ends}");
         if ends {
             assert!(gateway.child.wait().unwrap().success());
@@ -334,16 +344,18 @@
     }
 }
 
-/// Hundreds of clients that wait to be accepted when the listener ends get an answer each, though there are slots for
-/// few of them.
+/// The process stalls in its shutdown, and hundreds of clients connect and wait in the queue of the listener. When the
+/// listener closes, the system resets them, and they see a broken connection in place of a response. Each gets a
+/// response first; those without a slot get 503.
 #[test]
-fn clients_without_a_slot_are_told_so_at_the_end_of_the_listener() {
+fn clients_without_a_slot_get_503_when_the_listener_closes() {
     assert_clients_without_a_slot_are_answered("");
 }
 
-/// The same where the system interrupts one write in ten.
+/// The same, while the system interrupts one write in ten. An interrupted write that is not repeated leaves a client
+/// without its 503. Each client gets its response.
 #[test]
-fn clients_without_a_slot_are_told_so_though_writes_are_interrupted() {
+fn clients_without_a_slot_get_503_though_writes_are_interrupted() {
     assert_clients_without_a_slot_are_answered("send_eintr=100");
 }
 
@@ -357,7 +369,7 @@
     while unready.status() == 200 {
         unready = gateway.exchange("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
     }
-    // Suspended beyond the end of the accept period, the program finds waiting clients when that has passed.
+    // Stalled past the end of the accept period, the process finds waiting clients afterwards.
     gateway.signal("-STOP");
     let head =
         post_request("once", "", "x").replace("\r\n\r\nx", "\r\nExpect: 100-continue\r\n\r\n");
--- a/tests/gateway/discovery.rs
+++ b/tests/gateway/discovery.rs
@@ -6,6 +6,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+/// A watch reports a draining endpoint, and then an event that can't be read. If requests still went to the draining
+/// endpoint they would be cut off; if the invalid event were ignored, the change in it would be missed for good. The
+/// endpoint gets nothing more, and the gateway fetches the complete list.
 #[test]
 fn a_draining_endpoint_gets_no_requests_and_an_invalid_event_changes_nothing() {
     let (one, got_one) = healthy_endpoint();
@@ -31,6 +34,8 @@
     assert_eq!(got_one.lock().unwrap().len(), before);
 }
 
+/// A watch ends, as it does when discovery restarts. Reopened from an old version it would repeat old changes, from a
+/// later one it would miss some. It is reopened from the version of the last event.
 #[test]
 fn a_watch_that_ends_is_reopened_from_the_last_version() {
     let (one, _) = healthy_endpoint();
@@ -50,7 +55,9 @@
     assert!(discovery.next_watch().0.contains("index=12"));
 }
 
-/// An entry that can't be read must not hide the draining endpoint beside it.
+/// A list has an entry that can't be read, for instance of a newer format, beside an endpoint that drains. If the list
+/// were rejected as a whole, the draining endpoint would go on getting requests. The invalid entry is skipped with a
+/// warning, and the others apply.
 #[test]
 fn an_invalid_entry_is_skipped_and_the_others_apply() {
     let (one, got_one) = healthy_endpoint();
@@ -79,7 +86,8 @@
     }
 }
 
-/// A list may be written on several lines, and arrive byte by byte with empty lines around it.
+/// Discovery writes a list on several lines, and it arrives byte by byte with empty lines around it. A reader that
+/// takes a line for an event would reject it and miss the change. The list applies, on the same watch.
 #[test]
 fn a_list_written_on_several_lines_applies() {
     let (one, got_one) = healthy_endpoint();
@@ -109,7 +117,9 @@
     assert_eq!(got_one.lock().unwrap().len(), 0);
 }
 
-/// The gateway must know what a silent watch misses 6 s later. An unfinished object does not keep a watch alive.
+/// A watch stays open but falls silent, as after the loss of the machine at its other end, perhaps in the middle of an
+/// object. The gateway would wait for events that never come, while the protocol counts it as notified after 6 s. The
+/// watch is reopened within 4 s, from the same version.
 #[test]
 fn a_watch_that_falls_silent_is_reopened_in_time() {
     let (one, _) = healthy_endpoint();
@@ -133,8 +143,9 @@
     }
 }
 
-/// An agent never answers a call that arrived while discovery was down. The gateway must know at once what the agent
-/// gets at the return, with a drain grace of one second here: by then another call has to be answered.
+/// An agent never answers a call that arrived while discovery was down. If the gateway waited for that call, it would
+/// miss the changes that the agent has when discovery returns. It calls again in time for another answer within the
+/// drain grace, which is one second here.
 #[test]
 fn an_agent_that_does_not_answer_is_called_again_in_time() {
     let (one, _) = healthy_endpoint();
@@ -156,7 +167,7 @@
     );
 }
 
-/// A complete list with this number of entries; the endpoint at `ready` is the only one that takes requests.
+/// A complete list with this number of entries, of which only the endpoint at `ready` takes requests.
 fn long_list(entries: usize, ready: std::net::SocketAddr) -> serde_json::Value {
     let elsewhere = |number| list_entry(number, nobody_at(number), "Terminating");
     let servers = (1..entries)
@@ -169,11 +180,13 @@
     std::net::SocketAddr::from(([127, 1, (number >> 8) as u8, number as u8], 9))
 }
 
-/// The configuration knows no endpoints: the only list is that of the watch, in one chunk.
+/// The configuration names no endpoints, and the list on the watch has 20,000 entries in one chunk. If it exceeded a
+/// limit or took longer than the silence time-out, the gateway would call in a loop and never be ready. It applies at
+/// the first call, on one line as well as indented.
 #[test]
 fn a_long_list_applies_at_the_first_call_however_it_is_laid_out() {
     let (one, _) = healthy_endpoint();
-    // Made before the watch is open: it must not fall silent meanwhile.
+    // Built before the watch is open, which must not fall silent meanwhile.
     let list = long_list(20_000, one);
     for pretty in [false, true] {
         let text = if pretty {
@@ -193,11 +206,13 @@
     }
 }
 
-/// A list with too many entries is logged, the old one stands, and the agent is not called in a loop.
+/// Discovery sends a list with more entries than the limit, again at each call. The gateway could run out of memory, or
+/// parse long lists in a loop and serve nobody. It logs the error, keeps the old list, backs off from further calls and
+/// serves meanwhile.
 #[test]
 fn a_list_with_too_many_entries_leaves_the_gateway_serving() {
     let (one, _) = healthy_endpoint();
-    // Made before the watch is open: it must not fall silent meanwhile.
+    // Built before the watch is open, which must not fall silent meanwhile.
     let text = long_list(20_481, one).to_string();
     let answer = response(200, "", &text);
     let discovery = Discovery::new();
@@ -230,8 +245,9 @@
     assert!((1..=9).contains(&calls), "{calls} calls");
 }
 
-/// Idle clients use up the descriptors, some after a request, while discovery refuses connections. After its return the
-/// watch is reopened and the list applies; requests are served, or rejected for lack of capacity.
+/// Idle clients use up the descriptors while discovery refuses connections. When discovery returns there would be no
+/// descriptor for the watch, and draining endpoints would go on getting requests. The watch is reopened in time and its
+/// list applies, in both modes of discovery, and the process stays within its descriptors.
 #[test]
 fn clients_that_use_up_the_descriptors_do_not_prevent_a_watch() {
     for mode in ["push", "ask"] {
@@ -287,7 +303,9 @@
     }
 }
 
-/// A process that restarts while discovery is down, with the list that it had: calls that hang delay nothing.
+/// The process restarts while discovery is down, and its configuration has the list that it knew. If it waited for
+/// discovery before it is ready, an outage of discovery would become one of the gateways. It becomes ready and serves,
+/// whether discovery refuses connections or never answers.
 #[test]
 fn a_restart_with_a_known_list_becomes_ready_while_discovery_is_down() {
     let (one, _) = healthy_endpoint();
--- a/tests/gateway/peers.rs
+++ b/tests/gateway/peers.rs
@@ -4,6 +4,9 @@
 use std::net::UdpSocket;
 use std::time::{Duration, Instant};
 
+/// Datagrams reach the gossip port from addresses that are no gateways, or longer than any message may be. Were they
+/// believed, anyone could have customers rejected for units that they never used. Both are dropped: only the customer
+/// that a gateway reported is rejected.
 #[test]
 fn gossip_from_strangers_and_oversized_messages_are_dropped() {
     let (backend, _) = healthy_endpoint();
--- a/tests/gateway/races.rs
+++ b/tests/gateway/races.rs
@@ -1,4 +1,4 @@
-//! What happens between two steps of a request: a stand-in stops exactly there.
+//! Events between two steps of a request: a stand-in stops exactly there.
 
 use crate::stand_ins::*;
 use socket2::SockRef;
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A configuration in which connections have any time to come up.
+/// A configuration in which connections may take long to come up.
 fn config_with_long_connect_timeout(
     endpoints: &[SocketAddr],
     discovery: SocketAddr,
@@ -19,7 +19,9 @@
     config
 }
 
-/// An endpoint that starts draining while a connection to it comes up gets nothing on it; another one does.
+/// An endpoint starts draining while a connection to it comes up. A request that was assigned to it before would reach
+/// it after its notice, and might be cut off when it stops. Nothing is written on the connection; another endpoint gets
+/// the request.
 #[test]
 fn an_endpoint_that_drains_while_connecting_gets_no_request() {
     let stalled = StalledEndpoint::new();
@@ -56,7 +58,7 @@
     );
 }
 
-/// Bytes that the system has not handed over yet.
+/// Bytes in the client's send queue that the gateway's system has not acknowledged.
 fn queued(client: &TcpStream) -> usize {
     let port = format!(":{:04X}", client.local_addr().unwrap().port());
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
@@ -68,8 +70,9 @@
     usize::from_str_radix(row[4].split(':').next().unwrap(), 16).unwrap()
 }
 
-/// A client that disconnects while a connection comes up ends its request, however it disconnects, and though what is
-/// sent may not be cancelled here.
+/// A client disconnects while the connection to an endpoint comes up: by a close, a reset or a half-close, with or
+/// without bytes sent ahead. An attempt written after that works for nobody. The attempt is given up before it is
+/// written, although the settings forbid to cancel attempts that were sent.
 #[test]
 fn a_client_disconnect_while_connecting_ends_the_attempt() {
     let stalled = StalledEndpoint::new();
@@ -111,7 +114,7 @@
             .write_all((post_request("once", "", "x") + ahead).as_bytes())
             .unwrap();
         stalled.wait_for_pending(1);
-        // What was sent ahead has arrived: a client that goes before it has all been sent is not seen to go.
+        // Waits until what was sent ahead has arrived: the end of the stream follows it.
         let start = Instant::now();
         while queued(&client) > 0 {
             assert!(
@@ -132,7 +135,8 @@
     }
 }
 
-/// Requests sent at once on one connection are answered one after the other, each with its own response.
+/// A client sends many requests at once on one connection. Responses in another order would give it the results of
+/// other requests. Each request gets its own response, in order.
 #[test]
 fn pipelined_requests_are_answered_in_order() {
     let endpoint = start_server(|m| Reply::Send(response(200, "", &m.headers["x-txn"])));
@@ -153,8 +157,9 @@
     }
 }
 
-/// A client that disconnects while the counter is called ends its request: the next one, which waits as long from
-/// later on, is all that the endpoint gets.
+/// A client disconnects while its request waits for the shared counter. When the wait ends, the request would be
+/// forwarded for a client that has left. It is not sent: the endpoint gets only the next request, which waits as long
+/// and starts later.
 #[test]
 fn a_client_disconnect_during_the_counter_call_sends_nothing() {
     let (endpoint, received) = healthy_endpoint();
@@ -165,7 +170,7 @@
     });
     let discovery = Discovery::new();
     let mut config = config(&[endpoint], silent, discovery.addr);
-    // The longest wait for the counter is a part of the aim.
+    // The longest wait for the counter is a share of the latency objective.
     config["settings"]["categories"][2]["aim-ms"] = 4000.into();
     config["settings"]["domain"]["counter-timeout-ms"] = 20_000.into();
     let gateway = Gateway::new(&config);
@@ -188,7 +193,8 @@
     assert_eq!(bodies, [b"stays"]);
 }
 
-/// The remaining time that an attempt sends is what is left when it is written, however late its connection comes up.
+/// The connection for an attempt takes long to come up. If the attempt stated the time that remained when it was made,
+/// the endpoint would work on it after its client has given up. It states what remains when it is written.
 #[test]
 fn an_attempt_sends_the_time_remaining_when_it_is_written() {
     let stalled = StalledEndpoint::new();
