--- a/src/bin/quota-gateway/server/accept.rs
+++ b/src/bin/quota-gateway/server/accept.rs
@@ -1,9 +1,7 @@
-//! Accepts clients. Each connection takes a slot, and there are as many slots as leave descriptors for all else.
+//! Accepts clients. Each connection takes one of the `slots`.
 //!
 //! Failures that this module guards against:
 //!
-//! - Hundreds of silent connections lock out other clients. With all slots taken, the client that has been longest
-//!   without a request is evicted.
 //! - A lack of descriptors or memory makes `accept` fail in a tight loop that starves the other tasks. It is retried
 //!   after a delay.
 //! - While `accept` fails, clients wait in the queue with their requests sent. Read afterwards as if they had just
@@ -26,16 +24,12 @@
 use tokio::net::TcpListener;
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::task::yield_now;
-use tokio::time::{sleep, timeout, Instant};
+use tokio::time::{sleep, Instant};
 
 /// Delay after an error that concerns all connections, such as a lack of descriptors in the system.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
 /// Most consecutive errors that are taken for errors of one connection each. With more, the error concerns all.
 const MAX_ERRORS_WITHOUT_DELAY: u32 = 64;
-/// A new connection is not evicted for this long: its request may be on the way.
-const NEW_CLIENT_GRACE: Duration = Duration::from_millis(20);
-/// Longest wait for an evicted client's slot. A client that has sent a request meanwhile keeps it.
-const EVICTION_TIMEOUT: Duration = Duration::from_millis(5);
 
 /// The listener's queue of connections.
 struct AcceptQueue {
@@ -102,35 +96,38 @@
                 accepted = queue.next() => accepted,
                 _ = phase.wait_for(|phase| *phase >= Phase::NoNewConnections) => return,
             };
-            let stream = match accepted {
-                Ok(stream) => stream,
-                Err(e) => {
+            match accepted {
+                Ok(socket) => {
+                    consecutive_errors = 0;
+                    self.serve_if_slot(number, socket, &queue).await;
+                }
+                Err(error) => {
                     queue.record_accept_failure();
                     consecutive_errors += 1;
                     self.driver.metrics().accept_errors.inc();
-                    delay_after_error(&e, consecutive_errors).await;
-                    warning.warn("accept failed", e);
-                    continue;
+                    delay_after_error(&error, consecutive_errors).await;
+                    warning.warn("accept failed", error);
                 }
-            };
-            consecutive_errors = 0;
-            self.driver.metrics().connections_accepted.inc();
-            let Some(slot) = self.acquire_slot().await else {
-                // A broken connection needs no response.
-                let _ = stream.write_at_once(self.no_slot_response.as_bytes());
-                self.driver
-                    .metrics()
-                    .connections_ended
-                    .increment(ConnectionEnd::NoSlot);
-                continue;
-            };
-            let client = Rc::new(Client::new(queue.earliest_arrival(&stream)));
-            self.spawn_client(number, stream, client, slot);
-            // The client's task runs, and reads a request that has arrived, before the next client can evict it as idle.
-            yield_now().await;
+            }
         }
     }
 
+    /// Serves a new connection, or rejects it if there is no slot for it.
+    async fn serve_if_slot(self: &Rc<Self>, number: u64, socket: Socket, queue: &AcceptQueue) {
+        let metrics = self.driver.metrics();
+        metrics.connections_accepted.inc();
+        let Some(slot) = self.acquire_slot().await else {
+            // A broken connection needs no response.
+            let _ = socket.write_at_once(self.no_slot_response.as_bytes());
+            metrics.connections_ended.increment(ConnectionEnd::NoSlot);
+            return;
+        };
+        let client = Rc::new(Client::new(queue.earliest_arrival(&socket)));
+        self.spawn_client(number, socket, client, slot);
+        // The client's task runs, and reads a request that has arrived, before the next client can evict it as idle.
+        yield_now().await;
+    }
+
     /// Starts the task of one client, which holds the slot until the connection is closed.
     fn spawn_client(
         self: &Rc<Self>,
@@ -147,31 +144,4 @@
             drop(slot);
         });
     }
-
-    /// A slot for one more client; none if all clients have requests open or are new.
-    async fn acquire_slot(&self) -> Option<OwnedSemaphorePermit> {
-        loop {
-            if self.slots.available_permits() == 0 && !self.evict_idle_client() {
-                return None;
-            }
-            // An evicted client that has sent a request keeps its slot: then another one is evicted.
-            if let Ok(slot) = timeout(EVICTION_TIMEOUT, self.slots.clone().acquire_owned()).await {
-                return slot.ok();
-            }
-        }
-    }
-
-    /// Evicts the client that has been longest without a request, those that never sent one first. False if no client
-    /// may be evicted.
-    fn evict_idle_client(&self) -> bool {
-        let clients = self.clients.borrow();
-        let evictable = clients
-            .values()
-            .filter(|client| client.is_evictable(NEW_CLIENT_GRACE));
-        let Some(oldest) = evictable.min_by_key(|client| client.eviction_order()) else {
-            return false;
-        };
-        oldest.evict();
-        true
-    }
 }
--- a/src/bin/quota-gateway/server/client.rs
+++ b/src/bin/quota-gateway/server/client.rs
@@ -149,7 +149,8 @@
         self.has_unwritten_response.set(false);
     }
 
-    /// When the next head has to be complete, or begun if it is not; `None` while a request is open.
+    /// Deadline for the next head: for its first byte until that has arrived, then for its last. `None` while a request
+    /// is open.
     pub fn head_deadline(&self) -> Option<Instant> {
         let head_begun_at = self.head_begun_at.get();
         match self.phase.get() {
--- a/src/bin/quota-gateway/server/connection.rs
+++ b/src/bin/quota-gateway/server/connection.rs
@@ -107,7 +107,7 @@
                 poll_close_reason(served, current_phase, stream, client, &mut head_timer, cx)
             });
             let reason = tokio::select! {
-                // What has come is read before the connection counts as idle.
+                // Bytes that have arrived are read before the connection counts as idle.
                 biased;
                 reason = close_reason => reason,
                 // Fails only once the process has no lifecycle any more.
@@ -120,7 +120,7 @@
             // a stall of the process, and the connection is closed with the request unread. The client sees a close
             // or a reset without a response.
             // Yielding has the runtime poll the sockets, polling the connection reads what they have, and the peek
-            // asks the system for what came since. Nothing is awaited between the peek and the decision to close.
+            // asks the system for what arrived since. Nothing is awaited between the peek and the decision to close.
             yield_now().await;
             if poll_fn(|cx| Poll::Ready(connection.poll_without_shutdown(cx).is_ready())).await {
                 break CloseReason::Finished;
--- a/src/bin/quota-gateway/server/connection/close_reason.rs
+++ b/src/bin/quota-gateway/server/connection/close_reason.rs
@@ -17,7 +17,7 @@
     HeadTimeout,
     /// The process ends, and nothing is owed to the client.
     Drained,
-    /// The process ends, and a request has come in part. It is answered with 503.
+    /// The process ends, and a request has arrived in part. It is answered with 503.
     PartialRequest,
 }
 
@@ -72,7 +72,7 @@
         && (client.has_sent_request() || phase >= Phase::Refusing)
 }
 
-/// Whether a connection is refused as the process ends: a request has come in part, and nothing else is owed.
+/// Whether a connection is refused as the process ends: a request has arrived in part, and nothing else is owed.
 fn has_only_partial_request(phase: Phase, client: &Client) -> bool {
     phase >= Phase::Refusing && client.has_begun_head() && !client.is_owed_response()
 }
--- a/src/bin/quota-gateway/server/handler.rs
+++ b/src/bin/quota-gateway/server/handler.rs
@@ -2,6 +2,7 @@
 
 use super::client::Client;
 use super::forward::forwarded_request;
+use super::in_progress::RequestInProgress;
 use super::request::{ParsedRequest, RequestError};
 use super::response::{self, Response};
 use super::Server;
@@ -14,71 +15,13 @@
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::TRANSFER_ENCODING;
-use hyper::{Method, Request, StatusCode};
-use quota_gateway::RequestId;
+use hyper::{Method, Request};
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
 /// The library ends each request by its deadline. One that it has not ended this long after the deadline fails.
 const DEADLINE_GRACE: Duration = Duration::from_millis(5);
 
-/// A request whose response is not made yet. If it is dropped before, its client has disconnected, and the driver
-/// cancels the request.
-struct RequestInProgress<'a> {
-    server: &'a Server,
-    client: &'a Client,
-    transaction_id: Option<u64>,
-    /// Its id at the driver, while the driver owes a final response.
-    driver_id: Option<RequestId>,
-    /// How it ended; `None` until its response is made.
-    end: Option<RequestEnd>,
-}
-
-impl<'a> RequestInProgress<'a> {
-    fn new(server: &'a Server, client: &'a Client) -> Self {
-        client.request_started();
-        RequestInProgress {
-            server,
-            client,
-            transaction_id: None,
-            driver_id: None,
-            end: None,
-        }
-    }
-
-    /// Rejects a request with the id of an open one. Failure: a client sends a request again before it has a response,
-    /// and both copies are executed. The open request is not touched.
-    fn claim_transaction_id(&mut self, transaction_id: u64) -> Result<(), RequestError> {
-        if !self
-            .server
-            .open_transactions
-            .borrow_mut()
-            .insert(transaction_id)
-        {
-            return Err(RequestError::DuplicateTransaction);
-        }
-        self.transaction_id = Some(transaction_id);
-        Ok(())
-    }
-}
-
-impl Drop for RequestInProgress<'_> {
-    fn drop(&mut self) {
-        self.client.request_ended();
-        let end = self.end.unwrap_or(RequestEnd::Disconnected);
-        self.server.driver.metrics().requests.increment(end);
-        if let Some(transaction_id) = self.transaction_id {
-            self.server
-                .open_transactions
-                .borrow_mut()
-                .remove(&transaction_id);
-        }
-        if let Some(id) = self.driver_id {
-            self.server.driver.cancel_request(id);
-        }
-    }
-}
-
 impl Server {
     /// Makes the response to one request.
     pub(super) async fn respond(
@@ -169,27 +112,6 @@
         }
     }
 
-    /// The response to checks of the gateway's own health, and to the collection of its metrics.
-    fn health_response(&self, path: &str) -> Option<Response> {
-        let healthy = match path {
-            "/health/metrics" => {
-                return Some(response::plain(
-                    StatusCode::OK,
-                    self.driver.metrics().encode(),
-                ));
-            }
-            "/health/ready" => self.driver.is_ready() && !self.lifecycle.is_shutting_down(),
-            "/health/live" => true,
-            _ => return None,
-        };
-        let status = if healthy {
-            StatusCode::OK
-        } else {
-            StatusCode::SERVICE_UNAVAILABLE
-        };
-        Some(response::plain(status, ""))
-    }
-
     /// Hands a complete request to the driver and waits for its final response.
     async fn forward(
         &self,
--- a/src/bin/quota-gateway/server/mod.rs
+++ b/src/bin/quota-gateway/server/mod.rs
@@ -1,11 +1,14 @@
 //! The clients' side: reads their requests by HTTP/1.1 and writes the responses.
 //!
-//! - `accept`: the listener, and the slots that bound the number of connections
+//! - `accept`: the listener
+//! - `slots`: the bound on the number of connections, and the eviction of idle clients
 //! - `client`: the state of one client
 //! - `connection`: one client's connection, from its first byte until it is closed
 //! - `client_stream`: a stream that notices a disconnect while a request is being served
 //! - `read_ahead`: what clients send ahead of a response
 //! - `handler`: one request, from its head to its response
+//! - `in_progress`: the record of a request while its response is being made
+//! - `health`: the paths that the gateway answers itself
 //! - `request`: reads the head of a request
 //! - `forward`: the request as endpoints get it
 //! - `response`: the responses
@@ -16,9 +19,12 @@
 mod connection;
 mod forward;
 mod handler;
+mod health;
+mod in_progress;
 mod read_ahead;
 mod request;
 mod response;
+mod slots;
 
 use crate::driver::Driver;
 use crate::lifecycle::Lifecycle;
@@ -49,7 +55,7 @@
 }
 
 impl Server {
-    /// A server with one slot for each permit of `slots`. The names of classes and plans stand in the order of the
+    /// A server with one slot for each permit of `slots`. The names of classes and plans are in the order of the
     /// settings.
     pub fn new(
         driver: Rc<Driver>,
--- a/src/bin/quota-gateway/server/request/header_names.rs
+++ b/src/bin/quota-gateway/server/request/header_names.rs
@@ -10,7 +10,7 @@
 pub const PLAN: &str = "x-plan";
 /// Time that the client still waits.
 pub const REMAINING_MS: &str = "x-remaining-ms";
-/// Units that the request takes, and the gateways that the customer comes through.
+/// Estimated units of the request, and the gateways that the customer's requests are spread over.
 pub const QUOTA: &str = "x-quota";
 /// `1` on a retry.
 pub const RETRY: &str = "x-resent";
--- /dev/null
+++ b/src/bin/quota-gateway/server/slots.rs
@@ -0,0 +1,43 @@
+//! The slots that bound the number of connections, and the eviction of idle clients for new ones.
+//!
+//! Failure: a client opens hundreds of connections and sends nothing, or many clients keep theirs open between requests,
+//! and new clients are rejected. With all slots taken, the client that has been longest without a request is evicted.
+
+use super::Server;
+use std::time::Duration;
+use tokio::sync::OwnedSemaphorePermit;
+use tokio::time::timeout;
+
+/// A new connection is not evicted for this long: its request may be on the way.
+const NEW_CLIENT_GRACE: Duration = Duration::from_millis(20);
+/// Longest wait for an evicted client's slot. A client that has sent a request meanwhile keeps it.
+const EVICTION_TIMEOUT: Duration = Duration::from_millis(5);
+
+impl Server {
+    /// A slot for one more client; `None` if all clients have requests open or are new.
+    pub(super) async fn acquire_slot(&self) -> Option<OwnedSemaphorePermit> {
+        loop {
+            if self.slots.available_permits() == 0 && !self.evict_idle_client() {
+                return None;
+            }
+            // An evicted client that has sent a request keeps its slot: then another one is evicted.
+            if let Ok(slot) = timeout(EVICTION_TIMEOUT, self.slots.clone().acquire_owned()).await {
+                return slot.ok();
+            }
+        }
+    }
+
+    /// Evicts the client that has been longest without a request, those that never sent one first. False if no client
+    /// may be evicted.
+    fn evict_idle_client(&self) -> bool {
+        let clients = self.clients.borrow();
+        let evictable = clients
+            .values()
+            .filter(|client| client.is_evictable(NEW_CLIENT_GRACE));
+        let Some(oldest) = evictable.min_by_key(|client| client.eviction_order()) else {
+            return false;
+        };
+        oldest.evict();
+        true
+    }
+}
