--- a/tests/gateway/discovery.rs
+++ b/tests/gateway/discovery.rs
@@ -2,10 +2,30 @@
 
 use crate::stand_ins::*;
 use std::io::Write;
+use std::net::SocketAddr;
 use std::sync::mpsc::channel;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+/// A gateway whose configuration names these endpoints, and this discovery.
+fn gateway_with(endpoints: &[SocketAddr], discovery: &Discovery) -> Gateway {
+    Gateway::new(&config(
+        endpoints,
+        start_counter(Arc::default()),
+        discovery.addr,
+    ))
+}
+
+/// An update to the list that names only these endpoints.
+fn update(version: u64, servers: &serde_json::Value) -> serde_json::Value {
+    serde_json::json!({"version": version, "full": false, "servers": servers})
+}
+
+/// An entry that can't be read. The gateway logs a warning once it has handled the list.
+fn invalid_entry() -> serde_json::Value {
+    serde_json::json!({"id": 7})
+}
+
 /// A watch reports a draining endpoint, and then an event that can't be read. If requests still went to the draining
 /// endpoint they would be cut off; if the invalid event were ignored, the change in it would be missed for good. The
 /// endpoint gets nothing more, and the gateway fetches the complete list.
@@ -14,14 +34,11 @@
     let (one, got_one) = healthy_endpoint();
     let (two, _) = healthy_endpoint();
     let discovery = Discovery::new();
-    let gateway = Gateway::new(&config(
-        &[one, two],
-        start_counter(Arc::default()),
-        discovery.addr,
-    ));
+    let gateway = gateway_with(&[one, two], &discovery);
     let (line, mut watch) = discovery.next_watch();
     assert!(line.contains("index=7"), "{line}");
-    let change = serde_json::json!({"version": 8, "full": false, "servers": [list_entry(0, one, "Terminating")]});
+    let servers = serde_json::json!([list_entry(0, one, "Terminating")]);
+    let change = update(8, &servers);
     push_update(&mut watch, &change.to_string());
     push_update(&mut watch, "{\"version\": 9, \"full\": tr");
     // An event that can't be read is a missed change: the complete list is requested.
@@ -40,17 +57,10 @@
 fn a_watch_that_ends_is_reopened_from_the_last_version() {
     let (one, _) = healthy_endpoint();
     let discovery = Discovery::new();
-    let _gateway = Gateway::new(&config(
-        &[one],
-        start_counter(Arc::default()),
-        discovery.addr,
-    ));
+    let _gateway = gateway_with(&[one], &discovery);
     let (_, mut watch) = discovery.next_watch();
     push_update(&mut watch, "");
-    push_update(
-        &mut watch,
-        &serde_json::json!({"version": 12, "full": false, "servers": []}).to_string(),
-    );
+    push_update(&mut watch, &update(12, &serde_json::json!([])).to_string());
     drop(watch);
     assert!(discovery.next_watch().0.contains("index=12"));
 }
@@ -63,14 +73,11 @@
     let (one, got_one) = healthy_endpoint();
     let (two, _) = healthy_endpoint();
     let discovery = Discovery::new();
-    let gateway = Gateway::new(&config(
-        &[one, two],
-        start_counter(Arc::default()),
-        discovery.addr,
-    ));
+    let gateway = gateway_with(&[one, two], &discovery);
     let (_, mut watch) = discovery.next_watch();
-    let bad = serde_json::json!({"id": 7, "addr": "nowhere", "state": "Odd"});
-    let change = serde_json::json!({"version": 8, "full": false, "servers": [bad, list_entry(0, one, "Terminating")]});
+    let invalid = serde_json::json!({"id": 7, "addr": "nowhere", "state": "Odd"});
+    let servers = serde_json::json!([invalid, list_entry(0, one, "Terminating")]);
+    let change = update(8, &servers);
     push_update(&mut watch, &change.to_string());
     // The event has been handled once its warning is logged.
     gateway.wait_for_log("an entry of the list");
@@ -93,14 +100,10 @@
     let (one, got_one) = healthy_endpoint();
     let (two, _) = healthy_endpoint();
     let discovery = Discovery::new();
-    let gateway = Gateway::new(&config(
-        &[one, two],
-        start_counter(Arc::default()),
-        discovery.addr,
-    ));
+    let gateway = gateway_with(&[one, two], &discovery);
     let (_, mut watch) = discovery.next_watch();
-    let bad = serde_json::json!({"id": 7});
-    let change = serde_json::json!({"version": 8, "full": false, "servers": [bad, list_entry(0, one, "Terminating")]});
+    let servers = serde_json::json!([invalid_entry(), list_entry(0, one, "Terminating")]);
+    let change = update(8, &servers);
     let text = format!("\n{}\n\n", serde_json::to_string_pretty(&change).unwrap());
     for byte in text.bytes() {
         watch
@@ -125,11 +128,7 @@
     let (one, _) = healthy_endpoint();
     for last in ["", "{\"version\": 8, \"full\": false, "] {
         let discovery = Discovery::new();
-        let _gateway = Gateway::new(&config(
-            &[one],
-            start_counter(Arc::default()),
-            discovery.addr,
-        ));
+        let _gateway = gateway_with(&[one], &discovery);
         let (_, mut watch) = discovery.next_watch();
         let start = Instant::now();
         push_update(&mut watch, last);
@@ -168,7 +167,7 @@
 }
 
 /// A complete list with this number of entries, of which only the endpoint at `ready` takes requests.
-fn long_list(entries: usize, ready: std::net::SocketAddr) -> serde_json::Value {
+fn long_list(entries: usize, ready: SocketAddr) -> serde_json::Value {
     let elsewhere = |number| list_entry(number, nobody_at(number), "Terminating");
     let servers = (1..entries)
         .map(elsewhere)
@@ -176,8 +175,8 @@
     serde_json::json!({"version": 9, "full": true, "servers": servers.collect::<Vec<_>>()})
 }
 
-fn nobody_at(number: usize) -> std::net::SocketAddr {
-    std::net::SocketAddr::from(([127, 1, (number >> 8) as u8, number as u8], 9))
+fn nobody_at(number: usize) -> SocketAddr {
+    SocketAddr::from(([127, 1, (number >> 8) as u8, number as u8], 9))
 }
 
 /// The configuration names no endpoints, and the list on the watch has 20,000 entries in one chunk. If it exceeded a
@@ -216,11 +215,7 @@
     let text = long_list(20_481, one).to_string();
     let answer = response(200, "", &text);
     let discovery = Discovery::new();
-    let gateway = Gateway::new(&config(
-        &[one],
-        start_counter(Arc::default()),
-        discovery.addr,
-    ));
+    let gateway = gateway_with(&[one], &discovery);
     let (_, mut watch) = discovery.next_watch();
     push_update(&mut watch, &text);
     gateway.wait_for_log("over 20480 entries");
@@ -283,11 +278,12 @@
             .recv_timeout(Duration::from_secs(6))
             .expect("a watch in time");
         assert!(line.contains("index=7"), "{line}");
-        let servers = serde_json::json!([{"id": 7}, list_entry(0, one, "Terminating"), list_entry(1, two, "Ready")]);
-        push_update(
-            &mut watch,
-            &serde_json::json!({"version": 8, "full": false, "servers": servers}).to_string(),
-        );
+        let servers = serde_json::json!([
+            invalid_entry(),
+            list_entry(0, one, "Terminating"),
+            list_entry(1, two, "Ready")
+        ]);
+        push_update(&mut watch, &update(8, &servers).to_string());
         gateway.wait_for_log("an entry of the list");
         let before = got_one.lock().unwrap().len();
         (50..100).for_each(|customer| served(&mut idle, customer));
--- a/tests/gateway/races.rs
+++ b/tests/gateway/races.rs
@@ -19,6 +19,17 @@
     config
 }
 
+/// A client whose request is about to be sent to the endpoint: the connection to it is coming up.
+fn start_request(gateway: &Gateway, stalled: &StalledEndpoint) -> BufReader<TcpStream> {
+    let mut client = gateway.connect();
+    client
+        .get_mut()
+        .write_all(post_request("once", "", "x").as_bytes())
+        .unwrap();
+    stalled.wait_for_pending(1);
+    client
+}
+
 /// An endpoint starts draining while a connection to it comes up. A request that was assigned to it before would reach
 /// it after its notice, and might be cut off when it stops. Nothing is written on the connection; another endpoint gets
 /// the request.
@@ -32,12 +43,7 @@
         discovery.addr,
     ));
     let (_, mut watch) = discovery.next_watch();
-    let mut connection = gateway.connect();
-    connection
-        .get_mut()
-        .write_all(post_request("once", "", "x").as_bytes())
-        .unwrap();
-    stalled.wait_for_pending(1);
+    let mut client = start_request(&gateway, &stalled);
     let bad = serde_json::json!({"id": 7});
     let servers = serde_json::json!([
         bad,
@@ -50,7 +56,7 @@
     );
     gateway.wait_for_log("an entry of the list");
     let mut late = stalled.accept_next();
-    assert_eq!(read_message(&mut connection).unwrap().body, b"stock: 12");
+    assert_eq!(read_message(&mut client).unwrap().body, b"stock: 12");
     late.set_nonblocking(true).unwrap();
     assert!(
         late.read(&mut [0]).map_or(true, |bytes| bytes == 0),
@@ -202,12 +208,7 @@
         &[stalled.addr],
         Discovery::new().addr,
     ));
-    let mut connection = gateway.connect();
-    connection
-        .get_mut()
-        .write_all(post_request("once", "", "x").as_bytes())
-        .unwrap();
-    stalled.wait_for_pending(1);
+    let _client = start_request(&gateway, &stalled);
     std::thread::sleep(Duration::from_millis(800));
     let late = stalled.accept_next();
     let message = read_message(&mut BufReader::new(late)).expect("a request");
