--- a/src/bin/quota-gateway/socket.rs
+++ b/src/bin/quota-gateway/socket.rs
@@ -195,19 +195,32 @@
     EndOfStream,
 }
 
+/// Makes a call once the socket is ready for it, and again for as long as its failures may pass. A call that would block
+/// clears the readiness, so that the next `poll_ready` waits.
+fn poll_transfer<T>(
+    mut poll_ready: impl FnMut() -> Poll<io::Result<()>>,
+    mut call: impl FnMut() -> io::Result<T>,
+) -> Poll<io::Result<T>> {
+    loop {
+        ready!(poll_ready())?;
+        match call() {
+            Err(error) if may_pass_for_transfer(&error) => {}
+            result => return Poll::Ready(result),
+        }
+    }
+}
+
 impl AsyncRead for Socket {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        loop {
-            ready!(self.stream.poll_read_ready(cx))?;
-            match self.stream.try_read_buf(buf) {
-                Err(error) if may_pass_for_transfer(&error) => {}
-                result => return Poll::Ready(result.map(drop)),
-            }
-        }
+        let stream = &self.stream;
+        poll_transfer(
+            || stream.poll_read_ready(cx),
+            || stream.try_read_buf(buf).map(drop),
+        )
     }
 }
 
@@ -217,13 +230,8 @@
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        loop {
-            ready!(self.stream.poll_write_ready(cx))?;
-            match self.stream.try_write(buf) {
-                Err(error) if may_pass_for_transfer(&error) => {}
-                result => return Poll::Ready(result),
-            }
-        }
+        let stream = &self.stream;
+        poll_transfer(|| stream.poll_write_ready(cx), || stream.try_write(buf))
     }
 
     fn poll_write_vectored(
@@ -231,13 +239,11 @@
         cx: &mut Context<'_>,
         bufs: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        loop {
-            ready!(self.stream.poll_write_ready(cx))?;
-            match self.stream.try_write_vectored(bufs) {
-                Err(error) if may_pass_for_transfer(&error) => {}
-                result => return Poll::Ready(result),
-            }
-        }
+        let stream = &self.stream;
+        poll_transfer(
+            || stream.poll_write_ready(cx),
+            || stream.try_write_vectored(bufs),
+        )
     }
 
     fn is_write_vectored(&self) -> bool {
