--- /dev/null
+++ b/src/bin/quota-gateway/server/body.rs
@@ -0,0 +1,51 @@
+//! The bodies of requests: which are allowed, and reading them.
+
+use super::request::{ClassRoute, RequestError};
+use super::Server;
+use crate::http::MAX_BODY_BYTES;
+use crate::lifecycle::Phase;
+use bytes::Bytes;
+use http_body_util::{BodyExt, LengthLimitError, Limited};
+use hyper::body::{Body, Incoming};
+use hyper::Method;
+use tokio::time::{timeout_at, Instant};
+
+/// Checks what is known of a body before it is read.
+pub fn check_body(class: &ClassRoute, body: &Incoming) -> Result<(), RequestError> {
+    if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
+        return Err(RequestError::BodyTooLarge);
+    }
+    if class.method == Method::GET && !body.is_end_stream() {
+        return Err(RequestError::UnexpectedBody);
+    }
+    Ok(())
+}
+
+impl Server {
+    /// The complete body; `None` if requests are refused before it has arrived.
+    pub(super) async fn read_body_unless_refusing(
+        &self,
+        body: Incoming,
+        deadline: Instant,
+    ) -> Result<Option<Bytes>, RequestError> {
+        if body.size_hint().exact() == Some(0) {
+            return Ok(Some(Bytes::new()));
+        }
+        tokio::select! {
+            // A body that has arrived is served rather than refused.
+            biased;
+            body = read_body(body, deadline) => body.map(Some),
+            () = self.lifecycle.reached(Phase::Refusing) => Ok(None),
+        }
+    }
+}
+
+/// Reads a request's body, which must be complete by the deadline.
+async fn read_body(body: Incoming, deadline: Instant) -> Result<Bytes, RequestError> {
+    match timeout_at(deadline, Limited::new(body, MAX_BODY_BYTES).collect()).await {
+        Ok(Ok(body)) => Ok(body.to_bytes()),
+        Ok(Err(e)) if e.is::<LengthLimitError>() => Err(RequestError::BodyTooLarge),
+        Ok(Err(_)) => Err(RequestError::IncompleteBody),
+        Err(_) => Err(RequestError::BodyTimeout),
+    }
+}
--- a/src/bin/quota-gateway/server/handler.rs
+++ b/src/bin/quota-gateway/server/handler.rs
@@ -1,5 +1,6 @@
 //! One request, from its head to its response.
 
+use super::body::check_body;
 use super::client::Client;
 use super::forward::forwarded_request;
 use super::in_progress::RequestInProgress;
@@ -7,19 +8,16 @@
 use super::response::{self, Response};
 use super::Server;
 use crate::driver::{FinalResponse, ForwardedRequest, IncomingRequest};
-use crate::http::MAX_BODY_BYTES;
-use crate::lifecycle::Phase;
 use crate::metrics::RequestEnd;
 use crate::socket::WeakSocket;
-use bytes::Bytes;
-use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::TRANSFER_ENCODING;
-use hyper::{Method, Request};
+use hyper::Request;
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// The library ends each request by its deadline. One that it has not ended this long after the deadline fails.
+/// Time after a request's deadline at which the handler ends it. The library ends it by the deadline; if its timer fires
+/// late, as after a stall of the process, the client would wait on.
 const DEADLINE_GRACE: Duration = Duration::from_millis(5);
 
 impl Server {
@@ -75,17 +73,12 @@
         let ParsedRequest { incoming, class } =
             self.parser
                 .parse(&parts.method, &parts.uri, &parts.headers, received_at)?;
-        if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
-            return Err(RequestError::BodyTooLarge);
-        }
-        if class.method == Method::GET && !body.is_end_stream() {
-            return Err(RequestError::UnexpectedBody);
-        }
+        check_body(class, &body)?;
         in_progress.claim_transaction_id(incoming.transaction_id)?;
         let remaining = Duration::from_secs_f64(incoming.remaining_ms / 1000.0);
         let complete_by = complete_by.min(received_at + remaining);
         let Some(body) = self.read_body_unless_refusing(body, complete_by).await? else {
-            return Ok(refuse_unread(&incoming, in_progress));
+            return Ok(refuse_incomplete(&incoming, in_progress));
         };
         let forwarded = forwarded_request(class, &parts.uri, &parts.headers, &body);
         let final_response = self
@@ -95,23 +88,6 @@
         Ok(response::final_response(final_response))
     }
 
-    /// The complete body; `None` if requests are refused before it has arrived.
-    async fn read_body_unless_refusing(
-        &self,
-        body: Incoming,
-        deadline: Instant,
-    ) -> Result<Option<Bytes>, RequestError> {
-        if body.size_hint().exact() == Some(0) {
-            return Ok(Some(Bytes::new()));
-        }
-        tokio::select! {
-            // A body that has arrived is served rather than refused.
-            biased;
-            body = read_body(body, deadline) => body.map(Some),
-            () = self.lifecycle.reached(Phase::Refusing) => Ok(None),
-        }
-    }
-
     /// Hands a complete request to the driver and waits for its final response.
     async fn forward(
         &self,
@@ -138,7 +114,10 @@
 }
 
 /// The response to a request whose body is incomplete when the shutdown refuses requests.
-fn refuse_unread(incoming: &IncomingRequest, in_progress: &mut RequestInProgress<'_>) -> Response {
+fn refuse_incomplete(
+    incoming: &IncomingRequest,
+    in_progress: &mut RequestInProgress<'_>,
+) -> Response {
     log_refusal(incoming);
     in_progress.end = Some(RequestEnd::ShuttingDown);
     let mut response = response::final_response(FinalResponse::ShuttingDown);
@@ -159,13 +138,3 @@
         FinalResponse::ShuttingDown => RequestEnd::ShuttingDown,
     }
 }
-
-/// Reads a request's body, which must be complete by the deadline.
-async fn read_body(body: Incoming, deadline: Instant) -> Result<Bytes, RequestError> {
-    match timeout_at(deadline, Limited::new(body, MAX_BODY_BYTES).collect()).await {
-        Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(e)) if e.is::<LengthLimitError>() => Err(RequestError::BodyTooLarge),
-        Ok(Err(_)) => Err(RequestError::IncompleteBody),
-        Err(_) => Err(RequestError::BodyTimeout),
-    }
-}
--- a/src/bin/quota-gateway/server/mod.rs
+++ b/src/bin/quota-gateway/server/mod.rs
@@ -7,6 +7,7 @@
 //! - `client_stream`: a stream that notices a disconnect while a request is being served
 //! - `read_ahead`: what clients send ahead of a response
 //! - `handler`: one request, from its head to its response
+//! - `body`: which bodies are allowed, and reading them
 //! - `in_progress`: the record of a request while its response is being made
 //! - `health`: the paths that the gateway answers itself
 //! - `request`: reads the head of a request
@@ -14,6 +15,7 @@
 //! - `response`: the responses
 
 mod accept;
+mod body;
 mod client;
 mod client_stream;
 mod connection;
