--- a/src/bin/quota-gateway/counter/client.rs
+++ b/src/bin/quota-gateway/counter/client.rs
@@ -13,10 +13,13 @@
 /// A call that adds an amount to the count of a key.
 #[derive(Clone)]
 pub struct IncrementCall {
+    /// The key whose count is increased.
     pub key: u64,
+    /// What is added, in units; negative to correct an earlier call.
     pub amount: f64,
     /// Time after which the counter removes a new key, in ms.
     pub ttl_ms: f64,
+    /// When the call was made. Its time-out counts from here.
     pub started_at: Instant,
 }
 
@@ -29,6 +32,7 @@
 pub type CounterQueues = Vec<Receiver<IncrementCall>>;
 
 impl CounterClient {
+    /// Makes the queues, and returns both of their ends.
     pub fn new() -> (Self, CounterQueues) {
         let (queues, receivers) = (0..CONNECTIONS).map(|_| channel(QUEUE_CAPACITY)).unzip();
         (CounterClient { queues }, receivers)
--- a/src/bin/quota-gateway/counter/codec.rs
+++ b/src/bin/quota-gateway/counter/codec.rs
@@ -19,6 +19,7 @@
 /// The meaning of a response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CounterResponse {
+    /// How the call ended.
     pub outcome: Outcome,
     /// The total after the call; 0 unless it succeeded.
     pub total: f64,
--- a/src/bin/quota-gateway/counter/connection.rs
+++ b/src/bin/quota-gateway/counter/connection.rs
@@ -9,7 +9,8 @@
 //!   a response for two call time-outs is closed, and the next call connects anew.
 //! - The counter closes an idle connection just as a call is written, and nobody knows whether the amount was added. The
 //!   connection is closed earlier by this side.
-//! - A silent counter has calls pile up in memory. No more calls are taken than `QUEUE_CAPACITY`.
+//! - A silent counter has calls pile up in memory. Calls are taken from the queue only while fewer than `QUEUE_CAPACITY`
+//!   requests have no response.
 //! - The address changes while bytes are being written. All state is in [`CounterConnection`], so that the future of
 //!   `serve` may be dropped at any point, and `finish` goes on from there.
 
@@ -40,7 +41,9 @@
 pub struct CounterContext {
     /// Time after which a call without a response is reported as timed out.
     pub call_timeout: Duration,
+    /// Reports the end of each call.
     pub reporter: CallReporter,
+    /// The warning about a response that can't be read.
     pub invalid_response_warning: RateLimitedWarning,
 }
 
@@ -63,6 +66,7 @@
 }
 
 impl CounterConnection {
+    /// A connection to this address that has just been opened.
     pub fn new(socket: Socket, addr: SocketAddr, context: Rc<CounterContext>) -> Self {
         CounterConnection {
             reader: Reader::new(socket.clone()),
--- a/src/bin/quota-gateway/counter/pending.rs
+++ b/src/bin/quota-gateway/counter/pending.rs
@@ -24,10 +24,12 @@
 }
 
 impl PendingRequests {
+    /// Number of requests without a response.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
+    /// True if no request is without a response.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
--- a/src/bin/quota-gateway/counter/report.rs
+++ b/src/bin/quota-gateway/counter/report.rs
@@ -16,10 +16,12 @@
 }
 
 impl CallReporter {
+    /// Reports to this handler.
     pub fn new(handler: Rc<dyn CounterReplyHandler>) -> Self {
         CallReporter { handler }
     }
 
+    /// Reports the end of a call; `total` is 0 unless it succeeded.
     pub fn report(&self, call: &IncrementCall, outcome: Outcome, total: f64) {
         let elapsed_ms = call.started_at.elapsed().as_secs_f64() * 1000.0;
         self.handler
--- a/src/bin/quota-gateway/discovery/call.rs
+++ b/src/bin/quota-gateway/discovery/call.rs
@@ -21,6 +21,7 @@
 /// A request for a watch on the changes after a version.
 #[derive(Clone, Copy)]
 pub struct WatchRequest {
+    /// The address of discovery.
     pub addr: SocketAddr,
     /// Version of the current list.
     pub version: u64,
--- a/src/bin/quota-gateway/discovery/framing.rs
+++ b/src/bin/quota-gateway/discovery/framing.rs
@@ -39,6 +39,7 @@
 }
 
 impl ObjectFramer {
+    /// Adds bytes of the stream.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
--- a/src/bin/quota-gateway/discovery/list.rs
+++ b/src/bin/quota-gateway/discovery/list.rs
@@ -18,6 +18,7 @@
     /// True if endpoints that are not listed were removed; false for an update that lists only changes.
     #[serde(rename = "full")]
     pub complete: bool,
+    /// The endpoints that are listed.
     #[serde(rename = "servers")]
     pub endpoints: EndpointEntries,
 }
@@ -25,6 +26,7 @@
 /// The entries of a list. Invalid entries are counted and skipped; the others still apply.
 #[derive(Debug, Default)]
 pub struct EndpointEntries {
+    /// The entries that could be read.
     pub valid: Vec<EndpointEntry>,
     /// Number of entries that could not be read.
     pub invalid: usize,
@@ -33,16 +35,22 @@
 /// One endpoint.
 #[derive(Debug, Deserialize)]
 pub struct EndpointEntry {
+    /// Its name at discovery.
     pub id: String,
     /// Required unless the endpoint was removed.
     pub addr: Option<SocketAddr>,
+    /// Its zone.
     #[serde(default)]
     pub zone: String,
+    /// Its hardware or software kind.
     #[serde(default)]
     pub kind: String,
+    /// Its cell within the zone.
     #[serde(default)]
     pub cell: u32,
+    /// Its state.
     pub state: EntryState,
+    /// Its capacity, relative to the other endpoints.
     #[serde(default = "default_weight")]
     pub weight: f64,
     /// Unix time at which the endpoint started, in ms.
--- a/src/bin/quota-gateway/discovery/policy.rs
+++ b/src/bin/quota-gateway/discovery/policy.rs
@@ -33,6 +33,7 @@
 /// Time-outs of one call.
 #[derive(Clone, Copy)]
 pub struct CallTimeouts {
+    /// For the connection.
     pub connect: Duration,
     /// For the complete list, and again for the head of the watch.
     pub response: Duration,
@@ -95,6 +96,7 @@
         }
     }
 
+    /// The time-outs of each call.
     pub fn timeouts(&self) -> CallTimeouts {
         self.timeouts
     }
--- a/src/bin/quota-gateway/server/client_stream.rs
+++ b/src/bin/quota-gateway/server/client_stream.rs
@@ -9,7 +9,8 @@
 //! 1. What the client sends ahead is buffered within the bounds of `read_ahead`, for hyper to read later.
 //! 2. A client that exceeds its own bound has what follows discarded; its later requests end there.
 //! 3. If the budget of all clients is used up nothing is read, and the system is polled for the end. The system sees
-//!    the end only once all bytes before it fit into its receive buffer, so a client with more unread is discarded, too.
+//!    the end only once all bytes before it fit into its receive buffer, so the bytes of a client with more unread are
+//!    discarded, too.
 
 use super::client::Client;
 use super::read_ahead::{ReadAheadBudget, ReadAheadBuffer};
--- a/src/bin/quota-gateway/server/connection/head_timer.rs
+++ b/src/bin/quota-gateway/server/connection/head_timer.rs
@@ -16,6 +16,7 @@
 }
 
 impl HeadTimer {
+    /// A timer for the client's present deadline.
     pub fn new(client: &Client) -> Self {
         HeadTimer {
             timer: Box::pin(sleep_until(next_check(client))),
--- a/src/bin/quota-gateway/server/in_progress.rs
+++ b/src/bin/quota-gateway/server/in_progress.rs
@@ -10,6 +10,7 @@
 /// cancels the request.
 pub struct RequestInProgress<'a> {
     server: &'a Server,
+    /// The client that sent it.
     pub client: &'a Client,
     transaction_id: Option<u64>,
     /// Its id at the driver, while the driver owes a final response.
--- a/src/bin/quota-gateway/server/read_ahead.rs
+++ b/src/bin/quota-gateway/server/read_ahead.rs
@@ -21,10 +21,12 @@
 }
 
 impl ReadAheadBudget {
+    /// Bytes in all buffers.
     pub fn used(&self) -> usize {
         self.used.get()
     }
 
+    /// Counts bytes that are buffered.
     pub fn add(&self, bytes: usize) {
         self.used.set(self.used.get() + bytes);
     }
@@ -41,7 +43,9 @@
 
 /// Bytes that arrived together.
 pub struct Arrival {
+    /// When the first of them was read.
     pub at: Instant,
+    /// The bytes.
     pub bytes: BytesMut,
 }
 
@@ -63,10 +67,12 @@
         }
     }
 
+    /// Number of bytes.
     pub fn len(&self) -> usize {
         self.len
     }
 
+    /// True if there are no bytes.
     pub fn is_empty(&self) -> bool {
         self.arrivals.is_empty()
     }
