--- a/src/bin/quota-gateway/counter/client.rs
+++ b/src/bin/quota-gateway/counter/client.rs
@@ -3,31 +3,36 @@
 use tokio::sync::mpsc::{channel, Receiver, Sender};
 use tokio::time::Instant;
 
-/// Connections to the counter. All calls for a key use the same one, so that they stay in order; a connection that
-/// hangs leaves the others alone.
+/// Connections to the counter. All calls for a key use the same one, so that they stay in order. A connection that
+/// hangs does not delay the calls on the others.
 const CONNECTIONS: usize = 4;
-/// Calls that may wait for one connection, and as many again for its responses: a silent counter must not fill memory.
+/// Most calls that wait for one connection, and most requests without a response on it. It bounds the memory that a
+/// silent counter takes.
 pub const QUEUE_CAPACITY: usize = 256;
 
 /// A call that adds an amount to the count of a key.
 #[derive(Clone)]
-pub struct CounterCall {
+pub struct IncrementCall {
+    /// The key whose count is increased.
     pub key: u64,
+    /// What is added, in units; negative to correct an earlier call.
     pub amount: f64,
-    /// The counter forgets a new key after this time.
+    /// Time after which the counter removes a new key, in ms.
     pub ttl_ms: f64,
+    /// When the call was made. Its time-out counts from here.
     pub started_at: Instant,
 }
 
-/// Puts calls into the queues.
+/// The sending ends of the queues.
 pub struct CounterClient {
-    queues: Vec<Sender<CounterCall>>,
+    queues: Vec<Sender<IncrementCall>>,
 }
 
-/// The other ends of the queues, one for each connection.
-pub type CounterQueues = Vec<Receiver<CounterCall>>;
+/// The receiving ends of the queues, one for each connection.
+pub type CounterQueues = Vec<Receiver<IncrementCall>>;
 
 impl CounterClient {
+    /// Makes the queues, and returns both of their ends.
     pub fn new() -> (Self, CounterQueues) {
         let (queues, receivers) = (0..CONNECTIONS).map(|_| channel(QUEUE_CAPACITY)).unzip();
         (CounterClient { queues }, receivers)
@@ -35,7 +40,7 @@
 
     /// Queues a call; false if its queue is full.
     #[must_use]
-    pub fn call(&self, call: CounterCall) -> bool {
+    pub fn call(&self, call: IncrementCall) -> bool {
         let index = (call.key ^ call.key >> 30) as usize % self.queues.len();
         self.queues[index].try_send(call).is_ok()
     }
--- a/src/bin/quota-gateway/counter/codec.rs
+++ b/src/bin/quota-gateway/counter/codec.rs
@@ -1,31 +1,32 @@
 //! The text of a call to the counter, and the meaning of its response.
 
-use super::client::CounterCall;
+use super::client::IncrementCall;
 use quota_gateway::Outcome;
 use std::net::SocketAddr;
 
 #[cfg(test)]
 mod tests;
 
-/// The counter keeps amounts multiplied by this. It writes totals with three decimals, and the amounts of the decision
-/// library start at a billionth of a unit at the beginning of a window: unscaled they came back as 0, and each
-/// window began unchecked.
+/// Factor by which amounts are multiplied on the wire. The counter writes totals with three decimals, and the amounts of
+/// the decision library start at a billionth of a unit at the beginning of a window: unscaled, their total would be
+/// rounded to 0, and nobody would be rejected at the beginning of a window.
 const SCALE: f64 = 1e7;
-/// Largest amount that the counter takes.
+/// Largest amount of one request to the counter.
 const MAX_AMOUNT: f64 = 1e9;
-/// Largest number of full parts that one amount is split into: more would be beyond any use.
+/// Most parts of the largest amount that one call is split into. It bounds the memory for a call.
 const MAX_FULL_PARTS: f64 = 16.0;
 
-/// What a response says.
+/// The meaning of a response.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct CounterReply {
+pub struct CounterResponse {
+    /// How the call ended.
     pub outcome: Outcome,
     /// The total after the call; 0 unless it succeeded.
     pub total: f64,
 }
 
 /// The requests that together add the amount of a call.
-pub fn encode(call: &CounterCall, addr: SocketAddr) -> Vec<String> {
+pub fn encode(call: &IncrementCall, addr: SocketAddr) -> Vec<String> {
     let parts = split_amount(call.amount * SCALE);
     parts
         .into_iter()
@@ -33,7 +34,7 @@
         .collect()
 }
 
-fn request(call: &CounterCall, part: f64, addr: SocketAddr) -> String {
+fn request(call: &IncrementCall, part: f64, addr: SocketAddr) -> String {
     let key = call.key;
     let expire_ms = call.ttl_ms.max(1.0) as u64;
     format!(
@@ -42,7 +43,7 @@
     )
 }
 
-/// Splits a scaled amount into parts that the counter takes. If it were clamped, the rest of a customer's use would
+/// Splits a scaled amount into parts that the counter accepts. If it were clamped, the rest of a customer's use would
 /// never be counted.
 fn split_amount(amount: f64) -> Vec<f64> {
     let full_parts = (amount.abs() / MAX_AMOUNT).min(MAX_FULL_PARTS) as usize;
@@ -52,18 +53,18 @@
     parts
 }
 
-/// Reads a response. Without a total that is a number the amount may or may not have been added.
-pub fn decode(status: u16, body: &[u8]) -> CounterReply {
+/// Interprets a response. Without a total that is a finite number, the amount may or may not have been added.
+pub fn decode(status: u16, body: &[u8]) -> CounterResponse {
     match (status, parse_total(body)) {
-        (200, Some(total)) => CounterReply {
+        (200, Some(total)) => CounterResponse {
             outcome: Outcome::Success,
             total: total / SCALE,
         },
-        (503 | 400 | 404, _) => CounterReply {
+        (503 | 400 | 404, _) => CounterResponse {
             outcome: Outcome::Rejected,
             total: 0.0,
         },
-        _ => CounterReply {
+        _ => CounterResponse {
             outcome: Outcome::ErrorResponse,
             total: 0.0,
         },
--- a/src/bin/quota-gateway/counter/connection.rs
+++ b/src/bin/quota-gateway/counter/connection.rs
@@ -1,14 +1,28 @@
 //! One connection to the counter, on which calls are pipelined.
-
-use super::client::{CounterCall, QUEUE_CAPACITY};
+//!
+//! Failures that this module guards against:
+//!
+//! - A response is taken for that of another call, and a customer's quota follows another customer's total. Responses
+//!   come in the order of the requests, so the connection is closed after a response that can't be read and after bytes
+//!   that no request awaits.
+//! - A machine that vanished leaves the connection open and silent, and each call on it times out. A connection without
+//!   a response for two call time-outs is closed, and the next call connects anew.
+//! - The counter closes an idle connection just as a call is written, and nobody knows whether the amount was added. The
+//!   connection is closed earlier by this side.
+//! - A silent counter has calls pile up in memory. Calls are taken from the queue only while fewer than `QUEUE_CAPACITY`
+//!   requests have no response.
+//! - The address changes while bytes are being written. All state is in [`CounterConnection`], so that the future of
+//!   `serve` may be dropped at any point, and `finish` goes on from there.
+
+use super::client::{IncrementCall, QUEUE_CAPACITY};
 use super::codec;
+use super::pending::PendingRequests;
 use super::report::CallReporter;
 use crate::http::{Head, Reader};
 use crate::rate_limited_warning::RateLimitedWarning;
 use crate::socket::Socket;
 use bytes::{Buf, Bytes, BytesMut};
 use quota_gateway::Outcome;
-use std::collections::VecDeque;
 use std::io;
 use std::net::SocketAddr;
 use std::ops::ControlFlow;
@@ -18,50 +32,43 @@
 use tokio::sync::mpsc::Receiver;
 use tokio::time::{sleep_until, Instant};
 
-/// A connection that has been idle for this long is closed before the counter closes it: a call written at that moment
-/// could be lost.
+/// Idle time after which a connection is closed. It is shorter than the counter's own idle time-out.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Largest response body.
+/// Largest body of a response.
 const MAX_RESPONSE_BYTES: usize = 1024;
 
-/// What all connections share.
-pub struct ConnectionContext {
-    /// A call without a response is reported as timed out after this.
+/// What all connections to the counter share.
+pub struct CounterContext {
+    /// Time after which a call without a response is reported as timed out.
     pub call_timeout: Duration,
+    /// Reports the end of each call.
     pub reporter: CallReporter,
-    pub invalid_response: RateLimitedWarning,
-}
-
-/// A request that is queued or written and has no response yet.
-struct PendingRequest {
-    call: CounterCall,
-    /// Position in the connection's outgoing bytes at which the request ends.
-    end_offset: u64,
-    /// The call was reported as timed out, or this request adds only a part of its amount that is not the last.
-    ignore_response: bool,
+    /// The warning about a response that can't be read.
+    pub invalid_response_warning: RateLimitedWarning,
 }
 
-/// An open connection. All state is kept here, so that dropping `serve` at any point loses nothing.
-pub struct Connection {
+/// An open connection.
+pub struct CounterConnection {
     reader: Reader<Socket>,
     /// Another handle of the reader's socket.
     writer: Socket,
     addr: SocketAddr,
-    context: Rc<ConnectionContext>,
-    /// Bytes still to be written.
+    context: Rc<CounterContext>,
+    /// Bytes that are not written yet.
     outgoing: BytesMut,
-    /// All bytes ever put into `outgoing`.
+    /// Number of bytes that were ever put into `outgoing`.
     bytes_queued: u64,
-    /// Those of them that were written.
+    /// Number of those that were written.
     bytes_written: u64,
-    pending: VecDeque<PendingRequest>,
+    pending: PendingRequests,
     /// When the last response arrived, or the connection was opened.
     last_response_at: Instant,
 }
 
-impl Connection {
-    pub fn new(socket: Socket, addr: SocketAddr, context: Rc<ConnectionContext>) -> Self {
-        Connection {
+impl CounterConnection {
+    /// A connection to this address that has just been opened.
+    pub fn new(socket: Socket, addr: SocketAddr, context: Rc<CounterContext>) -> Self {
+        CounterConnection {
             reader: Reader::new(socket.clone()),
             writer: socket,
             addr,
@@ -69,37 +76,33 @@
             outgoing: BytesMut::new(),
             bytes_queued: 0,
             bytes_written: 0,
-            pending: VecDeque::new(),
+            pending: PendingRequests::default(),
             last_response_at: Instant::now(),
         }
     }
 
     /// Puts a call into the outgoing bytes.
-    pub fn enqueue(&mut self, call: &CounterCall) {
+    pub fn enqueue(&mut self, call: &IncrementCall) {
         let requests = codec::encode(call, self.addr);
         for (index, request) in requests.iter().enumerate() {
             self.outgoing.extend_from_slice(request.as_bytes());
             self.bytes_queued += request.len() as u64;
             let is_last_part = index + 1 == requests.len();
-            self.pending.push_back(PendingRequest {
-                call: call.clone(),
-                end_offset: self.bytes_queued,
-                ignore_response: !is_last_part,
-            });
+            self.pending.push(call, self.bytes_queued, is_last_part);
         }
     }
 
     /// Serves calls until the connection breaks, falls silent or has been idle for too long. Without a queue it ends
     /// with the last response that is awaited.
-    pub async fn serve(&mut self, mut queue: Option<&mut Receiver<CounterCall>>) {
+    pub async fn serve(&mut self, mut queue: Option<&mut Receiver<IncrementCall>>) {
         loop {
-            let has_room = self.pending.len() < QUEUE_CAPACITY;
+            let can_enqueue = self.pending.len() < QUEUE_CAPACITY;
             match queue.as_deref_mut() {
-                Some(queue) if has_room => self.enqueue_waiting_calls(queue),
-                None if !self.awaits_response() => return,
+                Some(queue) if can_enqueue => self.enqueue_waiting_calls(queue),
+                None if !self.pending.awaits_response() => return,
                 _ => {}
             }
-            let open_queue = queue.as_deref_mut().filter(|_| has_room);
+            let open_queue = queue.as_deref_mut().filter(|_| can_enqueue);
             let wake_at = self.wake_at();
             let flow = tokio::select! {
                 call = next_call(open_queue) => self.on_call(call),
@@ -119,29 +122,19 @@
         self.close();
     }
 
-    /// Reports the calls that have no response: one written completely may have been added, the others were not.
+    /// Reports the calls that have no response, and closes the connection.
     pub fn close(self) {
-        for request in self
-            .pending
-            .iter()
-            .filter(|request| !request.ignore_response)
-        {
-            let outcome = if request.end_offset <= self.bytes_written {
-                Outcome::ConnectionReset
-            } else {
-                Outcome::ConnectFailed
-            };
-            self.context.reporter.report(&request.call, outcome, 0.0);
-        }
+        self.pending
+            .report_unanswered(&self.context.reporter, self.bytes_written);
     }
 
-    fn enqueue_waiting_calls(&mut self, queue: &mut Receiver<CounterCall>) {
+    fn enqueue_waiting_calls(&mut self, queue: &mut Receiver<IncrementCall>) {
         while let Ok(call) = queue.try_recv() {
             self.enqueue(&call);
         }
     }
 
-    fn on_call(&mut self, call: Option<CounterCall>) -> ControlFlow<()> {
+    fn on_call(&mut self, call: Option<IncrementCall>) -> ControlFlow<()> {
         let Some(call) = call else {
             return ControlFlow::Break(());
         };
@@ -165,23 +158,19 @@
         let Ok((head, body)) = response else {
             return ControlFlow::Break(());
         };
-        let Some(request) = self.pending.pop_front() else {
+        if self.pending.is_empty() {
             return ControlFlow::Break(());
-        };
-        let reply = codec::decode(head.status, &body);
-        let is_invalid = reply.outcome == Outcome::ErrorResponse;
-        if is_invalid {
-            self.context
-                .invalid_response
-                .warn("invalid response from the counter with status", head.status);
         }
-        if !request.ignore_response {
+        let response = codec::decode(head.status, &body);
+        let is_invalid = response.outcome == Outcome::ErrorResponse;
+        if is_invalid {
             self.context
-                .reporter
-                .report(&request.call, reply.outcome, reply.total);
+                .invalid_response_warning
+                .warn("invalid response from the counter, status", head.status);
         }
-        // After an invalid response the connection is of no use: what follows could be taken for the response to
-        // another call. The same is true of bytes that no call awaits.
+        self.pending
+            .report_response(&self.context.reporter, response.outcome, response.total);
+        // What follows could be taken for the response to another call.
         let has_unrequested_bytes = self.pending.is_empty() && self.reader.has_unread_bytes();
         if !head.keep_alive || is_invalid || has_unrequested_bytes {
             return ControlFlow::Break(());
@@ -191,7 +180,8 @@
 
     fn on_timer(&mut self) -> ControlFlow<()> {
         let now = Instant::now();
-        self.report_timeouts(now);
+        self.pending
+            .report_timeouts(&self.context.reporter, self.context.call_timeout, now);
         let ends_at = self
             .silence_deadline()
             .unwrap_or_else(|| self.idle_deadline());
@@ -201,27 +191,6 @@
         ControlFlow::Continue(())
     }
 
-    fn report_timeouts(&mut self, now: Instant) {
-        let timeout = self.context.call_timeout;
-        for request in self
-            .pending
-            .iter_mut()
-            .filter(|request| !request.ignore_response)
-        {
-            if request.call.started_at + timeout > now {
-                break;
-            }
-            request.ignore_response = true;
-            self.context
-                .reporter
-                .report(&request.call, Outcome::Timeout, 0.0);
-        }
-    }
-
-    fn awaits_response(&self) -> bool {
-        self.pending.iter().any(|request| !request.ignore_response)
-    }
-
     /// When the timer has something to do next.
     fn wake_at(&self) -> Instant {
         let Some(silence_deadline) = self.silence_deadline() else {
@@ -233,20 +202,16 @@
         }
     }
 
-    /// When the next call is to be reported as timed out.
+    /// When the next call is reported as timed out.
     fn next_call_deadline(&self) -> Option<Instant> {
-        let next = self
-            .pending
-            .iter()
-            .find(|request| !request.ignore_response)?;
-        Some(next.call.started_at + self.context.call_timeout)
+        let started_at = self.pending.oldest_awaited_started_at()?;
+        Some(started_at + self.context.call_timeout)
     }
 
-    /// When the connection is considered dead, if responses are outstanding: a connection to a machine that vanished
-    /// stays open and silent.
+    /// When the connection is considered dead, if responses are outstanding.
     fn silence_deadline(&self) -> Option<Instant> {
-        let oldest = self.pending.front()?;
-        Some(oldest.call.started_at.max(self.last_response_at) + 2 * self.context.call_timeout)
+        let started_at = self.pending.oldest_started_at()?;
+        Some(started_at.max(self.last_response_at) + 2 * self.context.call_timeout)
     }
 
     /// When the connection is closed, if no responses are outstanding.
@@ -256,7 +221,7 @@
 }
 
 /// The next call from the queue; never, without one.
-async fn next_call(queue: Option<&mut Receiver<CounterCall>>) -> Option<CounterCall> {
+async fn next_call(queue: Option<&mut Receiver<IncrementCall>>) -> Option<IncrementCall> {
     match queue {
         Some(queue) => queue.recv().await,
         None => std::future::pending().await,
--- a/src/bin/quota-gateway/counter/report.rs
+++ b/src/bin/quota-gateway/counter/report.rs
@@ -1,6 +1,6 @@
 //! Reports how calls ended.
 
-use super::client::CounterCall;
+use super::client::IncrementCall;
 use quota_gateway::Outcome;
 use std::rc::Rc;
 
@@ -16,11 +16,13 @@
 }
 
 impl CallReporter {
+    /// Reports to this handler.
     pub fn new(handler: Rc<dyn CounterReplyHandler>) -> Self {
         CallReporter { handler }
     }
 
-    pub fn report(&self, call: &CounterCall, outcome: Outcome, total: f64) {
+    /// Reports the end of a call; `total` is 0 unless it succeeded.
+    pub fn report(&self, call: &IncrementCall, outcome: Outcome, total: f64) {
         let elapsed_ms = call.started_at.elapsed().as_secs_f64() * 1000.0;
         self.handler
             .clone()
--- a/src/bin/quota-gateway/counter/worker.rs
+++ b/src/bin/quota-gateway/counter/worker.rs
@@ -1,7 +1,7 @@
-//! Serves one queue of calls: connects when a call is waiting and the former connection has ended.
+//! The task of one queue of calls: connects when a call is waiting and the former connection has ended.
 
-use super::client::CounterCall;
-use super::connection::{Connection, ConnectionContext};
+use super::client::IncrementCall;
+use super::connection::{CounterConnection, CounterContext};
 use crate::socket::Socket;
 use quota_gateway::Outcome;
 use std::net::SocketAddr;
@@ -10,11 +10,11 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// Runs until the sender of the queue is dropped. A new address is used at once.
+/// Runs until the sender of the queue is dropped. A change of the address takes effect at once.
 pub async fn run(
     mut addr: watch::Receiver<SocketAddr>,
-    mut queue: Receiver<CounterCall>,
-    context: Rc<ConnectionContext>,
+    mut queue: Receiver<IncrementCall>,
+    context: Rc<CounterContext>,
 ) {
     while let Some(first_call) = queue.recv().await {
         let current_addr = *addr.borrow_and_update();
@@ -23,22 +23,22 @@
             fail_waiting_calls(&first_call, &mut queue, &context);
             continue;
         };
-        let mut connection = Connection::new(socket, current_addr, context.clone());
+        let mut connection = CounterConnection::new(socket, current_addr, context.clone());
         connection.enqueue(&first_call);
         tokio::select! {
             () = connection.serve(Some(&mut queue)) => connection.close(),
-            // Calls in flight still get their responses from the old address; new calls don't wait for them. The
-            // connection's task ends by itself, at the latest when the old address has been silent for too long.
+            // Calls in flight still get their responses from the old address, and new calls don't wait for them. The
+            // task ends with the last response, or once the old address has been silent for too long.
             Ok(()) = addr.changed() => drop(tokio::task::spawn_local(connection.finish())),
         }
     }
 }
 
-/// Without a connection nothing was added for any of the calls.
+/// Reports that nothing was added for any of the calls, as there is no connection.
 fn fail_waiting_calls(
-    first_call: &CounterCall,
-    queue: &mut Receiver<CounterCall>,
-    context: &ConnectionContext,
+    first_call: &IncrementCall,
+    queue: &mut Receiver<IncrementCall>,
+    context: &CounterContext,
 ) {
     context
         .reporter
--- a/src/bin/quota-gateway/discovery/policy.rs
+++ b/src/bin/quota-gateway/discovery/policy.rs
@@ -1,6 +1,6 @@
-//! Timeouts and retry times of the calls to discovery.
+//! Time-outs and retry times of the calls to discovery.
 
-use super::schedule::{Backoff, Cadence};
+use super::schedule::{Backoff, CallSchedule};
 use quota_gateway::Settings;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -8,37 +8,38 @@
 #[cfg(test)]
 pub mod tests;
 
-/// The site assumes that a gateway knows a change this long after discovery had it and could be reached, whatever
+/// Longest time from a change at a reachable discovery until the protocol counts the gateway as notified, whatever
 /// failed before.
 pub const PROPAGATION_LIMIT: Duration = Duration::from_secs(6);
-/// The part of that limit which is left for the response: a crowded discovery rejects calls that have waited longer
-/// in its queue.
+/// Part of [`PROPAGATION_LIMIT`] that is left for the response. An overloaded discovery rejects calls that have waited
+/// longer in its queue.
 pub const RESPONSE_ALLOWANCE: Duration = Duration::from_secs(2);
-/// Most unanswered calls at a time. The older call is kept beside its successor: a discovery that answers calls in
-/// turn serves abandoned ones all the same, and with short timeouts alone it would work for callers that have gone.
+/// Most unanswered calls at a time. The older call is kept beside its successor: a discovery that answers calls in order
+/// also serves those that were abandoned, so that short time-outs alone would have it work for nobody.
 pub const MAX_CONCURRENT_CALLS: usize = 2;
-/// Timeout for a connection to a shared service, and the longest timeout of a call to the agent.
+/// Time-out for a connection to a shared service, and the longest time-out of a call to the agent.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// A call to the agent may take this share of the time in which a draining endpoint may still get requests. A call
-/// written while discovery is down may never be answered, and the next one has to fit in as well.
+/// Longest call to the agent, as a share of the time in which a draining endpoint may still get requests. A call that was
+/// written while discovery was down may never be answered, and its successor has to fit into that time as well.
 const AGENT_CALL_SHARE_OF_DRAIN_GRACE: f64 = 0.2;
-/// The pause between two calls to the agent, which answers from memory at no cost to anyone.
-const AGENT_RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// A watch on a shared service that ended after it had been open is reopened within this time: at once, all gateways
-/// would call together, and later would exceed the propagation limit.
-const MAX_REOPEN_PAUSE: Duration = Duration::from_secs(2);
-/// Longest drain grace that the timeouts take into account.
+/// Delay between two calls to the agent, which answers from its memory.
+const AGENT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Longest delay before a watch on a shared service is reopened. The delay is random, as a restart of the service ends
+/// the watches of all gateways together.
+const MAX_REOPEN_DELAY: Duration = Duration::from_secs(2);
+/// Longest drain grace from which time-outs are derived.
 const MAX_DRAIN_GRACE_MS: f64 = 60_000.0;
 
-/// Timeouts of one call.
+/// Time-outs of one call.
 #[derive(Clone, Copy)]
 pub struct CallTimeouts {
+    /// For the connection.
     pub connect: Duration,
-    /// For a complete list, and for the head of a watch.
+    /// For the complete list, and again for the head of the watch.
     pub response: Duration,
 }
 
-/// Who answers the calls.
+/// What answers the calls.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Source {
     /// An agent on this machine, which no other gateway calls.
@@ -51,15 +52,15 @@
 pub struct WatchPolicy {
     source: Source,
     timeouts: CallTimeouts,
-    /// Longest time from the start of an unanswered call to the start of the next one.
+    /// Longest time from the start of an unanswered call to the start of the next.
     max_call_interval: Duration,
-    cadence: Cadence,
+    call_schedule: CallSchedule,
     invalid_response_backoff: Backoff,
     rng: fastrand::Rng,
 }
 
 impl WatchPolicy {
-    /// The policy for these settings; the seed sets this gateway apart from the others.
+    /// The policy for these settings. The seed has to differ between gateways.
     pub fn new(settings: &Settings, seed: u64) -> Self {
         let source = if settings.endpoints_polled {
             Source::SharedService
@@ -82,12 +83,12 @@
             source,
             timeouts,
             max_call_interval: match source {
-                Source::LocalAgent => agent_timeout + AGENT_RETRY_PAUSE,
+                Source::LocalAgent => agent_timeout + AGENT_RETRY_DELAY,
                 Source::SharedService => service_interval,
             },
-            cadence: Cadence::new(settings.gateway_count, service_interval, seed),
+            call_schedule: CallSchedule::new(settings.gateway_count, service_interval, seed),
             invalid_response_backoff: Backoff::new(
-                AGENT_RETRY_PAUSE,
+                AGENT_RETRY_DELAY,
                 service_interval,
                 seed.rotate_left(16),
             ),
@@ -95,21 +96,23 @@
         }
     }
 
+    /// The time-outs of each call.
     pub fn timeouts(&self) -> CallTimeouts {
         self.timeouts
     }
 
-    /// From the start of a call to the start of another one beside it, if there is no response; `only_one` if no other
-    /// call is in flight.
+    /// Time from the start of a call to the start of another one beside it, if there is no response; `only_one` if no
+    /// other call is in flight.
     #[must_use]
     pub fn unanswered_interval(&mut self, only_one: bool) -> Duration {
         match self.source {
             Source::LocalAgent => self.max_call_interval,
-            Source::SharedService => self.cadence.unanswered_interval(only_one),
+            Source::SharedService => self.call_schedule.unanswered_interval(only_one),
         }
     }
 
-    /// When the next call is due after one that has just failed. Invalid responses are not requested in a loop.
+    /// When the next call is due after one that has just failed. It backs off from invalid responses, as the next response
+    /// is likely to be invalid, too.
     #[must_use]
     pub fn next_call_after_failure(
         &mut self,
@@ -117,41 +120,37 @@
         invalid_response: bool,
     ) -> Instant {
         let now = Instant::now();
-        let pause = match self.source {
-            Source::LocalAgent => AGENT_RETRY_PAUSE,
-            Source::SharedService => self.cadence.pause_after_failure(now - started_at),
+        let delay = match self.source {
+            Source::LocalAgent => AGENT_RETRY_DELAY,
+            Source::SharedService => self.call_schedule.delay_after_failure(now - started_at),
         };
-        now + self.back_off_if(invalid_response, pause)
+        now + self.with_backoff_if(invalid_response, delay)
     }
 
-    /// The pause after a watch that was open for this long. Invalid events are not requested in a loop.
+    /// Delay before a watch that was open for this long is reopened. It backs off from invalid events.
     #[must_use]
-    pub fn pause_after_watch(
-        &mut self,
-        was_open_for: Duration,
-        invalid_response: bool,
-    ) -> Duration {
-        self.cadence.reset();
-        let pause = match self.source {
-            Source::LocalAgent => AGENT_RETRY_PAUSE,
-            Source::SharedService => MAX_REOPEN_PAUSE.mul_f64(self.rng.f64()),
+    pub fn reopen_delay(&mut self, was_open_for: Duration, invalid_response: bool) -> Duration {
+        self.call_schedule.reset();
+        let delay = match self.source {
+            Source::LocalAgent => AGENT_RETRY_DELAY,
+            Source::SharedService => MAX_REOPEN_DELAY.mul_f64(self.rng.f64()),
         };
         if was_open_for >= self.max_call_interval {
             self.invalid_response_backoff.reset();
         }
-        self.back_off_if(invalid_response, pause)
+        self.with_backoff_if(invalid_response, delay)
     }
 
     /// Discovery has moved to another address.
     pub fn address_changed(&mut self) {
-        self.cadence.reset();
+        self.call_schedule.reset();
     }
 
-    fn back_off_if(&mut self, invalid_response: bool, pause: Duration) -> Duration {
+    fn with_backoff_if(&mut self, invalid_response: bool, delay: Duration) -> Duration {
         if invalid_response {
-            pause.max(self.invalid_response_backoff.next_pause())
+            delay.max(self.invalid_response_backoff.next_delay())
         } else {
-            pause
+            delay
         }
     }
 }
@@ -159,5 +158,5 @@
 fn agent_call_timeout(drain_grace_ms: f64) -> Duration {
     let grace_s = drain_grace_ms.clamp(0.0, MAX_DRAIN_GRACE_MS) / 1000.0;
     let timeout = Duration::from_secs_f64(grace_s * AGENT_CALL_SHARE_OF_DRAIN_GRACE);
-    timeout.max(AGENT_RETRY_PAUSE).min(CONNECT_TIMEOUT)
+    timeout.max(AGENT_RETRY_DELAY).min(CONNECT_TIMEOUT)
 }
--- a/src/bin/quota-gateway/discovery/schedule/tests.rs
+++ b/src/bin/quota-gateway/discovery/schedule/tests.rs
@@ -5,8 +5,8 @@
 /// When each gateway calls a service that fails all of them at the same time, in the first 20 s.
 fn attempt_times(gateway_count: u32) -> Vec<Vec<Duration>> {
     let attempts = |seed| {
-        let mut cadence = Cadence::new(gateway_count, MAX_INTERVAL, seed);
-        let next = |at: &Duration| Some(*at + cadence.pause_after_failure(Duration::ZERO));
+        let mut call_schedule = CallSchedule::new(gateway_count, MAX_INTERVAL, seed);
+        let next = |at: &Duration| Some(*at + call_schedule.delay_after_failure(Duration::ZERO));
         std::iter::successors(Some(Duration::ZERO), next)
             .take_while(|at| *at < 5 * MAX_INTERVAL)
             .collect()
@@ -14,10 +14,11 @@
     (0..gateway_count.into()).map(attempts).collect()
 }
 
+/// A shared service fails all gateways at once, and each retries at a short fixed interval. A large fleet then sends
+/// more calls than the service can answer, and none succeeds for as long as that goes on. The calls of the fleet are
+/// spread out over the longest interval.
 #[test]
 fn gateways_that_fail_together_do_not_retry_together() {
-    // Found at size: each retried every 200 ms, 430 calls per second in all, and discovery, which serves eight or
-    // nine, served none of them for as long as that lasted.
     for gateway_count in [40, 100, 300, 720] {
         let mut per_second = [0.0; 20];
         for at in attempt_times(gateway_count).concat() {
@@ -32,7 +33,8 @@
     }
 }
 
-/// Whenever the service is back, each gateway calls it within the time that is left for that.
+/// The service returns while a gateway waits for its next attempt. If that wait were too long, the gateway would miss
+/// changes past the propagation limit. No gateway waits longer than the longest interval.
 #[test]
 fn no_gateway_waits_longer_than_the_longest_interval() {
     for gateway_count in [1, 3, 40, 300, 720] {
@@ -61,21 +63,21 @@
 fn backoff_grows_up_to_its_maximum_and_a_success_resets_it() {
     let initial = Duration::from_millis(50);
     let mut backoff = Backoff::new(initial, MAX_INTERVAL, 1);
-    let pauses: Vec<_> = (0..50).map(|_| backoff.next_pause()).collect();
+    let delays: Vec<_> = (0..50).map(|_| backoff.next_delay()).collect();
     assert!(
-        pauses
+        delays
             .iter()
-            .all(|pause| *pause >= initial / 2 && *pause <= MAX_INTERVAL),
-        "{pauses:?}"
+            .all(|delay| *delay >= initial / 2 && *delay <= MAX_INTERVAL),
+        "{delays:?}"
     );
     assert!(
-        pauses.iter().any(|pause| *pause > MAX_INTERVAL / 2),
-        "{pauses:?}"
+        delays.iter().any(|delay| *delay > MAX_INTERVAL / 2),
+        "{delays:?}"
     );
     assert!(
-        pauses.iter().sum::<Duration>() > 20 * MAX_INTERVAL / 2,
-        "{pauses:?}"
+        delays.iter().sum::<Duration>() > 20 * MAX_INTERVAL / 2,
+        "{delays:?}"
     );
     backoff.reset();
-    assert!(backoff.next_pause() <= initial);
+    assert!(backoff.next_delay() <= initial);
 }
--- a/src/bin/quota-gateway/http/head.rs
+++ b/src/bin/quota-gateway/http/head.rs
@@ -1,11 +1,11 @@
 //! Heads of responses, by httparse.
 
-use super::body::Body;
+use super::body::BodyDecoder;
 use super::error::MalformedResponse;
 use bytes::Bytes;
 use httparse::{Header, Status};
 
-/// Largest head, chunk line or trailer line.
+/// Largest head.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Most headers of a head.
 const MAX_HEADERS: usize = 64;
@@ -19,9 +19,9 @@
     pub keep_alive: bool,
     /// The endpoint says that the request was never executed.
     pub rejected: bool,
-    /// The request's true units.
+    /// The request's actual units.
     pub units: Option<f64>,
-    /// The `Content-Type`, as it came.
+    /// The `Content-Type`, unchanged.
     pub content_type: Option<Bytes>,
 }
 
@@ -30,14 +30,14 @@
     /// What the gateway needs of it.
     pub head: Head,
     /// The framing of the body behind it.
-    pub body: Body,
+    pub body: BodyDecoder,
     /// Its length in bytes.
     pub length: usize,
 }
 
 /// The headers that say how long the body and the connection last.
 #[derive(Default)]
-struct Framing {
+struct FramingHeaders {
     content_length: Option<usize>,
     chunked: bool,
     close: bool,
@@ -59,12 +59,12 @@
         units: None,
         content_type: None,
     };
-    let mut framing = Framing::default();
+    let mut framing = FramingHeaders::default();
     for header in response.headers.iter() {
         read_header(header, &mut head, &mut framing)?;
     }
     let body = framing.body(head.status)?;
-    // Whoever says both close and keep-alive, in one header or two, wants to close.
+    // With both close and keep-alive, in one header or two, close prevails.
     if framing.close || body.ends_with_connection() {
         head.keep_alive = false;
     }
@@ -74,7 +74,7 @@
 fn read_header(
     header: &Header<'_>,
     head: &mut Head,
-    framing: &mut Framing,
+    framing: &mut FramingHeaders,
 ) -> Result<(), MalformedResponse> {
     let value = std::str::from_utf8(header.value).unwrap_or("").trim();
     let is_named = |name: &str| header.name.eq_ignore_ascii_case(name);
@@ -94,7 +94,7 @@
     Ok(())
 }
 
-fn read_connection_options(value: &str, head: &mut Head, framing: &mut Framing) {
+fn read_connection_options(value: &str, head: &mut Head, framing: &mut FramingHeaders) {
     for option in value.split(',').map(str::trim) {
         if option.eq_ignore_ascii_case("close") {
             framing.close = true;
@@ -111,9 +111,9 @@
         .filter(|units: &f64| units.is_finite() && *units >= 0.0)
 }
 
-impl Framing {
+impl FramingHeaders {
     fn set_content_length(&mut self, value: &str) -> Result<(), MalformedResponse> {
-        // The number's parser would take a sign, too.
+        // The integer parser would accept a sign.
         if !value.bytes().all(|byte| byte.is_ascii_digit()) {
             return Err(MalformedResponse::InvalidContentLength);
         }
@@ -135,15 +135,16 @@
         Ok(())
     }
 
-    fn body(&self, status: u16) -> Result<Body, MalformedResponse> {
+    fn body(&self, status: u16) -> Result<BodyDecoder, MalformedResponse> {
         match (status, self.chunked, self.content_length) {
-            (100..=199 | 204 | 304, ..) => Ok(Body::Complete),
-            // Which of the two holds can't be known: the rest of the body would be read as the next response.
+            (100..=199 | 204 | 304, ..) => Ok(BodyDecoder::Complete),
+            // It is unknown which of the two is right. By the wrong one, the rest of the body would be read as the next
+            // response.
             (_, true, Some(_)) => Err(MalformedResponse::LengthAndTransferEncoding),
-            (_, true, None) => Ok(Body::ChunkSize),
-            (_, false, Some(length)) => Ok(Body::Length(length)),
-            // Its end is that of the connection. A break resets the connection, and is told from that.
-            (_, false, None) => Ok(Body::UntilClose),
+            (_, true, None) => Ok(BodyDecoder::ChunkSize),
+            (_, false, Some(length)) => Ok(BodyDecoder::Length(length)),
+            // The close of the connection ends the body. A reset is an error instead, so a broken body is not complete.
+            (_, false, None) => Ok(BodyDecoder::UntilClose),
         }
     }
 }
--- a/src/bin/quota-gateway/server/accept.rs
+++ b/src/bin/quota-gateway/server/accept.rs
@@ -1,4 +1,14 @@
-//! The listener, and the slots that keep the program from running out of descriptors.
+//! Accepts clients. Each connection takes one of the `slots`.
+//!
+//! Failures that this module guards against:
+//!
+//! - A lack of descriptors or memory makes `accept` fail in a tight loop that starves the other tasks. It is retried
+//!   after a delay.
+//! - While `accept` fails, clients wait in the queue with their requests sent. Read afterwards as if they had just
+//!   arrived, those would propagate more time than their clients have left. The queue keeps the time since when a client
+//!   may have waited.
+//! - When the listener closes in the shutdown, the system resets the connections that wait in its queue, and requests on
+//!   them are lost. The queue is emptied first.
 
 use super::client::Client;
 use super::Server;
@@ -14,29 +24,25 @@
 use tokio::net::TcpListener;
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::task::yield_now;
-use tokio::time::{sleep, timeout, Instant};
+use tokio::time::{sleep, Instant};
 
-/// Pause after an error that concerns all connections, such as a lack of descriptors in the whole system.
-const ACCEPT_RETRY: Duration = Duration::from_millis(5);
-/// Errors in a row that may each concern one connection only; more are taken for one that concerns all.
-const MAX_ERRORS_WITHOUT_PAUSE: u32 = 64;
-/// A new connection keeps its slot for this long in any case: its request may be on the way.
-const NEW_CLIENT_GRACE: Duration = Duration::from_millis(20);
-/// A client that was evicted has gone by then.
-const EVICTION_TIMEOUT: Duration = Duration::from_millis(5);
+/// Delay after an error that concerns all connections, such as a lack of descriptors in the system.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
+/// Most consecutive errors that are taken for errors of one connection each. With more, the error concerns all.
+const MAX_ERRORS_WITHOUT_DELAY: u32 = 64;
 
-/// The listener, and since when clients may have waited in its queue.
+/// The listener's queue of connections.
 struct AcceptQueue {
     listener: TcpListener,
-    /// The queue was not empty, and stalled, from then on.
-    held_up_since: Option<Instant>,
+    /// When accepting failed first since the queue was last empty.
+    backlog_since: Option<Instant>,
 }
 
 impl AcceptQueue {
     fn new(listener: TcpListener) -> Self {
         AcceptQueue {
             listener,
-            held_up_since: None,
+            backlog_since: None,
         }
     }
 
@@ -45,82 +51,84 @@
         poll_fn(|cx| {
             let accepted = self.listener.poll_accept(cx);
             if accepted.is_pending() {
-                self.held_up_since = None;
+                self.backlog_since = None;
             }
             accepted.map_ok(|(stream, _)| Socket::new(stream))
         })
         .await
     }
 
-    /// Accepting has failed: those in the queue have to wait.
-    fn is_held_up(&mut self) {
-        self.held_up_since.get_or_insert_with(Instant::now);
+    /// Accepting has failed: the clients in the queue have to wait.
+    fn record_accept_failure(&mut self) {
+        self.backlog_since.get_or_insert_with(Instant::now);
     }
 
-    /// When what a connection has sent by now may have come, if it had to wait in the queue.
-    fn first_arrival(&self, socket: &Socket) -> Option<Instant> {
-        self.held_up_since
+    /// The earliest time at which bytes that a connection has sent by now may have arrived, if it may have waited in
+    /// the queue with them.
+    fn earliest_arrival(&self, socket: &Socket) -> Option<Instant> {
+        self.backlog_since
             .filter(|_| socket.peek() == PeekResult::Data)
     }
 }
 
-/// Leaves time for a lack of resources to pass. Most other errors concern the one connection that they took out of
-/// the queue, and the next one may be accepted at once.
-async fn pause_after_error(error: &io::Error, errors_in_a_row: u32) {
-    if lacks_resources(error) || errors_in_a_row >= MAX_ERRORS_WITHOUT_PAUSE {
-        sleep(ACCEPT_RETRY).await;
+/// Waits for a lack of resources to pass. Most other errors concern the connection that they remove from the queue, so
+/// that the next one may be accepted at once.
+async fn delay_after_error(error: &io::Error, consecutive_errors: u32) {
+    if lacks_resources(error) || consecutive_errors >= MAX_ERRORS_WITHOUT_DELAY {
+        sleep(ACCEPT_RETRY_DELAY).await;
     } else {
         yield_now().await;
     }
 }
 
 impl Server {
-    /// Accepts clients until the shutdown stops that, at most as many as there are slots. With all taken, the client
-    /// that has been longest without a request gives up its slot: hundreds of silent ones must not lock out others.
-    /// At the end those that have connected by then are still accepted, whatever errors come between: their
-    /// connections are established, and closing them unseen would lose their requests.
+    /// Accepts clients until the shutdown reaches `NoNewConnections`, at most as many as there are slots. Those that
+    /// have connected by then are still accepted, whatever errors come between.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         let warning = RateLimitedWarning::default();
         let mut phase = self.lifecycle.subscribe();
-        let mut errors_in_a_row = 0;
+        let mut consecutive_errors = 0;
         let mut queue = AcceptQueue::new(listener);
         for number in 0.. {
             let accepted = tokio::select! {
+                // The queue first: the shutdown ends the loop only once the queue is empty.
                 biased;
                 accepted = queue.next() => accepted,
                 _ = phase.wait_for(|phase| *phase >= Phase::NoNewConnections) => return,
             };
-            let stream = match accepted {
-                Ok(stream) => stream,
-                Err(e) => {
-                    queue.is_held_up();
-                    errors_in_a_row += 1;
+            match accepted {
+                Ok(socket) => {
+                    consecutive_errors = 0;
+                    self.serve_if_slot(number, socket, &queue).await;
+                }
+                Err(error) => {
+                    queue.record_accept_failure();
+                    consecutive_errors += 1;
                     self.driver.metrics().accept_errors.inc();
-                    pause_after_error(&e, errors_in_a_row).await;
-                    warning.warn("accept", e);
-                    continue;
+                    delay_after_error(&error, consecutive_errors).await;
+                    warning.warn("accept failed", error);
                 }
-            };
-            errors_in_a_row = 0;
-            self.driver.metrics().connections_accepted.inc();
-            let Some(slot) = self.acquire_slot().await else {
-                // A broken connection needs no response.
-                let _ = stream.write_at_once(self.no_slot_response.as_bytes());
-                self.driver
-                    .metrics()
-                    .connections_ended
-                    .increment(ConnectionEnd::NoSlot);
-                continue;
-            };
-            let client = Rc::new(Client::new(queue.first_arrival(&stream)));
-            self.spawn_client(number, stream, client, slot);
-            // Its request is read before it can be taken for an idle client.
-            yield_now().await;
+            }
         }
     }
 
-    /// Starts the task of one client. It holds the slot and ends with the connection, which ends by itself, by
-    /// eviction, or in the shutdown.
+    /// Serves a new connection, or rejects it if there is no slot for it.
+    async fn serve_if_slot(self: &Rc<Self>, number: u64, socket: Socket, queue: &AcceptQueue) {
+        let metrics = self.driver.metrics();
+        metrics.connections_accepted.inc();
+        let Some(slot) = self.acquire_slot().await else {
+            // A broken connection needs no response.
+            let _ = socket.write_at_once(self.no_slot_response.as_bytes());
+            metrics.connections_ended.increment(ConnectionEnd::NoSlot);
+            return;
+        };
+        let client = Rc::new(Client::new(queue.earliest_arrival(&socket)));
+        self.spawn_client(number, socket, client, slot);
+        // The client's task runs, and reads a request that has arrived, before the next client can evict it as idle.
+        yield_now().await;
+    }
+
+    /// Starts the task of one client, which holds the slot until the connection is closed.
     fn spawn_client(
         self: &Rc<Self>,
         number: u64,
@@ -136,31 +144,4 @@
             drop(slot);
         });
     }
-
-    /// A slot for one more client; none if all clients have requests open or are new.
-    async fn acquire_slot(&self) -> Option<OwnedSemaphorePermit> {
-        loop {
-            if self.slots.available_permits() == 0 && !self.evict_idle_client() {
-                return None;
-            }
-            // The evicted client may turn out to have sent a request: then another one is evicted.
-            if let Ok(slot) = timeout(EVICTION_TIMEOUT, self.slots.clone().acquire_owned()).await {
-                return slot.ok();
-            }
-        }
-    }
-
-    /// Evicts the client that has been longest without a request, one that never sent any first. False if there is
-    /// none.
-    fn evict_idle_client(&self) -> bool {
-        let clients = self.clients.borrow();
-        let evictable = clients
-            .values()
-            .filter(|client| client.is_evictable(NEW_CLIENT_GRACE));
-        let Some(oldest) = evictable.min_by_key(|client| client.eviction_order()) else {
-            return false;
-        };
-        oldest.evict();
-        true
-    }
 }
--- a/src/bin/quota-gateway/server/handler.rs
+++ b/src/bin/quota-gateway/server/handler.rs
@@ -1,83 +1,25 @@
 //! One request, from its head to its response.
 
+use super::body::check_body;
 use super::client::Client;
 use super::forward::forwarded_request;
+use super::in_progress::RequestInProgress;
 use super::request::{ParsedRequest, RequestError};
 use super::response::{self, Response};
 use super::Server;
 use crate::driver::{FinalResponse, ForwardedRequest, IncomingRequest};
-use crate::http::MAX_BODY_BYTES;
-use crate::lifecycle::Phase;
 use crate::metrics::RequestEnd;
 use crate::socket::WeakSocket;
-use bytes::Bytes;
-use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::TRANSFER_ENCODING;
-use hyper::{Method, Request, StatusCode};
-use quota_gateway::RequestId;
+use hyper::Request;
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// The decision library ends a request by its deadline; one that it has not ended this long after is failed.
+/// Time after a request's deadline at which the handler ends it. The library ends it by the deadline; if its timer fires
+/// late, as after a stall of the process, the client would wait on.
 const DEADLINE_GRACE: Duration = Duration::from_millis(5);
 
-/// A request whose response is not made yet. If it is dropped without one, the client has gone: the driver cancels
-/// the request.
-struct RequestInProgress<'a> {
-    server: &'a Server,
-    client: &'a Client,
-    transaction_id: Option<u64>,
-    /// Its id at the driver, while the driver owes a final response.
-    driver_id: Option<RequestId>,
-    /// How it ended; none until its response is made.
-    end: Option<RequestEnd>,
-}
-
-impl<'a> RequestInProgress<'a> {
-    fn new(server: &'a Server, client: &'a Client) -> Self {
-        client.request_started();
-        RequestInProgress {
-            server,
-            client,
-            transaction_id: None,
-            driver_id: None,
-            end: None,
-        }
-    }
-
-    /// Guards against a second copy of an open request. The open one is not touched.
-    fn claim_transaction_id(&mut self, transaction_id: u64) -> Result<(), RequestError> {
-        if !self
-            .server
-            .open_transactions
-            .borrow_mut()
-            .insert(transaction_id)
-        {
-            return Err(RequestError::DuplicateTransaction);
-        }
-        self.transaction_id = Some(transaction_id);
-        Ok(())
-    }
-}
-
-impl Drop for RequestInProgress<'_> {
-    fn drop(&mut self) {
-        self.client.request_ended();
-        let end = self.end.unwrap_or(RequestEnd::Disconnected);
-        self.server.driver.metrics().requests.increment(end);
-        if let Some(transaction_id) = self.transaction_id {
-            self.server
-                .open_transactions
-                .borrow_mut()
-                .remove(&transaction_id);
-        }
-        if let Some(id) = self.driver_id {
-            self.server.driver.cancel_request(id);
-        }
-    }
-}
-
 impl Server {
     /// Makes the response to one request.
     pub(super) async fn respond(
@@ -95,13 +37,13 @@
         {
             Ok(response) => response,
             Err(error) => {
-                tracing::debug!(%error, "request not accepted");
+                tracing::debug!(%error, "invalid request");
                 in_progress.end = Some(RequestEnd::Invalid);
                 response::request_error(&error, has_body)
             }
         };
         in_progress.driver_id = None;
-        // Behind a response that asks to close nothing more is answered.
+        // hyper reads no further request behind a response that asks to close.
         if self.lifecycle.is_shutting_down() && !client.may_have_sent_more() {
             response::ask_to_close(&mut response);
         }
@@ -115,11 +57,12 @@
         in_progress: &mut RequestInProgress<'_>,
         complete_by: Instant,
     ) -> Result<Response, RequestError> {
-        // It may have come while another one was served: its time has run since then.
+        // It may have arrived while another one was served: its remaining time counts from then.
         let received_at = in_progress.client.last_arrival();
         let (parts, body) = request.into_parts();
-        // Beside a Content-Length hyper drops it unseen, and another request may hide in the body. The protocol
-        // has no such requests.
+        // Failure: request smuggling. hyper reads a request with both Content-Length and Transfer-Encoding as chunked and
+        // removes the length, so that a second request in what its sender took for the body would be served. The
+        // protocol has no Transfer-Encoding in requests: all that have one are rejected, and their connections closed.
         if parts.headers.contains_key(TRANSFER_ENCODING) {
             return Err(RequestError::TransferEncoding);
         }
@@ -130,17 +73,12 @@
         let ParsedRequest { incoming, class } =
             self.parser
                 .parse(&parts.method, &parts.uri, &parts.headers, received_at)?;
-        if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
-            return Err(RequestError::BodyTooLarge);
-        }
-        if class.method == Method::GET && !body.is_end_stream() {
-            return Err(RequestError::UnexpectedBody);
-        }
+        check_body(class, &body)?;
         in_progress.claim_transaction_id(incoming.transaction_id)?;
         let remaining = Duration::from_secs_f64(incoming.remaining_ms / 1000.0);
         let complete_by = complete_by.min(received_at + remaining);
         let Some(body) = self.read_body_unless_refusing(body, complete_by).await? else {
-            return Ok(refuse_unread(&incoming, in_progress));
+            return Ok(refuse_incomplete(&incoming, in_progress));
         };
         let forwarded = forwarded_request(class, &parts.uri, &parts.headers, &body);
         let final_response = self
@@ -150,44 +88,6 @@
         Ok(response::final_response(final_response))
     }
 
-    /// The whole body; none if requests are refused before it is there.
-    async fn read_body_unless_refusing(
-        &self,
-        body: Incoming,
-        deadline: Instant,
-    ) -> Result<Option<Bytes>, RequestError> {
-        if body.size_hint().exact() == Some(0) {
-            return Ok(Some(Bytes::new()));
-        }
-        tokio::select! {
-            // A body that is there is read: nobody has to send it twice.
-            biased;
-            body = read_body(body, deadline) => body.map(Some),
-            () = self.lifecycle.reached(Phase::Refusing) => Ok(None),
-        }
-    }
-
-    /// The response to checks of the gateway's own health, and to the collection of its metrics.
-    fn health_response(&self, path: &str) -> Option<Response> {
-        let healthy = match path {
-            "/health/metrics" => {
-                return Some(response::plain(
-                    StatusCode::OK,
-                    self.driver.metrics().encode(),
-                ));
-            }
-            "/health/ready" => self.driver.is_ready() && !self.lifecycle.is_shutting_down(),
-            "/health/live" => true,
-            _ => return None,
-        };
-        let status = if healthy {
-            StatusCode::OK
-        } else {
-            StatusCode::SERVICE_UNAVAILABLE
-        };
-        Some(response::plain(status, ""))
-    }
-
     /// Hands a complete request to the driver and waits for its final response.
     async fn forward(
         &self,
@@ -213,8 +113,11 @@
     }
 }
 
-/// The response to a request whose body is not read to its end, as the process ends.
-fn refuse_unread(incoming: &IncomingRequest, in_progress: &mut RequestInProgress<'_>) -> Response {
+/// The response to a request whose body is incomplete when the shutdown refuses requests.
+fn refuse_incomplete(
+    incoming: &IncomingRequest,
+    in_progress: &mut RequestInProgress<'_>,
+) -> Response {
     log_refusal(incoming);
     in_progress.end = Some(RequestEnd::ShuttingDown);
     let mut response = response::final_response(FinalResponse::ShuttingDown);
@@ -224,7 +127,7 @@
 
 fn log_refusal(incoming: &IncomingRequest) {
     let transaction_id = incoming.transaction_id;
-    tracing::debug!(txn = %format_args!("{transaction_id:016x}"), "refused: the process ends");
+    tracing::debug!(txn = %format_args!("{transaction_id:016x}"), "request refused: shutting down");
 }
 
 fn request_end(response: &FinalResponse) -> RequestEnd {
@@ -235,13 +138,3 @@
         FinalResponse::ShuttingDown => RequestEnd::ShuttingDown,
     }
 }
-
-/// Reads a request's body, which has to be complete by the deadline.
-async fn read_body(body: Incoming, deadline: Instant) -> Result<Bytes, RequestError> {
-    match timeout_at(deadline, Limited::new(body, MAX_BODY_BYTES).collect()).await {
-        Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(e)) if e.is::<LengthLimitError>() => Err(RequestError::BodyTooLarge),
-        Ok(Err(_)) => Err(RequestError::IncompleteBody),
-        Err(_) => Err(RequestError::BodyTimeout),
-    }
-}
