--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -11,6 +11,7 @@
 mod discovery;
 mod endpoint;
 pub mod experiment;
+pub mod measured_gateway;
 mod network;
 mod process_memory;
 pub mod real;
--- a/emulator/src/scaling/measurements.rs
+++ b/emulator/src/scaling/measurements.rs
@@ -1,24 +1,18 @@
 //! The quantities that are measured, each for one number of endpoints.
 
+use crate::measured_gateway::{complete_list, endpoint, gateway, request, sent_to, success, CELLS};
 use crate::process_memory::resident_memory_kb;
 use crate::report::Distribution;
-use quota_gateway::{
-    Action, AttemptEnd, Class, CounterSettings, Endpoint, EndpointState, Event, Gateway,
-    Idempotency, Limits, Outcome, Plan, Prices, Request, Rules, Settings,
-};
+use quota_gateway::{Action, Endpoint, EndpointState, Event, Gateway};
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Instant;
 
-/// Gateways in the fleet.
-const GATEWAYS: u32 = 720;
-const GATEWAY_SEED: u64 = 7;
-const ZONES: u32 = 8;
-const CELLS: u32 = 64;
-const CUSTOMERS: u64 = 500;
 /// Time between two requests, in ms.
 const REQUEST_INTERVAL_MS: f64 = 8.0;
 /// Requests in flight: at that interval and a service time of 40 ms there are some five.
 const IN_FLIGHT: usize = 5;
+/// What a request takes, in ms.
+const SERVICE_MS: f64 = REQUEST_INTERVAL_MS * IN_FLIGHT as f64;
 /// Requests after which the endpoints used are counted.
 const REQUESTS_FOR_USE: u64 = 2000;
 /// Gateways measured together, so that pages and the allocator's own needs are small beside them.
@@ -41,10 +35,7 @@
 pub(super) fn complete_list_us(endpoints: u32, rounds: u64) -> f64 {
     let mut gateway = gateway(endpoints);
     median((0..rounds.max(MIN_LISTS)).map(|round| {
-        let update = Event::EndpointUpdate {
-            complete: true,
-            endpoints: list(endpoints),
-        };
+        let update = complete_list(endpoints);
         let started_at = Instant::now();
         gateway.handle(round as f64, update, &mut Vec::new());
         micros_since(started_at)
@@ -134,10 +125,7 @@
         self.actions.clear();
         self.gateway
             .handle(now, Event::Request(request(id)), &mut self.actions);
-        let endpoint = self.actions.iter().find_map(|action| match action {
-            Action::SendAttempt { endpoint, .. } => Some(*endpoint),
-            _ => None,
-        })?;
+        let endpoint = sent_to(&self.actions)?;
         self.in_flight.push_back(InFlight {
             request: id,
             endpoint,
@@ -146,7 +134,7 @@
             let oldest = self.in_flight.pop_front()?;
             self.gateway.handle(
                 now,
-                Event::AttemptEnded(success(&oldest)),
+                success(oldest.request, oldest.endpoint, SERVICE_MS),
                 &mut self.actions,
             );
         }
@@ -154,98 +142,6 @@
     }
 }
 
-fn request(id: u64) -> Request {
-    Request {
-        id,
-        customer: id % CUSTOMERS,
-        plan: 0,
-        class: 0,
-        units: 1.0,
-        timeout_ms: 2000.0,
-        gateway_set_size: 8.0,
-        is_retry: false,
-    }
-}
-
-fn success(ended: &InFlight) -> AttemptEnd {
-    AttemptEnd {
-        id: ended.request,
-        attempt: 0,
-        endpoint: ended.endpoint,
-        outcome: Outcome::Success,
-        request_answered: true,
-        actual_units: None,
-        elapsed_ms: REQUEST_INTERVAL_MS * IN_FLIGHT as f64,
-    }
-}
-
-fn gateway(endpoints: u32) -> Gateway {
-    let mut gateway = Gateway::new(settings(), GATEWAY_SEED, 0.0);
-    let update = Event::EndpointUpdate {
-        complete: true,
-        endpoints: list(endpoints),
-    };
-    gateway.handle(0.0, update, &mut Vec::new());
-    gateway
-}
-
-fn list(endpoints: u32) -> Vec<Endpoint> {
-    (0..endpoints).map(endpoint).collect()
-}
-
-fn endpoint(id: u32) -> Endpoint {
-    Endpoint {
-        id,
-        hash_key: id.into(),
-        kind: 0,
-        weight: 1.0,
-        zone: id % ZONES,
-        cell: id % CELLS,
-        state: EndpointState::Ready,
-        started_at: 0.0,
-    }
-}
-
-fn settings() -> Settings {
-    let class = Class {
-        latency_objective_ms: 500.0,
-        deadline_ms: 2000.0,
-        idempotency: Idempotency::Idempotent,
-        ..Class::default()
-    };
-    Settings {
-        gateway_count: GATEWAYS,
-        tick_ms: 1.0,
-        classes: vec![class],
-        plans: vec![Plan {
-            rate: 0.0,
-            burst: 10.0,
-            ..Plan::default()
-        }],
-        counter: Some(CounterSettings { timeout_ms: 50.0 }),
-        max_units: 4.0,
-        limits: Limits {
-            max_attempts: 3,
-            cancellation: true,
-            idle_timeout_ms: 30_000.0,
-            requests_per_connection: 1,
-            ..Limits::default()
-        },
-        prices: Prices {
-            handshake: 0.01,
-            ..Prices::default()
-        },
-        rules: Rules {
-            slow_start_min_capacity: 0.16,
-            slow_start_ms: 15_000.0,
-            drain_grace_ms: 2000.0,
-            overload_multiple: 4.0,
-            overload_window_ms: 1500.0,
-        },
-        ..Settings::default()
-    }
-}
-
 fn median(values: impl Iterator<Item = f64>) -> f64 {
     Distribution::of(values.collect()).p50
 }
