--- a/src/bin/quota-gateway/driver/actions.rs
+++ b/src/bin/quota-gateway/driver/actions.rs
@@ -1,7 +1,7 @@
 //! What the decision library asks for: feeds it events and carries out its actions, in order.
 
 use super::messages::FinalResponse;
-use super::requests::UnsentAttempt;
+use super::registry::UnsentAttempt;
 use super::Driver;
 use crate::counter::CounterCall;
 use quota_gateway::{Action, AttemptEnd, EndpointId, Event, Outcome, RequestId};
@@ -46,19 +46,19 @@
                 );
             }
             Action::CancelAttempt { id, attempt } => {
-                self.requests
+                self.registry
                     .borrow_mut()
                     .cancel_attempt(id, attempt.into());
             }
             Action::Reject { id, retry_after_ms } => {
                 tracing::debug!(id, retry_after_ms, "rejected");
-                self.requests
+                self.registry
                     .borrow_mut()
                     .respond(id, FinalResponse::Rejected { retry_after_ms });
             }
             Action::Fail { id } => {
                 tracing::debug!(id, "failed");
-                self.requests
+                self.registry
                     .borrow_mut()
                     .respond(id, FinalResponse::Failed);
             }
@@ -91,7 +91,7 @@
     ) -> Option<Event> {
         let addr = self.pool.address(endpoint);
         let started = self
-            .requests
+            .registry
             .borrow_mut()
             .start_attempt(id, addr, timeout, start_timeout);
         match started {
--- a/src/bin/quota-gateway/driver/attempts.rs
+++ b/src/bin/quota-gateway/driver/attempts.rs
@@ -3,7 +3,7 @@
 use super::events::AttemptReport;
 use super::guard::{refusal_outcome, GuardedAttempt};
 use super::messages::ForwardedRequest;
-use super::requests::{EndpointResponse, StartedAttempt};
+use super::registry::{EndpointResponse, StartedAttempt};
 use super::Driver;
 use crate::socket::{PeekResult, WeakSocket};
 use crate::upstream::{AttemptResult, CompleteResponse, OutgoingRequest, Settled, Target};
@@ -33,7 +33,7 @@
     fn settle(&self) -> Option<Settled<'_>> {
         let client = self
             .driver
-            .requests
+            .registry
             .borrow()
             .client_socket(self.guarded.request)?;
         let unread = client.peek();
--- a/src/bin/quota-gateway/driver/events.rs
+++ b/src/bin/quota-gateway/driver/events.rs
@@ -1,7 +1,7 @@
 //! What comes in: each method turns something that happened into an event of the decision library.
 
 use super::messages::{ForwardedRequest, IncomingRequest, StartedRequest};
-use super::requests::{EndpointResponse, NewRequest};
+use super::registry::{EndpointResponse, NewRequest};
 use super::{Driver, FinalResponse};
 use crate::counter::CounterReplyHandler;
 use crate::discovery::list::EndpointList;
@@ -58,7 +58,7 @@
                 + Duration::from_secs_f64(incoming.remaining_ms / 1000.0),
             client_socket,
         };
-        let id = self.requests.borrow_mut().insert(new, client);
+        let id = self.registry.borrow_mut().insert(new, client);
         tracing::debug!(txn = %format_args!("{:016x}", incoming.transaction_id), id, timeout_ms, "request");
         self.dispatch(Event::Request(Request {
             id,
@@ -79,10 +79,10 @@
 
     /// The client has gone, or its time is up: nothing more is sent for the request.
     pub fn cancel_request(self: &Rc<Self>, id: RequestId) {
-        if self.requests.borrow().is_answered(id) {
+        if self.registry.borrow().is_answered(id) {
             return;
         }
-        self.requests
+        self.registry
             .borrow_mut()
             .respond(id, FinalResponse::Failed);
         self.dispatch(Event::ClientDisconnected { id });
@@ -90,7 +90,7 @@
 
     /// Ends a request whose time is up. Returns its final response.
     pub fn give_up(self: &Rc<Self>, id: RequestId) -> FinalResponse {
-        let may_have_executed = self.requests.borrow().may_have_executed(id);
+        let may_have_executed = self.registry.borrow().may_have_executed(id);
         self.cancel_request(id);
         if may_have_executed {
             return FinalResponse::Failed;
@@ -102,9 +102,9 @@
 
     /// Gives all open requests their final response, when the process has to end.
     pub fn end_open_requests(self: &Rc<Self>) {
-        let ids = self.requests.borrow().unanswered();
+        let ids = self.registry.borrow().unanswered();
         for id in ids {
-            let mut requests = self.requests.borrow_mut();
+            let mut requests = self.registry.borrow_mut();
             let may_have_executed = requests.may_have_executed(id);
             tracing::debug!(id, may_have_executed, "ended: the process ends");
             let response = if may_have_executed {
@@ -128,7 +128,7 @@
             elapsed_ms = report.elapsed_ms,
             "attempt ended"
         );
-        let finished = self.requests.borrow_mut().finish_attempt(
+        let finished = self.registry.borrow_mut().finish_attempt(
             report.request,
             report.number,
             report.outcome,
--- a/src/bin/quota-gateway/driver/guard.rs
+++ b/src/bin/quota-gateway/driver/guard.rs
@@ -3,7 +3,7 @@
 //! program, as the answer before the write should have been no.
 
 use super::actions::duration;
-use super::requests::RequestRecord;
+use super::registry::RequestRecord;
 use super::slow_start_check::SlowStartCheck;
 use super::Driver;
 use crate::metrics::{AttemptRefusal, Metrics, Rule};
@@ -126,7 +126,7 @@
         &self,
         attempt: &GuardedAttempt,
     ) -> Result<(), AttemptRefusal> {
-        let record = self.requests.borrow().record(attempt.request);
+        let record = self.registry.borrow().record(attempt.request);
         let record = record.filter(|record| record.ended_at.is_none());
         let record = record.ok_or(AttemptRefusal::RequestAnswered)?;
         if attempt.client.get() == PeekResult::EndOfStream {
@@ -158,7 +158,7 @@
     ) {
         let written_at = Instant::now();
         let endpoint = attempt.target.endpoint;
-        let Some(record) = self.requests.borrow().record(attempt.request) else {
+        let Some(record) = self.registry.borrow().record(attempt.request) else {
             return;
         };
         let endpoints = self.endpoints.borrow();
--- a/src/bin/quota-gateway/driver/guard/tests.rs
+++ b/src/bin/quota-gateway/driver/guard/tests.rs
@@ -1,7 +1,7 @@
 //! What counts as a broken rule.
 
 use super::{Guard, WrittenAttempt};
-use crate::driver::requests::RequestRecord;
+use crate::driver::registry::RequestRecord;
 use crate::metrics::{Metrics, Rule};
 use quota_gateway::Rules;
 use std::time::Duration;
--- a/src/bin/quota-gateway/driver/mod.rs
+++ b/src/bin/quota-gateway/driver/mod.rs
@@ -4,7 +4,7 @@
 //! - `events`: what comes in, from the server, attempts, timers, the counter, other gateways and discovery
 //! - `actions`: the library's loop, and what it asks for
 //! - `attempts`: the tasks that send attempts and health checks
-//! - `requests`: the open requests and their attempts
+//! - `registry`: the open requests and their attempts
 //! - `guard`: whether an attempt may be written, and whether what was written broke a rule
 //! - `slow_start_check`: what endpoints in slow start may get
 //! - `endpoints`: the endpoints' ids and states
@@ -17,7 +17,7 @@
 mod events;
 mod guard;
 mod messages;
-mod requests;
+mod registry;
 mod slow_start_check;
 mod start_times;
 
@@ -34,7 +34,7 @@
 use endpoints::Endpoints;
 use guard::Guard;
 use quota_gateway::{Action, Gateway, Settings};
-use requests::{AttemptLimits, OpenRequests};
+use registry::{AttemptLimits, RequestRegistry};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -62,7 +62,7 @@
     decisions: RefCell<Gateway>,
     /// Buffer for the library's actions, reused to save allocations; empty between two events.
     actions: RefCell<Vec<Action>>,
-    requests: RefCell<OpenRequests>,
+    registry: RefCell<RequestRegistry>,
     endpoints: RefCell<Endpoints>,
     pool: ConnectionPool,
     counter: Option<CounterClient>,
@@ -99,7 +99,7 @@
             clock,
             decisions: RefCell::new(decisions),
             actions: RefCell::default(),
-            requests: RefCell::new(OpenRequests::new(first_id, limits)),
+            registry: RefCell::new(RequestRegistry::new(first_id, limits)),
             endpoints: RefCell::new(Endpoints::new(topology)),
             pool: transports.pool,
             counter: transports.counter,
--- a/src/bin/quota-gateway/driver/requests.rs
+++ b/src/bin/quota-gateway/driver/registry.rs
@@ -26,7 +26,7 @@
 }
 
 /// A request from its arrival until it has its final response and its last attempt has ended.
-struct OpenRequest {
+struct RegisteredRequest {
     /// Where the final response goes. Taken when that is given, or when the client has gone.
     client: Option<oneshot::Sender<FinalResponse>>,
     forwarded: Rc<ForwardedRequest>,
@@ -41,7 +41,7 @@
     may_have_executed: bool,
     /// One entry for each attempt, in the order of sending: the index is the attempt's number. `None` once the
     /// attempt has ended, or where it was never sent.
-    attempts: Vec<Option<Attempt>>,
+    attempts: Vec<Option<AttemptHandle>>,
 }
 
 /// What a new request brings.
@@ -72,7 +72,7 @@
 }
 
 /// An attempt in flight.
-struct Attempt {
+struct AttemptHandle {
     /// Tells the attempt's task to end; taken once used.
     cancel: Option<oneshot::Sender<()>>,
     /// The last byte is written: the endpoint may have begun on it. Set by the attempt's task.
@@ -126,7 +126,7 @@
     pub actual_units: Option<f64>,
 }
 
-impl Attempt {
+impl AttemptHandle {
     fn cancel(&mut self) {
         if let Some(cancel) = self.cancel.take() {
             // An attempt that has just ended needs no cancelling.
@@ -135,7 +135,7 @@
     }
 }
 
-impl OpenRequest {
+impl RegisteredRequest {
     fn is_answered(&self) -> bool {
         self.client.is_none()
     }
@@ -179,16 +179,16 @@
 }
 
 /// All open requests.
-pub struct OpenRequests {
-    open: HashMap<RequestId, OpenRequest>,
+pub struct RequestRegistry {
+    open: HashMap<RequestId, RegisteredRequest>,
     next_id: RequestId,
     limits: AttemptLimits,
 }
 
-impl OpenRequests {
+impl RequestRegistry {
     /// Ids are given out in order from `first_id`.
     pub fn new(first_id: RequestId, limits: AttemptLimits) -> Self {
-        OpenRequests {
+        RequestRegistry {
             open: HashMap::new(),
             next_id: first_id,
             limits,
@@ -199,7 +199,7 @@
     pub fn insert(&mut self, new: NewRequest, client: oneshot::Sender<FinalResponse>) -> RequestId {
         let id = self.next_id;
         self.next_id += 1;
-        let request = OpenRequest {
+        let request = RegisteredRequest {
             client: Some(client),
             forwarded: Rc::new(new.forwarded),
             transaction_id: new.transaction_id,
@@ -227,7 +227,7 @@
     pub fn may_have_executed(&self, id: RequestId) -> bool {
         self.open
             .get(&id)
-            .is_none_or(OpenRequest::may_have_executed)
+            .is_none_or(RegisteredRequest::may_have_executed)
     }
 
     /// What the rules on sending rest on; none if the request is no longer open.
@@ -248,7 +248,9 @@
 
     /// True once a request has its final response or is no longer open.
     pub fn is_answered(&self, id: RequestId) -> bool {
-        self.open.get(&id).is_none_or(OpenRequest::is_answered)
+        self.open
+            .get(&id)
+            .is_none_or(RegisteredRequest::is_answered)
     }
 
     /// Gives a request its final response, unless it has one, and cancels what is not written yet.
@@ -288,7 +290,7 @@
         };
         let (cancel, cancelled) = oneshot::channel();
         let written = Rc::new(Cell::new(false));
-        request.attempts.push(Some(Attempt {
+        request.attempts.push(Some(AttemptHandle {
             cancel: Some(cancel),
             written: written.clone(),
         }));
