--- a/src/bin/quota-gateway/driver/actions.rs
+++ b/src/bin/quota-gateway/driver/actions.rs
@@ -1,5 +1,6 @@
 //! What the decision library asks for: feeds it events and carries out its actions, in order.
 
+use super::enforcement::StartRefusal;
 use super::messages::FinalResponse;
 use super::registry::UnsentAttempt;
 use super::Driver;
@@ -138,7 +139,7 @@
         attempt: unsent.number as u8,
         endpoint,
         outcome: Outcome::NotSent,
-        request_answered: unsent.request_answered,
+        request_answered: unsent.reason == StartRefusal::RequestAnswered,
         actual_units: None,
         elapsed_ms: 0.0,
     })
--- a/src/bin/quota-gateway/driver/attempts.rs
+++ b/src/bin/quota-gateway/driver/attempts.rs
@@ -1,9 +1,10 @@
 //! The tasks that send attempts. Each reports its end as an event.
 
+use super::enforcement::{enforce_before_write, refusal_outcome, AttemptToWrite};
 use super::events::AttemptReport;
-use super::guard::{refusal_outcome, GuardedAttempt};
 use super::messages::ForwardedRequest;
 use super::registry::{EndpointResponse, StartedAttempt};
+use super::rule_checks::WrittenAttempt;
 use super::Driver;
 use crate::socket::{PeekResult, WeakSocket};
 use crate::upstream::{AttemptResult, CompleteResponse, OutgoingRequest, Settled, Target};
@@ -18,36 +19,79 @@
 /// client's and the gateway's system hold of one connection.
 const MAX_READING_TURNS: u32 = 64;
 
-/// An attempt about to be written, if the guard lets it.
+/// An attempt about to be written, unless `enforcement` refuses it.
 struct AttemptRequest {
     driver: Rc<Driver>,
-    guarded: GuardedAttempt,
+    request: RequestId,
+    target: Target,
     forwarded: Rc<ForwardedRequest>,
+    /// The attempt times out then.
     deadline: Instant,
+    /// Its first byte must not be written after this.
+    start_deadline: Instant,
+    /// What the client's socket held when it was last looked into.
+    client: Cell<PeekResult>,
     /// The remaining time that is propagated to the endpoint.
     propagated_deadline: Cell<Duration>,
     written: Rc<Cell<bool>>,
 }
 
+impl AttemptRequest {
+    /// What is known right now, for the check before the first byte.
+    fn to_write(&self) -> AttemptToWrite {
+        let driver = &self.driver;
+        AttemptToWrite {
+            record: driver.registry.borrow().record(self.request),
+            client: self.client.get(),
+            process_may_forward: driver.lifecycle.may_forward(),
+            start_deadline: self.start_deadline,
+            now: Instant::now(),
+            endpoint_is_ready: driver.endpoints.borrow().is_ready(self.target.endpoint),
+            endpoint_addr: driver.pool.address(self.target.endpoint),
+            connected_addr: self.target.addr,
+        }
+    }
+
+    /// Checks what has just been written.
+    fn check_after_write(&self) {
+        let driver = &self.driver;
+        let Some(record) = driver.registry.borrow().record(self.request) else {
+            return;
+        };
+        let endpoint = self.target.endpoint;
+        let endpoints = driver.endpoints.borrow();
+        let endpoint_age_ms = endpoints
+            .started_at(endpoint)
+            .map(|started_at| driver.clock.now_ms() - started_at);
+        driver.rule_checker.check_after_write(&WrittenAttempt {
+            record: &record,
+            target: self.target,
+            not_ready_since: endpoints.not_ready_since(endpoint),
+            endpoint_age_ms,
+            ready_endpoints: endpoints.ready_count(),
+            start_deadline: self.start_deadline,
+            propagated_deadline: self.propagated_deadline.get(),
+            written_at: Instant::now(),
+            refusing_since: driver.lifecycle.refusing_since(),
+        });
+    }
+}
+
 impl OutgoingRequest for AttemptRequest {
     fn settle(&self) -> Option<Settled<'_>> {
-        let client = self
-            .driver
-            .registry
-            .borrow()
-            .client_socket(self.guarded.request)?;
+        let client = self.driver.registry.borrow().client_socket(self.request)?;
         let unread = client.peek();
-        self.guarded.client.set(unread);
+        self.client.set(unread);
         (unread == PeekResult::Data).then(|| {
-            let read = async move { self.guarded.client.set(read_what_came(client).await) };
+            let read = async move { self.client.set(read_what_came(client).await) };
             Box::pin(read) as Settled<'_>
         })
     }
 
     fn refusal(&self) -> Option<Outcome> {
-        let refusal = self.driver.check_before_write(&self.guarded).err()?;
+        let refusal = enforce_before_write(&self.to_write()).err()?;
         self.driver.metrics.attempt_refusals.increment(refusal);
-        tracing::debug!(id = self.guarded.request, endpoint = self.guarded.target.endpoint, %refusal, "not sent");
+        tracing::debug!(id = self.request, endpoint = self.target.endpoint, %refusal, "not sent");
         Some(refusal_outcome(refusal))
     }
 
@@ -61,8 +105,7 @@
 
     fn on_written(&self) {
         self.written.set(true);
-        self.driver
-            .check_after_write(&self.guarded, self.propagated_deadline.get());
+        self.check_after_write();
     }
 }
 
@@ -106,14 +149,12 @@
         };
         let outgoing = AttemptRequest {
             driver: self.clone(),
-            guarded: GuardedAttempt {
-                request,
-                target,
-                start_deadline: attempt.start_deadline,
-                client: Cell::new(PeekResult::Empty),
-            },
+            request,
+            target,
             forwarded: attempt.forwarded,
             deadline: attempt.deadline,
+            start_deadline: attempt.start_deadline,
+            client: Cell::new(PeekResult::Empty),
             propagated_deadline: Cell::default(),
             written: attempt.written.clone(),
         };
--- a/src/bin/quota-gateway/driver/mod.rs
+++ b/src/bin/quota-gateway/driver/mod.rs
@@ -5,7 +5,8 @@
 //! - `actions`: the library's loop, and what it asks for
 //! - `attempts`: the tasks that send attempts and health checks
 //! - `registry`: the open requests and their attempts
-//! - `guard`: whether an attempt may be written, and whether what was written broke a rule
+//! - `enforcement`: refuses attempts right before they are started or written
+//! - `rule_checks`: finds rules that were broken in spite of that
 //! - `slow_start_check`: what endpoints in slow start may get
 //! - `endpoints`: the endpoints' ids and states
 //! - `start_times`: when endpoints started, where clocks may be off
@@ -14,10 +15,11 @@
 mod attempts;
 mod clock;
 mod endpoints;
+mod enforcement;
 mod events;
-mod guard;
 mod messages;
 mod registry;
+mod rule_checks;
 mod slow_start_check;
 mod start_times;
 
@@ -32,9 +34,10 @@
 use crate::upstream::ConnectionPool;
 use clock::Clock;
 use endpoints::Endpoints;
-use guard::Guard;
+use enforcement::AttemptLimits;
 use quota_gateway::{Action, Gateway, Settings};
-use registry::{AttemptLimits, RequestRegistry};
+use registry::RequestRegistry;
+use rule_checks::RuleChecker;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -70,7 +73,7 @@
     discovery_synced: Cell<bool>,
     started_at: Instant,
     bad_entry_warning: RateLimitedWarning,
-    guard: Guard,
+    rule_checker: RuleChecker,
     lifecycle: Rc<Lifecycle>,
     metrics: Rc<Metrics>,
 }
@@ -93,7 +96,7 @@
         };
         // Ids go on from the clock: a late event of a request from before a restart names none of now.
         let first_id = (clock.now_ms() as u64) << REQUEST_ID_SHIFT;
-        let guard = Guard::new(&settings.rules, metrics.clone());
+        let rule_checker = RuleChecker::new(&settings.rules, metrics.clone());
         let decisions = Gateway::new(settings, seed, clock.now_ms());
         Rc::new(Driver {
             clock,
@@ -107,7 +110,7 @@
             discovery_synced: Cell::new(false),
             started_at: Instant::now(),
             bad_entry_warning: RateLimitedWarning::default(),
-            guard,
+            rule_checker,
             lifecycle,
             metrics,
         })
@@ -118,9 +121,9 @@
         &self.metrics
     }
 
-    /// The guard of the rules.
-    pub fn guard(&self) -> &Guard {
-        &self.guard
+    /// Reports broken rules.
+    pub fn rule_checker(&self) -> &RuleChecker {
+        &self.rule_checker
     }
 
     /// True once requests can be served: the list is fresh, or discovery is silent, and an endpoint is ready.
--- a/src/bin/quota-gateway/driver/registry.rs
+++ b/src/bin/quota-gateway/driver/registry.rs
@@ -1,5 +1,6 @@
 //! Open requests and their attempts. The one owner of who still waits for a response.
 
+use super::enforcement::{enforce_before_start, AttemptLimits, AttemptToStart, StartRefusal};
 use super::messages::{FinalResponse, ForwardedRequest};
 use crate::socket::WeakSocket;
 use bytes::Bytes;
@@ -15,16 +16,6 @@
 #[cfg(test)]
 mod tests;
 
-/// Limits on what is sent for one request, whatever the decision library asks for.
-pub struct AttemptLimits {
-    /// Attempts of one request.
-    pub max_attempts: usize,
-    /// Two attempts of one request may be in flight at once.
-    pub hedging: bool,
-    /// Units that one request can take.
-    pub max_units: f64,
-}
-
 /// A request from its arrival until it has its final response and its last attempt has ended.
 struct RegisteredRequest {
     /// Where the final response goes. Taken when that is given, or when the client has gone.
@@ -104,8 +95,8 @@
 pub struct UnsentAttempt {
     /// Its number among the request's attempts.
     pub number: usize,
-    /// The request has its final response.
-    pub request_answered: bool,
+    /// What stands against it.
+    pub reason: StartRefusal,
 }
 
 /// A complete response of an endpoint that reports success.
@@ -127,6 +118,16 @@
 }
 
 impl AttemptHandle {
+    /// The handle, and the receiver that tells the attempt's task to end.
+    fn new() -> (Self, oneshot::Receiver<()>) {
+        let (cancel, cancelled) = oneshot::channel();
+        let handle = AttemptHandle {
+            cancel: Some(cancel),
+            written: Rc::default(),
+        };
+        (handle, cancelled)
+    }
+
     fn cancel(&mut self) {
         if let Some(cancel) = self.cancel.take() {
             // An attempt that has just ended needs no cancelling.
@@ -144,16 +145,6 @@
         self.attempts.iter().any(Option::is_some)
     }
 
-    fn may_start_attempt(&self, limits: &AttemptLimits, now: Instant, deadline: Instant) -> bool {
-        if self.is_answered() || deadline <= now {
-            return false;
-        }
-        if self.attempts.len() >= limits.max_attempts {
-            return false;
-        }
-        limits.hedging || !self.has_attempt_in_flight()
-    }
-
     fn may_have_executed(&self) -> bool {
         self.may_have_executed
             || self
@@ -261,50 +252,52 @@
         }
     }
 
-    /// Registers a request's next attempt. It must not be sent past the attempt limit, for a request that is
-    /// answered, to an endpoint without an address, out of time, or (without hedging) beside another one.
+    /// Registers a request's next attempt, unless `enforcement` refuses it. An attempt that is refused takes a number all
+    /// the same.
     pub fn start_attempt(
         &mut self,
         id: RequestId,
-        addr: Option<SocketAddr>,
+        endpoint_addr: Option<SocketAddr>,
         timeout: Duration,
         start_timeout: Duration,
     ) -> Result<StartedAttempt, UnsentAttempt> {
         let Some(request) = self.open.get_mut(&id) else {
             return Err(UnsentAttempt {
                 number: 0,
-                request_answered: true,
+                reason: StartRefusal::RequestAnswered,
             });
         };
         let number = request.attempts.len();
         let now = Instant::now();
         let deadline = request.deadline.min(now + timeout);
-        let start_deadline = now + start_timeout;
-        let may_start = request.may_start_attempt(&self.limits, now, deadline);
-        let Some(addr) = addr.filter(|_| may_start) else {
-            request.attempts.push(None);
-            return Err(UnsentAttempt {
-                number,
-                request_answered: request.is_answered(),
-            });
+        let attempt = AttemptToStart {
+            request_answered: request.is_answered(),
+            earlier_attempts: number,
+            attempt_in_flight: request.has_attempt_in_flight(),
+            time_left: deadline.saturating_duration_since(now),
+            endpoint_addr,
         };
-        let (cancel, cancelled) = oneshot::channel();
-        let written = Rc::new(Cell::new(false));
-        request.attempts.push(Some(AttemptHandle {
-            cancel: Some(cancel),
-            written: written.clone(),
-        }));
-        let forwarded = request.forwarded.clone();
-        Ok(StartedAttempt {
-            number,
-            addr,
-            started_at: now,
-            deadline,
-            start_deadline,
-            forwarded,
-            cancelled,
-            written,
-        })
+        match enforce_before_start(&self.limits, &attempt) {
+            Ok(addr) => {
+                let (handle, cancelled) = AttemptHandle::new();
+                let written = handle.written.clone();
+                request.attempts.push(Some(handle));
+                Ok(StartedAttempt {
+                    number,
+                    addr,
+                    started_at: now,
+                    deadline,
+                    start_deadline: now + start_timeout,
+                    forwarded: request.forwarded.clone(),
+                    cancelled,
+                    written,
+                })
+            }
+            Err(reason) => {
+                request.attempts.push(None);
+                Err(UnsentAttempt { number, reason })
+            }
+        }
     }
 
     /// Cancels an attempt. Its task closes the connection, then reports the end; it counts as in flight until then.
--- a/src/bin/quota-gateway/driver/registry/tests.rs
+++ b/src/bin/quota-gateway/driver/registry/tests.rs
@@ -1,6 +1,7 @@
 //! When an attempt may be sent, what answers a request, and when it is no longer open.
 
-use super::{AttemptLimits, EndpointResponse, NewRequest, RequestRegistry, StartedAttempt};
+use super::{EndpointResponse, NewRequest, RequestRegistry, StartedAttempt};
+use crate::driver::enforcement::AttemptLimits;
 use crate::driver::messages::{FinalResponse, ForwardedRequest};
 use crate::socket::WeakSocket;
 use bytes::Bytes;
--- a/src/bin/quota-gateway/driver/guard/tests.rs
+++ b/src/bin/quota-gateway/driver/rule_checks/tests.rs
@@ -1,9 +1,11 @@
 //! What counts as a broken rule.
 
-use super::{Guard, WrittenAttempt};
+use super::{RuleChecker, WrittenAttempt};
 use crate::driver::registry::RequestRecord;
 use crate::metrics::{Metrics, Rule};
+use crate::upstream::Target;
 use quota_gateway::Rules;
+use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -45,13 +47,19 @@
         };
         let written = WrittenAttempt {
             record: &self.record,
+            target: Target {
+                endpoint: 1,
+                addr: SocketAddr::from(([127, 0, 0, 1], 9)),
+            },
+            endpoint_age_ms: None,
+            ready_endpoints: 1,
             not_ready_since: self.not_ready_since,
             start_deadline: self.start_deadline,
             propagated_deadline: self.propagated_deadline,
             written_at: self.now,
             refusing_since: self.refusing_since,
         };
-        Guard::new(&rules, Metrics::new()).broken_rules(&written)
+        RuleChecker::new(&rules, Metrics::new()).broken_rules(&written)
     }
 }
 
--- a/src/bin/quota-gateway/metrics/labels.rs
+++ b/src/bin/quota-gateway/metrics/labels.rs
@@ -80,10 +80,10 @@
 label! {
     /// Why an attempt was not written, right before its first byte.
     AttemptRefusal, "reason", {
-        /// The request has its response, or the client has gone.
+        /// The request has its response.
         RequestAnswered => "request_answered",
         /// The client has closed its side, or its connection broke.
-        ClientGone => "client_gone",
+        ClientDisconnected => "client_gone",
         /// The endpoint drains or was removed.
         EndpointNotReady => "endpoint_not_ready",
         /// The endpoint has another address.
--- a/src/bin/quota-gateway/server/connection.rs
+++ b/src/bin/quota-gateway/server/connection.rs
@@ -116,7 +116,7 @@
     fn check_end(&self, client: &Client, stream: &ClientStream) {
         if client.is_being_served() && !stream.has_ended() {
             self.driver
-                .guard()
+                .rule_checker()
                 .report(Rule::CloseUnanswered, "the connection ended first");
         }
     }
--- a/src/bin/quota-gateway/shutdown.rs
+++ b/src/bin/quota-gateway/shutdown.rs
@@ -53,7 +53,10 @@
         self.wait_for_connections().await;
         self.enter(Phase::Ended);
         self.report_unanswered();
-        let (waited, violations) = (terminated_at.elapsed(), self.driver.guard().violations());
+        let (waited, violations) = (
+            terminated_at.elapsed(),
+            self.driver.rule_checker().violations(),
+        );
         tracing::info!("ended after {waited:?}, {violations} rules broken");
     }
 
@@ -94,7 +97,9 @@
     fn report_unanswered(&self) {
         for transaction_id in self.server.unanswered_transactions() {
             let what = format!("txn {transaction_id:016x} at the end of the process");
-            self.driver.guard().report(Rule::CloseUnanswered, &what);
+            self.driver
+                .rule_checker()
+                .report(Rule::CloseUnanswered, &what);
         }
     }
 }
