--- a/src/bin/quota-gateway/driver/actions.rs
+++ b/src/bin/quota-gateway/driver/actions.rs
@@ -1,5 +1,6 @@
 //! What the decision library asks for: feeds it events and carries out its actions, in order.
 
+use super::clock::duration_from_ms;
 use super::enforcement::StartRefusal;
 use super::messages::FinalResponse;
 use super::registry::UnsentAttempt;
@@ -11,9 +12,6 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Longest timer or time-out; the library's milliseconds may be negative or huge.
-const MAX_TIMEOUT_S: f64 = 86_400.0;
-
 impl Driver {
     /// Hands an event to the library, and then those that its own actions cause at once.
     pub(super) fn dispatch(self: &Rc<Self>, event: Event) {
@@ -42,8 +40,8 @@
                 return self.send_attempt(
                     id,
                     endpoint,
-                    duration(timeout_ms),
-                    duration(start_timeout_ms),
+                    duration_from_ms(timeout_ms),
+                    duration_from_ms(start_timeout_ms),
                 );
             }
             Action::CancelAttempt { id, attempt } => {
@@ -63,7 +61,9 @@
                     .borrow_mut()
                     .respond(id, FinalResponse::Failed);
             }
-            Action::SetTimer { token, after_ms } => self.set_timer(token, duration(after_ms)),
+            Action::SetTimer { token, after_ms } => {
+                self.set_timer(token, duration_from_ms(after_ms));
+            }
             Action::AddToCounter {
                 key,
                 amount,
@@ -98,7 +98,8 @@
         match started {
             Ok(attempt) => {
                 tracing::debug!(id, attempt = attempt.number, endpoint, "attempt");
-                self.spawn_attempt(id, endpoint, attempt);
+                self.attempt_sender
+                    .spawn(id, endpoint, attempt, self.clone());
                 None
             }
             Err(unsent) => Some(not_sent(id, endpoint, unsent)),
@@ -109,7 +110,7 @@
         let driver = self.clone();
         tokio::task::spawn_local(async move {
             sleep(after).await;
-            driver.timer_fired(token);
+            driver.dispatch(Event::TimerFired { token });
         });
     }
 
@@ -144,8 +145,3 @@
         elapsed_ms: 0.0,
     })
 }
-
-/// The library's milliseconds as a duration.
-pub(super) fn duration(ms: f64) -> Duration {
-    Duration::from_secs_f64((ms / 1000.0).clamp(0.0, MAX_TIMEOUT_S))
-}
--- a/src/bin/quota-gateway/driver/attempts.rs
+++ b/src/bin/quota-gateway/driver/attempts.rs
@@ -1,27 +1,121 @@
-//! The tasks that send attempts. Each reports its end as an event.
+//! Sends attempts. Each has a task of its own, which reports its end to an `AttemptReportHandler`.
 
+use super::clock::Clock;
+use super::endpoints::Endpoints;
 use super::enforcement::{enforce_before_write, refusal_outcome, AttemptToWrite};
-use super::events::AttemptReport;
 use super::messages::ForwardedRequest;
-use super::registry::{EndpointResponse, StartedAttempt};
-use super::rule_checks::WrittenAttempt;
-use super::Driver;
+use super::registry::{EndpointResponse, RequestRegistry, StartedAttempt};
+use super::rule_checks::{RuleChecker, WrittenAttempt};
+use crate::lifecycle::Lifecycle;
+use crate::metrics::Metrics;
 use crate::socket::{PeekResult, WeakSocket};
-use crate::upstream::{AttemptResult, CompleteResponse, OutgoingRequest, Settled, Target};
+use crate::upstream::{
+    AttemptResult, CompleteResponse, ConnectionPool, OutgoingRequest, Preparation, Target,
+};
 use quota_gateway::{EndpointId, Outcome, RequestId};
-use std::cell::Cell;
+use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::task::yield_now;
 use tokio::time::Instant;
 
-/// Turns of all tasks for which an attempt waits until its client's connection has read what has come: more than a
-/// client's and the gateway's system hold of one connection.
+/// How often an attempt lets all other tasks run until its client's connection has read what had arrived. The buffers
+/// of one connection, the client's and the gateway's, are empty after fewer turns.
 const MAX_READING_TURNS: u32 = 64;
 
+/// The end of one attempt.
+pub(super) struct AttemptReport {
+    /// The request.
+    pub request: RequestId,
+    /// The attempt's number among the request's.
+    pub number: usize,
+    /// Where it was sent.
+    pub endpoint: EndpointId,
+    /// How it ended.
+    pub outcome: Outcome,
+    /// Time since it began, in ms.
+    pub elapsed_ms: f64,
+    /// The response, if the outcome is success.
+    pub served: Option<EndpointResponse>,
+}
+
+/// Receives the ends of attempts.
+pub(super) trait AttemptReportHandler {
+    /// An attempt has ended; each reports that once.
+    fn attempt_ended(self: Rc<Self>, report: AttemptReport);
+}
+
+/// What attempts are sent with and checked against. The driver shares it with the tasks of all attempts.
+pub(super) struct AttemptSender {
+    pub clock: Clock,
+    pub registry: Rc<RefCell<RequestRegistry>>,
+    pub endpoints: Rc<RefCell<Endpoints>>,
+    pub pool: Rc<ConnectionPool>,
+    pub rule_checker: Rc<RuleChecker>,
+    pub lifecycle: Rc<Lifecycle>,
+    pub metrics: Rc<Metrics>,
+}
+
+impl AttemptSender {
+    /// Starts the task of an attempt. The registry can end the task by cancelling the attempt.
+    pub fn spawn(
+        self: &Rc<Self>,
+        request: RequestId,
+        endpoint: EndpointId,
+        attempt: StartedAttempt,
+        handler: Rc<dyn AttemptReportHandler>,
+    ) {
+        let sender = self.clone();
+        tokio::task::spawn_local(async move {
+            let report = sender.send(request, endpoint, attempt).await;
+            handler.attempt_ended(report);
+        });
+    }
+
+    async fn send(
+        self: Rc<Self>,
+        request: RequestId,
+        endpoint: EndpointId,
+        mut attempt: StartedAttempt,
+    ) -> AttemptReport {
+        let target = Target {
+            endpoint,
+            addr: attempt.addr,
+        };
+        let outgoing = AttemptRequest {
+            sender: self.clone(),
+            request,
+            target,
+            forwarded: attempt.forwarded,
+            deadline: attempt.deadline,
+            start_deadline: attempt.start_deadline,
+            client: Cell::new(PeekResult::Empty),
+            propagated_deadline: Cell::default(),
+            written: attempt.written.clone(),
+        };
+        let result = tokio::select! {
+            biased;
+            result = self.pool.attempt(target, attempt.deadline, &outgoing) => result,
+            // Dropping the attempt closes its connection.
+            Ok(()) = &mut attempt.cancelled => {
+                let outcome = if attempt.written.get() { Outcome::Cancelled } else { Outcome::NotSent };
+                AttemptResult::without_response(outcome)
+            }
+        };
+        AttemptReport {
+            request,
+            number: attempt.number,
+            endpoint,
+            outcome: result.outcome,
+            elapsed_ms: elapsed_ms(attempt.started_at),
+            served: served_response(result),
+        }
+    }
+}
+
 /// An attempt about to be written, unless `enforcement` refuses it.
 struct AttemptRequest {
-    driver: Rc<Driver>,
+    sender: Rc<AttemptSender>,
     request: RequestId,
     target: Target,
     forwarded: Rc<ForwardedRequest>,
@@ -33,37 +127,38 @@
     client: Cell<PeekResult>,
     /// The remaining time that is propagated to the endpoint.
     propagated_deadline: Cell<Duration>,
+    /// Set once the last byte is written.
     written: Rc<Cell<bool>>,
 }
 
 impl AttemptRequest {
     /// What is known right now, for the check before the first byte.
     fn to_write(&self) -> AttemptToWrite {
-        let driver = &self.driver;
+        let sender = &self.sender;
         AttemptToWrite {
-            record: driver.registry.borrow().record(self.request),
+            record: sender.registry.borrow().record(self.request),
             client: self.client.get(),
-            process_may_forward: driver.lifecycle.may_forward(),
+            process_may_forward: sender.lifecycle.may_forward(),
             start_deadline: self.start_deadline,
             now: Instant::now(),
-            endpoint_is_ready: driver.endpoints.borrow().is_ready(self.target.endpoint),
-            endpoint_addr: driver.pool.address(self.target.endpoint),
+            endpoint_is_ready: sender.endpoints.borrow().is_ready(self.target.endpoint),
+            endpoint_addr: sender.pool.address(self.target.endpoint),
             connected_addr: self.target.addr,
         }
     }
 
     /// Checks what has just been written.
     fn check_after_write(&self) {
-        let driver = &self.driver;
-        let Some(record) = driver.registry.borrow().record(self.request) else {
+        let sender = &self.sender;
+        let Some(record) = sender.registry.borrow().record(self.request) else {
             return;
         };
         let endpoint = self.target.endpoint;
-        let endpoints = driver.endpoints.borrow();
+        let endpoints = sender.endpoints.borrow();
         let endpoint_age_ms = endpoints
             .started_at(endpoint)
-            .map(|started_at| driver.clock.now_ms() - started_at);
-        driver.rule_checker.check_after_write(&WrittenAttempt {
+            .map(|started_at| sender.clock.now_ms() - started_at);
+        sender.rule_checker.check_after_write(&WrittenAttempt {
             record: &record,
             target: self.target,
             not_ready_since: endpoints.not_ready_since(endpoint),
@@ -72,32 +167,32 @@
             start_deadline: self.start_deadline,
             propagated_deadline: self.propagated_deadline.get(),
             written_at: Instant::now(),
-            refusing_since: driver.lifecycle.refusing_since(),
+            refusing_since: sender.lifecycle.refusing_since(),
         });
     }
 }
 
 impl OutgoingRequest for AttemptRequest {
-    fn settle(&self) -> Option<Settled<'_>> {
-        let client = self.driver.registry.borrow().client_socket(self.request)?;
-        let unread = client.peek();
-        self.client.set(unread);
-        (unread == PeekResult::Data).then(|| {
-            let read = async move { self.client.set(read_what_came(client).await) };
-            Box::pin(read) as Settled<'_>
+    fn prepare(&self) -> Option<Preparation<'_>> {
+        let client = self.sender.registry.borrow().client_socket(self.request)?;
+        let peeked = client.peek();
+        self.client.set(peeked);
+        (peeked == PeekResult::Data).then(|| {
+            let wait = async move { self.client.set(wait_until_read(client).await) };
+            Box::pin(wait) as Preparation<'_>
         })
     }
 
     fn refusal(&self) -> Option<Outcome> {
         let refusal = enforce_before_write(&self.to_write()).err()?;
-        self.driver.metrics.attempt_refusals.increment(refusal);
+        self.sender.metrics.attempt_refusals.increment(refusal);
         tracing::debug!(id = self.request, endpoint = self.target.endpoint, %refusal, "not sent");
         Some(refusal_outcome(refusal))
     }
 
     fn encode(&self) -> Vec<u8> {
         // The process may end before the request's own deadline.
-        let deadline = self.driver.lifecycle.limit_deadline(self.deadline);
+        let deadline = self.sender.lifecycle.limit_deadline(self.deadline);
         self.propagated_deadline
             .set(deadline.saturating_duration_since(Instant::now()));
         self.forwarded.encode(self.propagated_deadline.get())
@@ -109,75 +204,23 @@
     }
 }
 
-/// Lets the client's connection read what has come: its end may lie behind that, and is known only then. It reads some
-/// 100 KB and more a turn. Returns what lies unread then.
-async fn read_what_came(client: WeakSocket) -> PeekResult {
+/// Lets the client's connection read what has arrived. Returns what its socket holds afterwards.
+///
+/// Guards against a client that sends more and then disconnects. The end of its stream is hidden behind the unread
+/// bytes, so that a look into the socket shows data only, and the attempt would be executed for nobody. Each turn lets
+/// the task of the client's connection read; once the socket is empty, a second look shows whether the end is there.
+/// After the last turn the attempt is written: a client that still sends is there.
+async fn wait_until_read(client: WeakSocket) -> PeekResult {
     for _ in 0..MAX_READING_TURNS {
         yield_now().await;
-        let unread = client.peek();
-        if unread != PeekResult::Data {
-            return unread;
+        let peeked = client.peek();
+        if peeked != PeekResult::Data {
+            return peeked;
         }
     }
     PeekResult::Data
 }
 
-impl Driver {
-    /// Starts the task of an attempt. The open request owns it and ends it by cancelling the attempt.
-    pub(super) fn spawn_attempt(
-        self: &Rc<Self>,
-        request: RequestId,
-        endpoint: EndpointId,
-        attempt: StartedAttempt,
-    ) {
-        let driver = self.clone();
-        tokio::task::spawn_local(async move {
-            let report = driver.run_attempt(request, endpoint, attempt).await;
-            driver.attempt_ended(report);
-        });
-    }
-
-    async fn run_attempt(
-        self: &Rc<Self>,
-        request: RequestId,
-        endpoint: EndpointId,
-        mut attempt: StartedAttempt,
-    ) -> AttemptReport {
-        let target = Target {
-            endpoint,
-            addr: attempt.addr,
-        };
-        let outgoing = AttemptRequest {
-            driver: self.clone(),
-            request,
-            target,
-            forwarded: attempt.forwarded,
-            deadline: attempt.deadline,
-            start_deadline: attempt.start_deadline,
-            client: Cell::new(PeekResult::Empty),
-            propagated_deadline: Cell::default(),
-            written: attempt.written.clone(),
-        };
-        let result = tokio::select! {
-            biased;
-            result = self.pool.attempt(target, attempt.deadline, &outgoing) => result,
-            // Dropping the attempt closes its connection.
-            Ok(()) = &mut attempt.cancelled => {
-                let outcome = if attempt.written.get() { Outcome::Cancelled } else { Outcome::NotSent };
-                AttemptResult::without_response(outcome)
-            }
-        };
-        AttemptReport {
-            request,
-            number: attempt.number,
-            endpoint,
-            outcome: result.outcome,
-            elapsed_ms: elapsed_ms(attempt.started_at),
-            served: served_response(result),
-        }
-    }
-}
-
 /// What the client gets of a successful attempt.
 fn served_response(result: AttemptResult) -> Option<EndpointResponse> {
     match (result.outcome, result.response) {
--- a/src/bin/quota-gateway/driver/events.rs
+++ b/src/bin/quota-gateway/driver/events.rs
@@ -1,14 +1,15 @@
 //! What comes in: each method turns something that happened into an event of the decision library.
 
+use super::attempts::{AttemptReport, AttemptReportHandler};
 use super::messages::{ForwardedRequest, IncomingRequest, StartedRequest};
-use super::registry::{EndpointResponse, NewRequest};
+use super::registry::NewRequest;
 use super::{Driver, FinalResponse};
 use crate::counter::CounterReplyHandler;
 use crate::discovery::list::EndpointList;
 use crate::discovery::EndpointListHandler;
 use crate::gossip::GossipHandler;
 use crate::socket::WeakSocket;
-use quota_gateway::{AttemptEnd, EndpointId, Event, Outcome, Request, RequestId};
+use quota_gateway::{AttemptEnd, Event, Outcome, Request, RequestId};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::oneshot;
@@ -17,22 +18,6 @@
 /// A final response leaves this long before the client stops waiting: it has a way to go, and the request had one.
 const RESPONSE_MARGIN_MS: f64 = 10.0;
 
-/// The end of one attempt, as its task reports it.
-pub(super) struct AttemptReport {
-    /// The request.
-    pub request: RequestId,
-    /// The attempt's number among the request's.
-    pub number: usize,
-    /// Where it was sent.
-    pub endpoint: EndpointId,
-    /// How it ended.
-    pub outcome: Outcome,
-    /// Time since it began.
-    pub elapsed_ms: f64,
-    /// The response, if the outcome is success.
-    pub served: Option<EndpointResponse>,
-}
-
 impl Driver {
     /// A request came in. Its final response comes by the receiver that is returned.
     pub fn start_request(
@@ -117,8 +102,10 @@
             self.dispatch(Event::ClientDisconnected { id });
         }
     }
+}
 
-    pub(super) fn attempt_ended(self: &Rc<Self>, report: AttemptReport) {
+impl AttemptReportHandler for Driver {
+    fn attempt_ended(self: Rc<Self>, report: AttemptReport) {
         self.metrics.attempts.increment(report.outcome.into());
         tracing::debug!(
             id = report.request,
@@ -145,10 +132,6 @@
             elapsed_ms: report.elapsed_ms,
         }));
     }
-
-    pub(super) fn timer_fired(self: &Rc<Self>, token: u64) {
-        self.dispatch(Event::TimerFired { token });
-    }
 }
 
 impl CounterReplyHandler for Driver {
--- a/src/bin/quota-gateway/driver/mod.rs
+++ b/src/bin/quota-gateway/driver/mod.rs
@@ -1,9 +1,12 @@
 //! Drives the decision library: turns what happens into its events and carries out its actions. It alone gives a
 //! request its final response, and gives it once.
 //!
-//! - `events`: what comes in, from the server, attempts, timers, the counter, other gateways and discovery
+//! Arrows go downwards only: `events` calls `actions`, which calls `attempts` and the parts below. Attempts report to a
+//! trait that they define, which `events` implements.
+//!
+//! - `events`: what comes in, from the server, attempts, the counter, other gateways and discovery
 //! - `actions`: the library's loop, and what it asks for
-//! - `attempts`: the tasks that send attempts and health checks
+//! - `attempts`: the tasks that send attempts
 //! - `registry`: the open requests and their attempts
 //! - `enforcement`: refuses attempts right before they are started or written
 //! - `rule_checks`: finds rules that were broken in spite of that
@@ -32,6 +35,7 @@
 use crate::metrics::Metrics;
 use crate::rate_limited_warning::RateLimitedWarning;
 use crate::upstream::ConnectionPool;
+use attempts::AttemptSender;
 use clock::Clock;
 use endpoints::Endpoints;
 use enforcement::AttemptLimits;
@@ -65,15 +69,16 @@
     decisions: RefCell<Gateway>,
     /// Buffer for the library's actions, reused to save allocations; empty between two events.
     actions: RefCell<Vec<Action>>,
-    registry: RefCell<RequestRegistry>,
-    endpoints: RefCell<Endpoints>,
-    pool: ConnectionPool,
+    registry: Rc<RefCell<RequestRegistry>>,
+    endpoints: Rc<RefCell<Endpoints>>,
+    pool: Rc<ConnectionPool>,
+    attempt_sender: Rc<AttemptSender>,
     counter: Option<CounterClient>,
     gossip: Option<Rc<GossipSocket>>,
     discovery_synced: Cell<bool>,
     started_at: Instant,
     bad_entry_warning: RateLimitedWarning,
-    rule_checker: RuleChecker,
+    rule_checker: Rc<RuleChecker>,
     lifecycle: Rc<Lifecycle>,
     metrics: Rc<Metrics>,
 }
@@ -96,15 +101,28 @@
         };
         // Ids go on from the clock: a late event of a request from before a restart names none of now.
         let first_id = (clock.now_ms() as u64) << REQUEST_ID_SHIFT;
-        let rule_checker = RuleChecker::new(&settings.rules, metrics.clone());
+        let rule_checker = Rc::new(RuleChecker::new(&settings.rules, metrics.clone()));
         let decisions = Gateway::new(settings, seed, clock.now_ms());
+        let registry = Rc::new(RefCell::new(RequestRegistry::new(first_id, limits)));
+        let endpoints = Rc::new(RefCell::new(Endpoints::new(topology)));
+        let pool = Rc::new(transports.pool);
+        let attempt_sender = Rc::new(AttemptSender {
+            clock,
+            registry: registry.clone(),
+            endpoints: endpoints.clone(),
+            pool: pool.clone(),
+            rule_checker: rule_checker.clone(),
+            lifecycle: lifecycle.clone(),
+            metrics: metrics.clone(),
+        });
         Rc::new(Driver {
             clock,
             decisions: RefCell::new(decisions),
             actions: RefCell::default(),
-            registry: RefCell::new(RequestRegistry::new(first_id, limits)),
-            endpoints: RefCell::new(Endpoints::new(topology)),
-            pool: transports.pool,
+            registry,
+            endpoints,
+            pool,
+            attempt_sender,
             counter: transports.counter,
             gossip: transports.gossip,
             discovery_synced: Cell::new(false),
--- a/src/bin/quota-gateway/driver/rule_checks.rs
+++ b/src/bin/quota-gateway/driver/rule_checks.rs
@@ -2,7 +2,7 @@
 //! attempt that breaks a rule should not have been written, so that each find is a fault of this program. It is counted
 //! in `gateway_rule_violations_total` and logged as `rule broken` with the ids.
 
-use super::actions::duration;
+use super::clock::duration_from_ms;
 use super::registry::RequestRecord;
 use super::slow_start_check::SlowStartCheck;
 use crate::metrics::{Metrics, Rule};
@@ -57,7 +57,7 @@
     pub fn new(rules: &Rules, metrics: Rc<Metrics>) -> Self {
         RuleChecker {
             metrics,
-            drain_grace: duration(rules.drain_grace_ms),
+            drain_grace: duration_from_ms(rules.drain_grace_ms),
             slow_start: RefCell::new(SlowStartCheck::new(rules)),
         }
     }
--- a/src/bin/quota-gateway/upstream/connection.rs
+++ b/src/bin/quota-gateway/upstream/connection.rs
@@ -85,8 +85,8 @@
         while written == 0 || written < message.len() {
             socket.writable().await?;
             if written == 0 {
-                if let Some(settled) = request.settle() {
-                    settled.await;
+                if let Some(preparation) = request.prepare() {
+                    preparation.await;
                     // The endpoint may have closed the connection meanwhile.
                     if !self.is_usable() {
                         return Err(ErrorKind::ConnectionReset.into());
--- a/src/bin/quota-gateway/upstream/connection/tests.rs
+++ b/src/bin/quota-gateway/upstream/connection/tests.rs
@@ -2,7 +2,7 @@
 
 use super::{Connection, OpenConnections, OutgoingRequest, Written};
 use crate::socket::{PeekResult, Socket};
-use crate::upstream::Settled;
+use crate::upstream::Preparation;
 use quota_gateway::Outcome;
 use std::cell::RefCell;
 use std::net::TcpListener;
@@ -15,7 +15,7 @@
 }
 
 impl OutgoingRequest for CrossedRequest {
-    fn settle(&self) -> Option<Settled<'_>> {
+    fn prepare(&self) -> Option<Preparation<'_>> {
         Some(Box::pin(async {
             drop(self.endpoint.take());
             while self.connection.peek() != PeekResult::EndOfStream {
--- a/src/bin/quota-gateway/upstream/request.rs
+++ b/src/bin/quota-gateway/upstream/request.rs
@@ -14,13 +14,13 @@
     pub addr: SocketAddr,
 }
 
-/// What `OutgoingRequest::settle` returns.
-pub type Settled<'a> = Pin<Box<dyn Future<Output = ()> + 'a>>;
+/// The wait that `OutgoingRequest::prepare` asks for.
+pub type Preparation<'a> = Pin<Box<dyn Future<Output = ()> + 'a>>;
 
-/// A request about to be written. `settle`, `refusal` and `encode` are called right before its first byte, in this order.
+/// A request about to be written. `prepare`, `refusal` and `encode` are called right before its first byte, in this order.
 pub trait OutgoingRequest {
-    /// Waits until what has happened by now is known, if it isn't.
-    fn settle(&self) -> Option<Settled<'_>> {
+    /// The wait until `refusal` can tell; none if it can at once.
+    fn prepare(&self) -> Option<Preparation<'_>> {
         None
     }
     /// The attempt's outcome, if it must not be sent after all.
