--- a/src/bin/quota-gateway/lifecycle/mod.rs
+++ b/src/bin/quota-gateway/lifecycle/mod.rs
@@ -6,8 +6,8 @@
 //! ```
 //!
 //! The times of the phases are those of the `timeline`. Whether something may still be forwarded is read from the
-//! clock and not from the phase alone: after a stall of the whole process, tasks run in any order, and some before
-//! the one that moves the phase on.
+//! clock and not from the phase alone. Guards against a request that is forwarded too late and cut off at the exit:
+//! after a stall of the process tasks run in any order, some before the one that moves the phase on.
 
 mod timeline;
 
@@ -26,13 +26,13 @@
 pub enum Phase {
     /// Before SIGTERM.
     Running,
-    /// The process is not ready any more, and still accepts connections.
+    /// The process reports that it is not ready, and still accepts connections.
     Accepting,
-    /// Connections are accepted no more, and close behind a response. Requests on them are served.
+    /// No more connections are accepted. Open ones close after their next response; requests on them are served.
     NoNewConnections,
-    /// What comes is refused and not forwarded. Connections close once nothing is owed on them.
+    /// Requests that arrive are refused and not forwarded. Connections close once no response is due on them.
     Refusing,
-    /// Nothing is read any more.
+    /// Nothing more is read; the process exits.
     Ended,
 }
 
--- a/src/bin/quota-gateway/lifecycle/timeline/tests.rs
+++ b/src/bin/quota-gateway/lifecycle/timeline/tests.rs
@@ -1,10 +1,12 @@
+//! The times of a shutdown, over deadlines from none to longer than the termination grace period covers.
+
 use super::*;
 use quota_gateway::Class;
 
 /// Deadlines whose shutdowns are looked at, in ms.
 const DEADLINES_MS: [u64; 9] = [0, 10, 100, 120, 300, 800, 1700, 3000, 8000];
 
-fn kill_after(deadline_ms: u64) -> Duration {
+fn termination_grace(deadline_ms: u64) -> Duration {
     Duration::from_millis(deadline_ms.min(3000) + 700)
 }
 
@@ -25,19 +27,24 @@
             timeline.request_deadline < timeline.refusing_at,
             "{deadline_ms}"
         );
-        assert!(timeline.quiet_from <= timeline.refusing_at, "{deadline_ms}");
+        assert!(
+            timeline.idle_exit_from <= timeline.refusing_at,
+            "{deadline_ms}"
+        );
     }
 }
 
+/// A process that is still running at SIGKILL drops the responses that it owes. A stall of the machine delays its end.
+/// It must be over before SIGKILL though it stalls once.
 #[test]
-fn the_process_ends_before_sigkill_though_it_is_held_up_once() {
+fn the_process_ends_before_sigkill_though_it_stalls_once() {
     let terminated_at = Instant::now();
     for deadline_ms in DEADLINES_MS {
         let timeline = Timeline::new(terminated_at, Duration::from_millis(deadline_ms));
         let ended_after = timeline.refusing_at - terminated_at + CLOSING_TIME;
         let exit_time = Duration::from_millis(40);
         assert!(
-            ended_after + MAX_STALL + exit_time < kill_after(deadline_ms),
+            ended_after + MAX_STALL + exit_time < termination_grace(deadline_ms),
             "{deadline_ms}: {ended_after:?}"
         );
     }
@@ -50,7 +57,7 @@
         let timeline = Timeline::new(terminated_at, Duration::from_millis(deadline_ms));
         let served_for = timeline.request_deadline - terminated_at;
         assert!(
-            served_for + Duration::from_millis(320) > kill_after(deadline_ms),
+            served_for + Duration::from_millis(320) > termination_grace(deadline_ms),
             "{deadline_ms}"
         );
     }
--- a/src/bin/quota-gateway/logging.rs
+++ b/src/bin/quota-gateway/logging.rs
@@ -1,5 +1,9 @@
-//! The log on standard error. A thread of its own writes it, so that a log that fails or that nobody reads never
-//! holds up or ends the gateway.
+//! The log on standard error.
+//!
+//! Guards against a log that can't be written: on a full disk each write fails, and behind a pipe that nobody reads it
+//! blocks. Written from the gateway's only thread, the one would end the process and the other stall all requests. A
+//! thread of its own writes the log, from a queue that is never waited for: lines beyond its bound are dropped. The
+//! flush at the end waits for a bounded time.
 
 use std::any::Any;
 use std::io::{stderr, Write};
@@ -11,12 +15,12 @@
 use tracing_appender::non_blocking::{NonBlocking, NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::fmt::time::uptime;
 
-/// Names the least important level that is logged: `error`, `warn`, `info` (the default), `debug` or `trace`. At `debug`
+/// The variable that names the lowest level that is logged: `error`, `warn`, `info` (the default), `debug` or `trace`. At `debug`
 /// each request and attempt is logged with its ids, and each connection with the reason for its end.
 const LEVEL_VARIABLE: &str = "RELAY_LOG";
 /// Lines that may wait to be written, some 100 KB. Later ones are dropped and counted.
 const MAX_WAITING_LINES: usize = 1024;
-/// At its end the program waits this long for the last lines.
+/// Longest wait for the last lines at the end of the program.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// The running log. It has to be flushed before the program ends.
@@ -39,21 +43,22 @@
         Log { writer, worker }
     }
 
-    /// Writes one line as it is.
+    /// Writes one line without time and level.
     pub fn write_line(&mut self, line: &str) {
         // The writer never fails: a line that it can't take is dropped.
         let _ = self.writer.write_all(format!("{line}\n").as_bytes());
     }
 
-    /// Waits until the last lines are written, but not for long.
+    /// Waits until the last lines are written, for `FLUSH_TIMEOUT` at most.
     pub fn flush(self) {
         let (done, flushed) = channel();
         let worker = self.worker;
-        let waiting = thread::Builder::new().spawn(move || {
+        // Dropping the worker waits for its thread, which may wait for the reader of the log: not on this thread.
+        let flushing = thread::Builder::new().spawn(move || {
             drop(worker);
             let _ = done.send(());
         });
-        if waiting.is_ok() {
+        if flushing.is_ok() {
             let _ = flushed.recv_timeout(FLUSH_TIMEOUT);
         }
     }
@@ -66,7 +71,7 @@
         .unwrap_or(LevelFilter::INFO)
 }
 
-/// Logs a panic. The standard hook would write to standard error itself, and might wait for its reader.
+/// Logs a panic. The standard hook would write to standard error on the panicking thread, and block if nobody reads it.
 fn log_panic(info: &PanicHookInfo<'_>) {
     let location = info.location().map(ToString::to_string).unwrap_or_default();
     tracing::error!("panic at {location}: {}", panic_message(info.payload()));
--- a/src/bin/quota-gateway/shutdown.rs
+++ b/src/bin/quota-gateway/shutdown.rs
@@ -1,4 +1,9 @@
-//! The planned end after SIGTERM: moves the lifecycle through its phases, and returns when the process may exit.
+//! The graceful shutdown after SIGTERM: moves the lifecycle through its phases, and returns when the process may exit.
+//!
+//! It guards against requests that are lost at the exit: a client has sent one, and its connection closes without a
+//! response. The client can't know whether it was executed. A stall of the process at the wrong moment is the usual
+//! cause: timers are due when the process goes on, while requests that arrived meanwhile are still in the sockets. So no
+//! step acts on a timer alone; each first lets the tasks of the connections read what has arrived.
 
 use crate::driver::Driver;
 use crate::lifecycle::{Lifecycle, Phase, Timeline, CLOSING_TIME};
@@ -14,9 +19,10 @@
 
 /// Interval at which open requests are checked for.
 const BUSY_CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// Checks in a row that find no open request before the shutdown ends early.
+/// Checks in a row that have to find no busy client before the process exits early.
 const IDLE_CHECKS: u32 = 2;
-/// If the process stalled until after its time for closing, what came meanwhile is read and answered within this.
+/// After a stall that took the time for closing connections, requests that arrived in it are read and answered within
+/// this time.
 const LAST_READ_TIME: Duration = Duration::from_millis(10);
 
 /// What the shutdown acts on.
@@ -36,50 +42,58 @@
         let terminated_at = Instant::now();
         let timeline = Timeline::new(terminated_at, self.longest_deadline);
         tracing::info!(
+            connections = self.server.connection_count(),
+            busy = self.server.busy_count(),
             refusing_after = ?timeline.refusing_at - terminated_at,
-            "SIGTERM: draining, {} connections, {} busy",
-            self.server.connection_count(),
-            self.server.busy_count()
+            "SIGTERM: draining"
         );
         self.lifecycle.begin_shutdown(timeline);
         sleep_until(timeline.no_new_connections_at).await;
-        // Other tasks run first to read what has already arrived: the process may have stalled until now.
+        // After a stall connections wait in the listener's queue, and would count as having come too late. The acceptor
+        // runs first, as all tasks that are ready take a turn.
         yield_now().await;
         self.enter(Phase::NoNewConnections);
         self.wait_for_open_requests(&timeline).await;
         self.enter(Phase::Refusing);
-        // Complete, as the set of open requests can't grow any more: what comes from now on is refused.
+        // A request forwarded after this would have no response. None can be: `Refusing` is entered, which forbids it.
         self.driver.end_open_requests();
         self.wait_for_connections().await;
         self.enter(Phase::Ended);
         self.report_unanswered();
-        let (waited, violations) = (
-            terminated_at.elapsed(),
-            self.driver.rule_checker().violations(),
+        tracing::info!(
+            elapsed = ?terminated_at.elapsed(),
+            rule_violations = self.driver.rule_checker().violations(),
+            "shutdown complete"
         );
-        tracing::info!("ended after {waited:?}, {violations} rules broken");
     }
 
     fn enter(&self, phase: Phase) {
         self.lifecycle.advance_to(phase);
-        let (connections, busy) = (self.server.connection_count(), self.server.busy_count());
-        tracing::info!("shutdown: {phase:?}, {connections} connections, {busy} busy");
+        tracing::info!(
+            ?phase,
+            connections = self.server.connection_count(),
+            busy = self.server.busy_count(),
+            "shutdown phase entered"
+        );
     }
 
-    /// Waits until those that had connected are accepted, and then until the last connection has ended or no request is
-    /// open and it has been quiet for long enough; at most until requests have to be refused.
+    /// Waits until all clients that had connected are accepted, and then until the last connection has closed or, from
+    /// `idle_exit_from` on, no client is busy; at most until requests have to be refused.
     async fn wait_for_open_requests(&mut self, timeline: &Timeline) {
-        let settled = async {
+        let drained = async {
             self.acceptor.ended().await;
             tokio::select! {
                 () = self.client_slots.all_free() => {}
-                () = until_idle(&self.server, timeline.quiet_from) => {}
+                () = until_idle(&self.server, timeline.idle_exit_from) => {}
             }
         };
-        let _ = timeout_at(timeline.refusing_at, settled).await;
+        let _ = timeout_at(timeline.refusing_at, drained).await;
     }
 
-    /// Waits until all connections have ended, for as long as there is time.
+    /// Waits until all connections have closed, for as long as there is time.
+    ///
+    /// Guards against a stall for all of `CLOSING_TIME`: the time-out is due when the process goes on, and requests that
+    /// arrived in the stall would be dropped unread. `LAST_READ_TIME` more lets the connections read and refuse them.
     async fn wait_for_connections(&mut self) {
         if timeout(CLOSING_TIME, self.all_connections_ended())
             .await
@@ -104,7 +118,11 @@
     }
 }
 
-/// Looks twice: after a stall of the process, requests that have come are read between the two.
+/// Waits until no client is busy, but not before a time.
+///
+/// Guards against an exit right after a stall: requests that arrived in it are in the sockets, their clients do not count
+/// as busy yet, and they would be lost. Between two checks the connections read what has arrived, so that the second one
+/// finds these clients busy.
 async fn until_idle(server: &Server, not_before: Instant) {
     sleep_until(not_before).await;
     let mut idle_checks = 0;
@@ -118,8 +136,8 @@
     }
 }
 
-/// The task that accepts clients. It ends by itself once those that had connected before `NoNewConnections` are
-/// accepted.
+/// The task that accepts clients. It ends by itself in `NoNewConnections`, once it has accepted all that had connected
+/// before.
 pub struct Acceptor {
     task: Option<JoinHandle<()>>,
 }
@@ -139,7 +157,7 @@
     }
 }
 
-/// The places for clients' connections.
+/// The slots for clients' connections.
 pub struct ClientSlots {
     semaphore: Arc<Semaphore>,
     total: u32,
@@ -157,7 +175,7 @@
         self.semaphore.clone()
     }
 
-    /// Returns when the last connection has ended.
+    /// Returns when the last connection has closed.
     async fn all_free(&self) {
         let _ = self.semaphore.acquire_many(self.total).await;
     }
--- a/src/bin/quota-gateway/signals.rs
+++ b/src/bin/quota-gateway/signals.rs
@@ -1,4 +1,9 @@
-//! SIGTERM and SIGHUP. The runtime's own way to signals panics if reading its pipe is interrupted.
+//! SIGTERM and SIGHUP.
+//!
+//! Guards against two failures of the runtime's own signal handling: it panics if reading its pipe is interrupted, which
+//! ends the process; and it waits for the pipe alone, so that a signal whose byte is lost is never noticed, and SIGKILL
+//! comes without a shutdown. Here a handler sets a flag before it writes to the pipe. The pipe only wakes the task; the
+//! flag is what counts, and it is read at intervals as well.
 
 use nix::libc::c_int;
 use signal_hook::consts::{SIGHUP, SIGTERM};
@@ -14,22 +19,23 @@
 #[cfg(test)]
 mod tests;
 
-/// A signal whose byte in the pipe was lost is noticed after this. The time of the shutdown counts from then on, so that it
-/// has to be less than what that leaves before SIGKILL.
+/// Interval at which the flag is read without a wake-up: a signal whose byte was lost is noticed after this time at the
+/// latest. The shutdown begins that much later, so it has to be less than what the timeline leaves before SIGKILL.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Bytes read from the pipe at a time; each signal writes one.
+/// Bytes read from the pipe at once; each signal writes one.
 const PIPE_READ_BYTES: usize = 64;
 
 /// The signals that the program handles, from the moment on in which they are registered.
 pub struct Signals {
-    /// SIGTERM: end in an orderly way.
+    /// SIGTERM: shut down gracefully.
     pub terminate: RegisteredSignal,
-    /// SIGHUP: read the configuration anew.
+    /// SIGHUP: reload the configuration.
     pub hangup: RegisteredSignal,
 }
 
 impl Signals {
-    /// Sets the handlers. Until then a signal ends the process, so that this is the first thing to do.
+    /// Sets the handlers. A signal that arrives earlier ends the process by the system's default, so the program calls
+    /// this first.
     ///
     /// # Errors
     ///
@@ -42,7 +48,7 @@
     }
 }
 
-/// A signal that is kept until somebody waits for it.
+/// A signal that is recorded until a task waits for it.
 pub struct RegisteredSignal {
     received: Arc<AtomicBool>,
     pipe: BlockingUnixStream,
@@ -58,7 +64,7 @@
         Ok(RegisteredSignal { received, pipe })
     }
 
-    /// The signal as the runtime waits for it.
+    /// The signal as a task on the runtime waits for it.
     ///
     /// # Errors
     ///
@@ -83,7 +89,7 @@
     /// Waits for the signal. Several that came since the last one was waited for count as one.
     pub async fn recv(&mut self) {
         while !self.received.swap(false, Ordering::SeqCst) {
-            // The pipe only wakes this task; what happened is in the flag.
+            // Whatever this returns, the flag says whether the signal has arrived.
             let _ = timeout(CHECK_INTERVAL, self.pipe.readable()).await;
             self.drain_pipe();
         }
--- a/src/bin/quota-gateway/signals/tests.rs
+++ b/src/bin/quota-gateway/signals/tests.rs
@@ -10,8 +10,8 @@
 /// What the shutdown may lose of its time before it knows of SIGTERM.
 const MAX_DELAY: Duration = Duration::from_millis(100);
 
-/// The shutdown has to end before SIGKILL, which comes 0.7 s and a deadline after SIGTERM, whether or not the byte in the
-/// pipe has come.
+/// The byte that wakes the task is lost, as a write to the pipe may fail. The process would run on until SIGKILL, which
+/// comes 0.7 s and a deadline after SIGTERM. The signal must be noticed all the same, with time left for the shutdown.
 #[tokio::test(start_paused = true)]
 async fn a_signal_whose_byte_was_lost_is_noticed_in_time() {
     for set_after in [0, 3, 60, 130, 470] {
--- a/src/bin/quota-gateway/upstream/attempt.rs
+++ b/src/bin/quota-gateway/upstream/attempt.rs
@@ -16,7 +16,7 @@
     pub body: Bytes,
 }
 
-/// How an attempt ended.
+/// The end of an attempt.
 pub struct AttemptResult {
     /// The outcome, in the decision library's terms.
     pub outcome: Outcome,
@@ -36,9 +36,8 @@
 
 impl ConnectionPool {
     /// Sends one request and waits for its response. Its connection is closed before this returns, unless the
-    /// response is complete; dropping the future closes it too. Whether the request may be sent is checked
-    /// right before its first byte: finding a connection takes time, in which the client may disconnect and the
-    /// endpoint start draining.
+    /// response is complete; dropping the future closes it, too. The request may be refused right before its first byte
+    /// (`OutgoingRequest::refusal`).
     pub async fn attempt(
         &self,
         target: Target,
@@ -56,7 +55,7 @@
                 Ok(Err(_)) => return AttemptResult::without_response(Outcome::ConnectionReset),
                 Err(_) => return AttemptResult::without_response(Outcome::Timeout),
             };
-        // Bytes behind the response belong to no request.
+        // Bytes behind the response would be read as the response to the next request.
         if head.keep_alive && !connection.reader.has_unread_bytes() {
             self.put_back(target, connection);
         }
@@ -66,8 +65,8 @@
         }
     }
 
-    /// Writes the request, on an idle connection if there is one. The error is the outcome of an attempt that got no
-    /// further. A request whose last byte is not written can't have begun; after that it may have.
+    /// Writes the request, on an idle connection if there is one. The error is the outcome of an attempt of which the
+    /// last byte was not written: the endpoint can't have begun to execute it.
     async fn send(
         &self,
         target: Target,
@@ -87,11 +86,11 @@
             match timeout_at(deadline, connection.write(request)).await {
                 Ok(Ok(Written::Complete)) => return Ok(connection),
                 Ok(Ok(Written::Refused(outcome))) => {
-                    // Nothing was written: the connection is as good as before.
+                    // Nothing was written: the connection can be used again.
                     self.put_back(target, connection);
                     return Err(outcome);
                 }
-                // A connection that broke while it was idle says nothing about its endpoint.
+                // A connection that broke while it was idle says nothing about its endpoint: another one is tried.
                 Ok(Err(_)) if is_reused => {}
                 Ok(Err(_)) => return Err(Outcome::ConnectFailed),
                 Err(_) => return Err(Outcome::NotSent),
--- a/src/bin/quota-gateway/upstream/connection.rs
+++ b/src/bin/quota-gateway/upstream/connection.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// Counts one open connection until it is dropped.
+/// One open connection, counted until this is dropped.
 pub struct ConnectionPermit {
     open: OpenConnections,
 }
@@ -50,17 +50,17 @@
     Refused(Outcome),
 }
 
-/// A connection that is up.
+/// An established connection to an endpoint.
 pub struct Connection {
     /// Reads the responses.
     pub reader: Reader<Socket>,
-    /// When it came up or last became idle.
+    /// When it was established or last became idle.
     pub idle_since: Instant,
     _permit: ConnectionPermit,
 }
 
 impl Connection {
-    /// A connection that has just come up.
+    /// A connection that has just been established.
     pub fn new(socket: Socket, permit: ConnectionPermit) -> Self {
         Connection {
             reader: Reader::new(socket),
@@ -69,15 +69,21 @@
         }
     }
 
-    /// Guards against sending on a connection that its endpoint closed or broke while it was idle: the request
-    /// would end as a reset, which may have been executed; and against bytes that came behind a response: they would be read
-    /// as the next one. The socket itself is checked, as the runtime may not have seen it yet.
+    /// Whether the next request may be sent on it.
+    ///
+    /// Guards against two failures. An endpoint closes a connection while it is idle: a request written to it ends as a
+    /// reset and may have been executed, so that it can't be retried. An endpoint sends bytes behind a response, such as
+    /// a second copy: they would be read as the response to the next request, of another client. The system's buffer is
+    /// looked into, as the runtime may not have been notified of what it holds.
     pub fn is_usable(&self) -> bool {
         !self.reader.has_unread_bytes() && self.reader.io.peek() == PeekResult::Empty
     }
 
-    /// Writes a complete request, unless it is refused. Checks that again before each attempt to write the first
-    /// byte: a write that stalls has not begun.
+    /// Writes a complete request, unless it is refused.
+    ///
+    /// Guards against a write that begins long after its check: a socket that takes no bytes makes it wait, and meanwhile
+    /// the client may disconnect and the endpoint drain. Each try of the first byte is preceded by a check, and nothing
+    /// else runs between the two. After the first byte the request is written to its end.
     pub async fn write(&self, request: &dyn OutgoingRequest) -> io::Result<Written> {
         let socket = &self.reader.io;
         let mut message = Vec::new();
@@ -87,7 +93,7 @@
             if written == 0 {
                 if let Some(preparation) = request.prepare() {
                     preparation.await;
-                    // The endpoint may have closed the connection meanwhile.
+                    // Other tasks have run: the endpoint may have closed the connection.
                     if !self.is_usable() {
                         return Err(ErrorKind::ConnectionReset.into());
                     }
--- a/src/bin/quota-gateway/upstream/connection/tests.rs
+++ b/src/bin/quota-gateway/upstream/connection/tests.rs
@@ -1,4 +1,4 @@
-//! What happens to a connection between its choice and the first byte.
+//! An endpoint that closes its connection between the choice of that and the first byte.
 
 use super::{Connection, OpenConnections, OutgoingRequest, Written};
 use crate::socket::{PeekResult, Socket};
@@ -8,7 +8,7 @@
 use std::net::TcpListener;
 use tokio::net::TcpStream;
 
-/// A request whose endpoint closes the connection while something is waited for.
+/// A request whose endpoint closes the connection while it is being prepared.
 struct CrossedRequest {
     endpoint: RefCell<Option<std::net::TcpStream>>,
     connection: Socket,
@@ -33,9 +33,10 @@
     }
 }
 
-/// Written there, the request would end as a reset and might have been executed: a request that must not be executed twice would fail.
+/// An endpoint closes an idle connection while a request is being prepared for it. Written there, the request would end
+/// as a reset and might have been executed, so that one that is not idempotent fails. Nothing must be written.
 #[tokio::test]
-async fn nothing_is_written_on_a_connection_that_was_closed_while_something_was_waited_for() {
+async fn nothing_is_written_on_a_connection_that_was_closed_during_the_preparation() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let stream = TcpStream::connect(listener.local_addr().unwrap())
         .await
--- a/src/bin/quota-gateway/upstream/mod.rs
+++ b/src/bin/quota-gateway/upstream/mod.rs
@@ -1,7 +1,7 @@
 //! Connections to endpoints, and attempts on them. One connection carries one request at a time.
 //!
 //! - `pool`: the idle connections to each endpoint, and the bound on all open ones
-//! - `connection`: one connection: opening it, whether it can be used again, writing on it
+//! - `connection`: one connection: whether it can be used again, writing on it
 //! - `request`: what an attempt sends, and where
 //! - `attempt`: one attempt: a connection, the request, the response, the outcome
 
--- a/src/bin/quota-gateway/upstream/pool.rs
+++ b/src/bin/quota-gateway/upstream/pool.rs
@@ -15,12 +15,12 @@
 #[cfg(test)]
 mod tests;
 
-/// A connection is not used again for this long after a response: a second response may come some milliseconds
-/// late, and would be taken for the next request's. Where few gateways bear all requests, each millisecond more
-/// costs more connections.
+/// A connection is not used again for this long after a response. Guards against an endpoint that sends a second
+/// response some milliseconds after the first: it would be read as the response to the next request. Once it has
+/// arrived, `Connection::is_usable` sees it.
 const REUSE_DELAY: Duration = Duration::from_millis(10);
 
-/// Why a connection did not come up.
+/// Why a connection could not be established.
 #[derive(Clone, Copy, Debug, Error)]
 pub enum ConnectError {
     #[error("the endpoint is down, unreachable or full")]
@@ -45,7 +45,7 @@
     }
 }
 
-/// All connections to endpoints.
+/// All connections to endpoints, and their present addresses.
 pub struct ConnectionPool {
     /// The listed endpoints, each with its present address.
     endpoints: RefCell<HashMap<EndpointId, EndpointConnections>>,
@@ -56,8 +56,8 @@
 }
 
 impl ConnectionPool {
-    /// At most `max_open` connections, each opened within `connect_ms`. One that was idle for half of `idle_ms` is
-    /// not used again: its endpoint may be closing it.
+    /// At most `max_open` connections, each established within `connect_ms`. One that was idle for half of `idle_ms` is
+    /// not used again, as its endpoint may be about to close it.
     pub fn new(max_open: usize, connect_ms: f64, idle_ms: f64) -> Self {
         ConnectionPool {
             endpoints: RefCell::default(),
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Where an endpoint is, if it is listed.
+    /// The address of an endpoint; none if it is not listed.
     pub fn address(&self, endpoint: EndpointId) -> Option<SocketAddr> {
         self.endpoints
             .borrow()
@@ -76,7 +76,7 @@
             .map(|connections| connections.addr)
     }
 
-    /// An endpoint is listed at this address. Its idle connections to another one are closed.
+    /// Sets the address of an endpoint. Its idle connections to another address are closed.
     pub fn set_address(&self, endpoint: EndpointId, addr: SocketAddr) {
         let mut endpoints = self.endpoints.borrow_mut();
         let connections = endpoints
@@ -87,12 +87,12 @@
         }
     }
 
-    /// Closes the idle connections to an endpoint that is gone.
+    /// Removes an endpoint and closes its idle connections.
     pub fn remove(&self, endpoint: EndpointId) {
         self.endpoints.borrow_mut().remove(&endpoint);
     }
 
-    /// Closes what has been idle for too long or broke meanwhile.
+    /// Closes connections that were idle for too long, or broke.
     pub fn close_expired(&self) {
         for connections in self.endpoints.borrow_mut().values_mut() {
             connections
@@ -101,8 +101,8 @@
         }
     }
 
-    /// The connection used last, as it is the warmest, if one is usable. One whose response has just come waits
-    /// first: what its endpoint sent behind that may not have arrived yet.
+    /// The connection used last that is usable; none if there is none. One whose last response is younger than
+    /// `REUSE_DELAY` is passed over.
     pub(super) fn take_idle(&self, endpoint: EndpointId) -> Option<Connection> {
         let mut endpoints = self.endpoints.borrow_mut();
         let idle = &mut endpoints.get_mut(&endpoint)?.idle;
@@ -116,8 +116,8 @@
         None
     }
 
-    /// Keeps a connection for another request. An endpoint that was removed or moved meanwhile may have left its
-    /// address to another one.
+    /// Keeps a connection for another request, or closes it if its endpoint was removed or moved: its address may be
+    /// another endpoint's by now.
     pub(super) fn put_back(&self, target: Target, mut connection: Connection) {
         connection.idle_since = Instant::now();
         let mut endpoints = self.endpoints.borrow_mut();
@@ -142,7 +142,7 @@
             return Err(ConnectError::Local);
         }
         let permit = self.open.acquire();
-        // A vanished machine never answers a connect: it is given up after the settings' time.
+        // A machine that has failed never answers a connect.
         let connect_deadline = Instant::now() + self.connect_timeout;
         let socket = match timeout_at(deadline.min(connect_deadline), Socket::connect(addr)).await {
             Ok(Ok(socket)) => socket,
--- a/src/bin/quota-gateway/upstream/request.rs
+++ b/src/bin/quota-gateway/upstream/request.rs
@@ -17,7 +17,8 @@
 /// The wait that `OutgoingRequest::prepare` asks for.
 pub type Preparation<'a> = Pin<Box<dyn Future<Output = ()> + 'a>>;
 
-/// A request about to be written. `prepare`, `refusal` and `encode` are called right before its first byte, in this order.
+/// A request about to be written. `prepare`, `refusal` and `encode` are called right before its first byte, in this
+/// order, and again if that byte could not be written.
 pub trait OutgoingRequest {
     /// The wait until `refusal` can tell; none if it can at once.
     fn prepare(&self) -> Option<Preparation<'_>> {
