--- a/src/bin/quota-gateway/driver/attempts.rs
+++ b/src/bin/quota-gateway/driver/attempts.rs
@@ -4,7 +4,8 @@
 use super::endpoints::Endpoints;
 use super::enforcement::{enforce_before_write, refusal_outcome, AttemptToWrite};
 use super::messages::ForwardedRequest;
-use super::registry::{EndpointResponse, RequestRegistry, StartedAttempt};
+use super::registered_request::{AttemptTimes, EndpointResponse, StartedAttempt};
+use super::registry::RequestRegistry;
 use super::rule_checks::{RuleChecker, WrittenAttempt};
 use crate::lifecycle::Lifecycle;
 use crate::metrics::Metrics;
@@ -87,15 +88,14 @@
             request,
             target,
             forwarded: attempt.forwarded,
-            deadline: attempt.deadline,
-            start_deadline: attempt.start_deadline,
+            times: attempt.times,
             client: Cell::new(PeekResult::Empty),
             propagated_deadline: Cell::default(),
             written: attempt.written.clone(),
         };
         let result = tokio::select! {
             biased;
-            result = self.pool.attempt(target, attempt.deadline, &outgoing) => result,
+            result = self.pool.attempt(target, attempt.times.deadline, &outgoing) => result,
             // Dropping the attempt closes its connection.
             Ok(()) = &mut attempt.cancelled => {
                 let outcome = if attempt.written.get() { Outcome::Cancelled } else { Outcome::NotSent };
@@ -107,7 +107,7 @@
             number: attempt.number,
             endpoint,
             outcome: result.outcome,
-            elapsed_ms: elapsed_ms(attempt.started_at),
+            elapsed_ms: elapsed_ms(attempt.times.started_at),
             served: served_response(result),
         }
     }
@@ -119,10 +119,7 @@
     request: RequestId,
     target: Target,
     forwarded: Rc<ForwardedRequest>,
-    /// The attempt times out then.
-    deadline: Instant,
-    /// Its first byte must not be written after this.
-    start_deadline: Instant,
+    times: AttemptTimes,
     /// What the client's socket held when it was last looked into.
     client: Cell<PeekResult>,
     /// The remaining time that is propagated to the endpoint.
@@ -139,7 +136,7 @@
             record: sender.registry.borrow().record(self.request),
             client: self.client.get(),
             process_may_forward: sender.lifecycle.may_forward(),
-            start_deadline: self.start_deadline,
+            start_deadline: self.times.start_deadline,
             now: Instant::now(),
             endpoint_is_ready: sender.endpoints.borrow().is_ready(self.target.endpoint),
             endpoint_addr: sender.pool.address(self.target.endpoint),
@@ -164,7 +161,7 @@
             not_ready_since: endpoints.not_ready_since(endpoint),
             endpoint_age_ms,
             ready_endpoints: endpoints.ready_count(),
-            start_deadline: self.start_deadline,
+            start_deadline: self.times.start_deadline,
             propagated_deadline: self.propagated_deadline.get(),
             written_at: Instant::now(),
             refusing_since: sender.lifecycle.refusing_since(),
@@ -192,7 +189,7 @@
 
     fn encode(&self) -> Vec<u8> {
         // The process may end before the request's own deadline.
-        let deadline = self.sender.lifecycle.limit_deadline(self.deadline);
+        let deadline = self.sender.lifecycle.limit_deadline(self.times.deadline);
         self.propagated_deadline
             .set(deadline.saturating_duration_since(Instant::now()));
         self.forwarded.encode(self.propagated_deadline.get())
--- a/src/bin/quota-gateway/driver/enforcement.rs
+++ b/src/bin/quota-gateway/driver/enforcement.rs
@@ -9,7 +9,7 @@
 //!
 //! `rule_checks` verifies afterwards that both did their work.
 
-use super::registry::RequestRecord;
+use super::registered_request::RequestRecord;
 use crate::metrics::AttemptRefusal;
 use crate::socket::PeekResult;
 use quota_gateway::Outcome;
--- a/src/bin/quota-gateway/driver/enforcement/tests.rs
+++ b/src/bin/quota-gateway/driver/enforcement/tests.rs
@@ -4,7 +4,7 @@
     enforce_before_start, enforce_before_write, refusal_outcome, AttemptLimits, AttemptToStart,
     AttemptToWrite, StartRefusal,
 };
-use crate::driver::registry::RequestRecord;
+use crate::driver::registered_request::RequestRecord;
 use crate::metrics::AttemptRefusal;
 use crate::socket::PeekResult;
 use quota_gateway::Outcome;
--- a/src/bin/quota-gateway/driver/events.rs
+++ b/src/bin/quota-gateway/driver/events.rs
@@ -2,7 +2,7 @@
 
 use super::attempts::{AttemptReport, AttemptReportHandler};
 use super::messages::{ForwardedRequest, IncomingRequest, StartedRequest};
-use super::registry::NewRequest;
+use super::registered_request::NewRequest;
 use super::{Driver, FinalResponse};
 use crate::counter::CounterReplyHandler;
 use crate::discovery::list::EndpointList;
--- a/src/bin/quota-gateway/driver/mod.rs
+++ b/src/bin/quota-gateway/driver/mod.rs
@@ -7,7 +7,7 @@
 //! - `events`: what comes in, from the server, attempts, the counter, other gateways and discovery
 //! - `actions`: the library's loop, and what it asks for
 //! - `attempts`: the tasks that send attempts
-//! - `registry`: the open requests and their attempts
+//! - `registry`, `registered_request`: the open requests and their attempts
 //! - `enforcement`: refuses attempts right before they are started or written
 //! - `rule_checks`: finds rules that were broken in spite of that
 //! - `slow_start_check`: what endpoints in slow start may get
@@ -21,6 +21,7 @@
 mod enforcement;
 mod events;
 mod messages;
+mod registered_request;
 mod registry;
 mod rule_checks;
 mod slow_start_check;
--- a/src/bin/quota-gateway/driver/rule_checks.rs
+++ b/src/bin/quota-gateway/driver/rule_checks.rs
@@ -3,7 +3,7 @@
 //! in `gateway_rule_violations_total` and logged as `rule broken` with the ids.
 
 use super::clock::duration_from_ms;
-use super::registry::RequestRecord;
+use super::registered_request::RequestRecord;
 use super::slow_start_check::SlowStartCheck;
 use crate::metrics::{Metrics, Rule};
 use crate::upstream::Target;
--- a/src/bin/quota-gateway/driver/rule_checks/tests.rs
+++ b/src/bin/quota-gateway/driver/rule_checks/tests.rs
@@ -1,7 +1,7 @@
 //! What counts as a broken rule.
 
 use super::{RuleChecker, WrittenAttempt};
-use crate::driver::registry::RequestRecord;
+use crate::driver::registered_request::RequestRecord;
 use crate::metrics::{Metrics, Rule};
 use crate::upstream::Target;
 use quota_gateway::Rules;
