--- /dev/null
+++ b/src/bin/quota-gateway/driver/endpoint_ids.rs
@@ -0,0 +1,84 @@
+//! The library's ids of endpoints, by the names in the list.
+
+use quota_gateway::EndpointId;
+use std::collections::{HashMap, HashSet};
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// The id of a removed endpoint is kept for this long: longer than the library remembers the endpoint.
+pub const REMOVED_ID_RETENTION: Duration = Duration::from_secs(90);
+
+/// Assigns ids. No id is assigned twice. That of a removed endpoint is kept while the library may remember it and then
+/// dropped, as names are never reused.
+#[derive(Default)]
+pub struct EndpointIds {
+    last_id: EndpointId,
+    assigned: HashMap<String, AssignedId>,
+}
+
+struct AssignedId {
+    id: EndpointId,
+    start: StartTime,
+    /// When the endpoint was removed; none while it is listed.
+    removed_at: Option<Instant>,
+}
+
+/// When an endpoint started, in Unix milliseconds; 0 if that is long past.
+#[derive(Clone, Copy, Default)]
+struct StartTime {
+    /// As listed, by the clock of the endpoint's machine.
+    listed_ms: f64,
+    /// By this machine's clock, as `StartTimes` estimates it.
+    estimated_ms: f64,
+}
+
+impl EndpointIds {
+    /// The id of a listed endpoint, and when it started, in Unix milliseconds. `estimate` is called for a start that was
+    /// not listed before.
+    pub fn get_or_assign(
+        &mut self,
+        name: String,
+        removed: bool,
+        listed_ms: f64,
+        estimate: impl FnOnce() -> f64,
+    ) -> (EndpointId, f64) {
+        let removed_at = removed.then(Instant::now);
+        let assigned = self.assigned.entry(name).or_insert_with(|| {
+            self.last_id += 1;
+            AssignedId {
+                id: self.last_id,
+                start: StartTime::default(),
+                removed_at,
+            }
+        });
+        if listed_ms > assigned.start.listed_ms {
+            assigned.start = StartTime {
+                listed_ms,
+                estimated_ms: estimate(),
+            };
+        }
+        assigned.removed_at = removed_at;
+        let started_ms = if listed_ms > 0.0 {
+            assigned.start.estimated_ms
+        } else {
+            listed_ms
+        };
+        (assigned.id, started_ms)
+    }
+
+    /// Marks all endpoints as removed that a complete list does not name.
+    pub fn mark_unlisted_removed(&mut self, listed: &HashSet<EndpointId>) {
+        for assigned in self.assigned.values_mut() {
+            if assigned.removed_at.is_none() && !listed.contains(&assigned.id) {
+                assigned.removed_at = Some(Instant::now());
+            }
+        }
+    }
+
+    /// Drops the ids of endpoints that were removed longer ago than `REMOVED_ID_RETENTION`.
+    pub fn drop_expired(&mut self) {
+        let is_kept = |removed_at: Instant| removed_at.elapsed() < REMOVED_ID_RETENTION;
+        self.assigned
+            .retain(|_, assigned| assigned.removed_at.is_none_or(is_kept));
+    }
+}
--- a/src/bin/quota-gateway/driver/endpoints.rs
+++ b/src/bin/quota-gateway/driver/endpoints.rs
@@ -1,122 +1,36 @@
-//! The endpoints as the list names them: their ids and states. Their addresses are the connection pool's.
+//! The listed endpoints: their states and start times, under the library's ids. Their addresses are in the connection
+//! pool.
 
+use super::endpoint_ids::{EndpointIds, REMOVED_ID_RETENTION};
 use super::start_times::StartTimes;
+use super::topology::TopologyNames;
 use crate::discovery::list::{EndpointEntry, EndpointList, EntryState};
 use crate::upstream::ConnectionPool;
 use quota_gateway::{Endpoint, EndpointId, EndpointState};
 use std::collections::{HashMap, HashSet};
-use std::time::Duration;
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
 #[cfg(test)]
 mod tests;
 
-/// The id of a removed endpoint is remembered for this long: longer than the decision library remembers it.
-const REMOVED_ID_RETENTION: Duration = Duration::from_secs(90);
-
-/// The names of zones and kinds, in the order of the settings.
-pub struct TopologyNames {
-    /// Zones.
-    pub zones: Vec<String>,
-    /// Kinds of servers.
-    pub kinds: Vec<String>,
-}
-
-/// The decision library's ids of endpoints, by the names in the list. No id is assigned twice. The id of a removed
-/// endpoint is kept while the library may remember it and then dropped, as names are never reused.
-#[derive(Default)]
-struct EndpointIds {
-    last_id: EndpointId,
-    assigned: HashMap<String, AssignedId>,
-}
-
-struct AssignedId {
-    id: EndpointId,
-    start: Start,
-    /// When the endpoint was removed, if it was.
-    removed_at: Option<Instant>,
-}
-
-/// When an endpoint started, in Unix milliseconds; 0 if that is long past.
-#[derive(Clone, Copy)]
-struct Start {
-    /// As the list has it.
-    listed_ms: f64,
-    /// As it is taken.
-    judged_ms: f64,
-}
-
-impl EndpointIds {
-    /// The id of an endpoint that the list names, as removed or not, and when it started. `judge` tells that for a
-    /// start that is news.
-    fn get_or_assign(
-        &mut self,
-        name: String,
-        removed: bool,
-        listed_ms: f64,
-        judge: impl FnOnce() -> f64,
-    ) -> (EndpointId, f64) {
-        let removed_at = removed.then(Instant::now);
-        let assigned = self.assigned.entry(name).or_insert_with(|| {
-            self.last_id += 1;
-            AssignedId {
-                id: self.last_id,
-                start: Start {
-                    listed_ms: 0.0,
-                    judged_ms: 0.0,
-                },
-                removed_at,
-            }
-        });
-        if listed_ms > assigned.start.listed_ms {
-            assigned.start = Start {
-                listed_ms,
-                judged_ms: judge(),
-            };
-        }
-        assigned.removed_at = removed_at;
-        let started_ms = if listed_ms > 0.0 {
-            assigned.start.judged_ms
-        } else {
-            listed_ms
-        };
-        (assigned.id, started_ms)
-    }
-
-    /// Marks all endpoints as removed that a complete list does not name.
-    fn mark_unlisted_removed(&mut self, listed: &HashSet<EndpointId>) {
-        for assigned in self.assigned.values_mut() {
-            if assigned.removed_at.is_none() && !listed.contains(&assigned.id) {
-                assigned.removed_at = Some(Instant::now());
-            }
-        }
-    }
-
-    fn drop_expired(&mut self) {
-        let is_kept = |removed_at: Instant| removed_at.elapsed() < REMOVED_ID_RETENTION;
-        self.assigned
-            .retain(|_, assigned| assigned.removed_at.is_none_or(is_kept));
-    }
-}
-
 /// All listed endpoints.
 pub struct Endpoints {
     ids: EndpointIds,
-    /// The states of those that are listed with an address and not removed.
+    /// The states of endpoints that are listed with an address and not removed.
     states: HashMap<EndpointId, EndpointState>,
-    /// How many of them are ready.
+    /// The number of ready endpoints.
     ready_count: usize,
-    /// Since when those are not ready that drain or were removed.
+    /// Since when endpoints are not ready, for those that drain or were removed.
     not_ready_since: HashMap<EndpointId, Instant>,
-    /// When those started that are ready and did not start long ago, in Unix milliseconds.
+    /// When endpoints started, in Unix milliseconds, for those that are ready and did not start long ago.
     started_at: HashMap<EndpointId, f64>,
     topology: TopologyNames,
     start_times: StartTimes,
 }
 
 impl Endpoints {
-    /// None is known until a list comes.
+    /// Without endpoints, until a list arrives.
     pub fn new(topology: TopologyNames) -> Self {
         Endpoints {
             ids: EndpointIds::default(),
@@ -154,7 +68,7 @@
         self.started_at.get(&id).copied()
     }
 
-    /// Forgets endpoints that were removed long ago.
+    /// Forgets endpoints that were removed longer ago than `REMOVED_ID_RETENTION`.
     pub fn drop_expired(&mut self) {
         self.ids.drop_expired();
         self.not_ready_since.retain(|id, since| {
@@ -175,13 +89,13 @@
         }
     }
 
-    /// Discovery has reported all changes up to now.
+    /// Records that discovery has reported all changes up to now.
     pub fn synced(&mut self) {
         self.start_times.synced();
     }
 
     /// Applies a list, also to the pool's addresses. Returns the entries in the library's terms; `now_ms` is the
-    /// present Unix time there.
+    /// present Unix time by the library's clock.
     pub fn update(
         &mut self,
         list: EndpointList,
@@ -211,11 +125,11 @@
     ) -> Endpoint {
         let state = endpoint_state(entry.state);
         let hash_key = xxh3_64(entry.id.as_bytes());
-        let judge = || self.start_times.judge(entry.started_ms, now_ms);
+        let estimate = || self.start_times.estimate(entry.started_ms, now_ms);
         let is_removed = state == EndpointState::Removed;
         let (id, started_at) =
             self.ids
-                .get_or_assign(entry.id, is_removed, entry.started_ms, judge);
+                .get_or_assign(entry.id, is_removed, entry.started_ms, estimate);
         self.record_state(id, state, started_at);
         match entry.addr {
             Some(addr) if !is_removed => {
@@ -230,8 +144,8 @@
         Endpoint {
             id,
             hash_key,
-            zone: index_of(&self.topology.zones, &entry.zone),
-            kind: index_of(&self.topology.kinds, &entry.kind),
+            zone: self.topology.zone_index(&entry.zone),
+            kind: self.topology.kind_index(&entry.kind),
             cell: entry.cell,
             state,
             weight: entry.weight,
@@ -239,7 +153,7 @@
         }
     }
 
-    /// What a complete list does not name is gone.
+    /// Removes the endpoints that a complete list does not name.
     fn remove_unlisted(&mut self, listed: &[Endpoint], pool: &ConnectionPool) {
         let listed: HashSet<_> = listed.iter().map(|endpoint| endpoint.id).collect();
         self.ids.mark_unlisted_removed(&listed);
@@ -262,11 +176,3 @@
         EntryState::Gone => EndpointState::Removed,
     }
 }
-
-/// The index of a name in the settings; one past the last for a name that they don't have.
-fn index_of(names: &[String], name: &str) -> u32 {
-    names
-        .iter()
-        .position(|known| known == name)
-        .unwrap_or(names.len()) as u32
-}
--- a/src/bin/quota-gateway/driver/endpoints/tests.rs
+++ b/src/bin/quota-gateway/driver/endpoints/tests.rs
@@ -132,9 +132,9 @@
     );
 }
 
-/// What is judged once holds for as long as the list says the same.
+/// An estimate holds for as long as the list states the same start: a repeated entry must not begin slow start again.
 #[test]
-fn a_start_is_judged_when_it_is_news() {
+fn a_start_is_estimated_only_when_it_changes() {
     let mut fleet = Fleet::new();
     let entry_started = |started_ms| EndpointEntry {
         started_ms,
--- a/src/bin/quota-gateway/driver/mod.rs
+++ b/src/bin/quota-gateway/driver/mod.rs
@@ -11,12 +11,16 @@
 //! - `enforcement`: refuses attempts right before they are started or written
 //! - `rule_checks`: finds rules that were broken in spite of that
 //! - `slow_start_check`: what endpoints in slow start may get
-//! - `endpoints`: the endpoints' ids and states
-//! - `start_times`: when endpoints started, where clocks may be off
+//! - `endpoints`, `endpoint_ids`: the states of the listed endpoints, and the library's ids of them
+//! - `start_times`: when endpoints started, although clocks may be wrong
+//! - `topology`: the names of zones and kinds
+//! - `clock`: the library's clock
+//! - `messages`: what the server hands to the driver and gets back
 
 mod actions;
 mod attempts;
 mod clock;
+mod endpoint_ids;
 mod endpoints;
 mod enforcement;
 mod events;
@@ -26,9 +30,10 @@
 mod rule_checks;
 mod slow_start_check;
 mod start_times;
+mod topology;
 
-pub use endpoints::TopologyNames;
 pub use messages::{FinalResponse, ForwardedRequest, IncomingRequest};
+pub use topology::TopologyNames;
 
 use crate::counter::CounterClient;
 use crate::gossip::GossipSocket;
--- a/src/bin/quota-gateway/driver/slow_start_check.rs
+++ b/src/bin/quota-gateway/driver/slow_start_check.rs
@@ -1,7 +1,9 @@
-//! Checks that endpoints in slow start get no more from this gateway than its share of what they bear.
+//! Checks that an endpoint in slow start gets no more attempts from this gateway than its capacity allows.
 //!
-//! What an endpoint bears in all is not known here. But gateways are alike: what one of them sends a warm endpoint is its
-//! share of what that bears, so a cold one may get the settings' multiple of its part of that.
+//! The capacity of an endpoint is not known here. But gateways are equal, and send to all warm endpoints alike: the mean
+//! number of attempts to an endpoint is this gateway's share of a warm one's load. An endpoint in slow start has a part
+//! of a warm one's capacity, which grows with its age, and may get that part of the mean, times the multiple of the
+//! settings at which an endpoint is overloaded.
 
 use quota_gateway::{EndpointId, Rules};
 use std::collections::{HashMap, VecDeque};
@@ -11,26 +13,28 @@
 #[cfg(test)]
 mod tests;
 
-/// Longest window that is looked at, in ms.
+/// Longest window over which attempts are counted, in ms.
 const MAX_WINDOW_MS: f64 = 60_000.0;
-/// Attempts remembered at most; with more in a window the mean is taken of the latest.
-const MAX_REMEMBERED: usize = 8192;
-/// Below this number of attempts the margin is the wider one.
+/// Attempts counted at most; with more in a window the latest count.
+const MAX_COUNTED: usize = 8192;
+/// Below this number of allowed attempts the wider tolerance applies, as chance weighs more.
 const FEW_ATTEMPTS: f64 = 30.0;
-/// Margins above the number that an endpoint bears, in roots of that and in attempts.
-const MARGIN: f64 = 2.0;
-const MARGIN_OF_FEW: f64 = 3.0;
+/// Tolerance above the allowed number of attempts, in standard deviations of a Poisson count, and the same number of
+/// attempts more.
+const TOLERANCE: f64 = 2.0;
+/// The tolerance where few attempts are allowed, in the same units.
+const TOLERANCE_OF_FEW: f64 = 3.0;
 
-/// The attempts of the last window.
+/// Counts the attempts of the last window.
 pub struct SlowStartCheck {
     window: Duration,
     multiple: f64,
     slow_start_ms: f64,
     initial_share: f64,
-    /// Those to all endpoints.
+    /// When attempts were sent, to all endpoints.
     all: VecDeque<Instant>,
-    /// Those to each endpoint in slow start.
-    cold: HashMap<EndpointId, VecDeque<Instant>>,
+    /// When attempts were sent to each endpoint in slow start.
+    warming_up: HashMap<EndpointId, VecDeque<Instant>>,
 }
 
 impl SlowStartCheck {
@@ -43,12 +47,12 @@
             slow_start_ms: rules.slow_start_ms,
             initial_share: rules.slow_start_min_capacity,
             all: VecDeque::new(),
-            cold: HashMap::new(),
+            warming_up: HashMap::new(),
         }
     }
 
-    /// Takes in an attempt. `age_ms` is the endpoint's age, none if that is not known to be low; `ready_endpoints` how
-    /// many there are. False if the endpoint has now got more than this gateway's share.
+    /// Records an attempt. `age_ms` is the time since its endpoint started, none if that is long past;
+    /// `ready_endpoints` the number of them. False if the endpoint has now got more than it may.
     pub fn record(
         &mut self,
         endpoint: EndpointId,
@@ -58,30 +62,30 @@
     ) -> bool {
         push(&mut self.all, now, self.window);
         let Some(age_ms) = age_ms.filter(|age_ms| *age_ms < self.slow_start_ms) else {
-            self.cold.remove(&endpoint);
+            self.warming_up.remove(&endpoint);
             return true;
         };
-        let sent = self.cold.entry(endpoint).or_default();
+        let sent = self.warming_up.entry(endpoint).or_default();
         push(sent, now, self.window);
         let mean = self.all.len() as f64 / ready_endpoints.max(1) as f64;
         let progress = (age_ms / self.slow_start_ms).clamp(0.0, 1.0);
         let capacity_share = self.initial_share + (1.0 - self.initial_share) * progress;
-        sent.len() as f64 <= with_margin(mean * capacity_share * self.multiple)
+        sent.len() as f64 <= with_tolerance(mean * capacity_share * self.multiple)
     }
 }
 
-/// What an endpoint bears that may get this number of attempts in the mean.
-fn with_margin(attempts: f64) -> f64 {
-    let margin = if attempts < FEW_ATTEMPTS {
-        MARGIN_OF_FEW
+/// The number of attempts that an endpoint may get by chance if it may get `attempts` in the mean.
+fn with_tolerance(attempts: f64) -> f64 {
+    let tolerance = if attempts < FEW_ATTEMPTS {
+        TOLERANCE_OF_FEW
     } else {
-        MARGIN
+        TOLERANCE
     };
-    attempts + margin * attempts.sqrt() + margin
+    attempts + tolerance * attempts.sqrt() + tolerance
 }
 
 fn push(sent: &mut VecDeque<Instant>, now: Instant, window: Duration) {
-    while sent.front().is_some_and(|at| now - *at > window) || sent.len() >= MAX_REMEMBERED {
+    while sent.front().is_some_and(|at| now - *at > window) || sent.len() >= MAX_COUNTED {
         sent.pop_front();
     }
     sent.push_back(now);
--- a/src/bin/quota-gateway/driver/slow_start_check/tests.rs
+++ b/src/bin/quota-gateway/driver/slow_start_check/tests.rs
@@ -1,4 +1,4 @@
-//! How much an endpoint in slow start may get.
+//! How many attempts an endpoint in slow start may get.
 
 use super::SlowStartCheck;
 use quota_gateway::Rules;
@@ -15,9 +15,11 @@
     })
 }
 
+/// An endpoint that has just started is overloaded by its full share of requests. The check must find that, and not
+/// what chance brings.
 /// Of 105 attempts to 10 endpoints a cold one may get 10.5 * 0.25 * 2 = 5.25, and 3 roots of that and 3 more: 15.1.
 #[test]
-fn a_cold_endpoint_may_get_its_part_and_a_margin() {
+fn an_endpoint_in_slow_start_may_get_its_part_and_a_tolerance() {
     let mut check = check();
     let now = Instant::now();
     for _ in 0..90 {
--- a/src/bin/quota-gateway/driver/start_times/tests.rs
+++ b/src/bin/quota-gateway/driver/start_times/tests.rs
@@ -1,4 +1,4 @@
-//! Which starts are believed, on the paused clock.
+//! Start times that wrong clocks state, on the paused clock.
 
 use super::StartTimes;
 use std::time::Duration;
@@ -7,33 +7,35 @@
 const NOW_MS: f64 = 1_700_000_000_000.0;
 const HOUR_MS: f64 = 3_600_000.0;
 
+/// The clock of an endpoint's machine is wrong, and the list states a start that is long past or in the future. Taken as
+/// stated, the endpoint would skip slow start. A start that discovery has only now reported must count as recent.
 #[tokio::test(start_paused = true)]
-async fn news_of_a_start_long_past_is_a_start_of_now() {
+async fn a_reported_start_that_is_long_past_counts_as_now() {
     let mut times = StartTimes::default();
     assert_eq!(
-        times.judge(NOW_MS - HOUR_MS, NOW_MS),
+        times.estimate(NOW_MS - HOUR_MS, NOW_MS),
         NOW_MS - HOUR_MS,
         "the first list may be old"
     );
     assert_eq!(
-        times.judge(NOW_MS + HOUR_MS, NOW_MS),
+        times.estimate(NOW_MS + HOUR_MS, NOW_MS),
         NOW_MS,
-        "nothing starts later than it is heard of"
+        "a start is never in the future"
     );
     times.synced();
     advance(Duration::from_secs(2)).await;
-    assert_eq!(times.judge(NOW_MS - HOUR_MS, NOW_MS), NOW_MS);
+    assert_eq!(times.estimate(NOW_MS - HOUR_MS, NOW_MS), NOW_MS);
     assert_eq!(
-        times.judge(NOW_MS - 7000.0, NOW_MS),
+        times.estimate(NOW_MS - 7000.0, NOW_MS),
         NOW_MS - 7000.0,
-        "lists come late"
+        "a change takes time to be notified"
     );
-    assert_eq!(times.judge(NOW_MS - 9000.0, NOW_MS), NOW_MS);
-    assert_eq!(times.judge(0.0, NOW_MS), 0.0, "long past, and said to be");
+    assert_eq!(times.estimate(NOW_MS - 9000.0, NOW_MS), NOW_MS);
+    assert_eq!(times.estimate(0.0, NOW_MS), 0.0, "stated as long past");
     advance(Duration::from_secs(60)).await;
     assert_eq!(
-        times.judge(NOW_MS - 60_000.0, NOW_MS),
+        times.estimate(NOW_MS - 60_000.0, NOW_MS),
         NOW_MS - 60_000.0,
-        "discovery was silent since"
+        "discovery has reported nothing since"
     );
 }
