--- a/src/bin/quota-gateway/driver/actions.rs
+++ b/src/bin/quota-gateway/driver/actions.rs
@@ -1,4 +1,4 @@
-//! What the decision library asks for: feeds it events and carries out its actions, in order.
+//! The loop of the library: hands it events and carries out its actions, in order.
 
 use super::clock::duration_from_ms;
 use super::enforcement::StartRefusal;
@@ -13,7 +13,7 @@
 use tokio::time::{sleep, Instant};
 
 impl Driver {
-    /// Hands an event to the library, and then those that its own actions cause at once.
+    /// Hands an event to the library, and then the events that its own actions cause at once.
     pub(super) fn dispatch(self: &Rc<Self>, event: Event) {
         let mut events = VecDeque::from([event]);
         let mut actions = self.actions.take();
@@ -50,13 +50,13 @@
                     .cancel_attempt(id, attempt.into());
             }
             Action::Reject { id, retry_after_ms } => {
-                tracing::debug!(id, retry_after_ms, "rejected");
+                tracing::debug!(request_id = id, retry_after_ms, "request rejected");
                 self.registry
                     .borrow_mut()
                     .respond(id, FinalResponse::Rejected { retry_after_ms });
             }
             Action::Fail { id } => {
-                tracing::debug!(id, "failed");
+                tracing::debug!(request_id = id, "request failed");
                 self.registry
                     .borrow_mut()
                     .respond(id, FinalResponse::Failed);
@@ -71,7 +71,7 @@
             } => {
                 return self.add_to_counter(key, amount, ttl_ms);
             }
-            // The watch on discovery is held open in any case.
+            // Discovery keeps its watch open without being asked.
             Action::WatchEndpoints => {}
             Action::Gossip { to, body } => {
                 if let Some(gossip) = &self.gossip {
@@ -97,7 +97,12 @@
             .start_attempt(id, addr, timeout, start_timeout);
         match started {
             Ok(attempt) => {
-                tracing::debug!(id, attempt = attempt.number, endpoint, "attempt");
+                tracing::debug!(
+                    request_id = id,
+                    attempt = attempt.number,
+                    endpoint,
+                    "attempt started"
+                );
                 self.attempt_sender
                     .spawn(id, endpoint, attempt, self.clone());
                 None
@@ -114,7 +119,7 @@
         });
     }
 
-    /// Calls the counter, or reports that there is no room for the call.
+    /// Calls the counter. Returns the reply of a call that its queue has no room for.
     fn add_to_counter(&self, key: u64, amount: f64, ttl_ms: f64) -> Option<Event> {
         let counter = self.counter.as_ref()?;
         if counter.call(CounterCall {
--- a/src/bin/quota-gateway/driver/attempts.rs
+++ b/src/bin/quota-gateway/driver/attempts.rs
@@ -183,7 +183,12 @@
     fn refusal(&self) -> Option<Outcome> {
         let refusal = enforce_before_write(&self.to_write()).err()?;
         self.sender.metrics.attempt_refusals.increment(refusal);
-        tracing::debug!(id = self.request, endpoint = self.target.endpoint, %refusal, "not sent");
+        tracing::debug!(
+            request_id = self.request,
+            endpoint = self.target.endpoint,
+            reason = %refusal,
+            "attempt refused"
+        );
         Some(refusal_outcome(refusal))
     }
 
--- a/src/bin/quota-gateway/driver/events.rs
+++ b/src/bin/quota-gateway/driver/events.rs
@@ -1,4 +1,4 @@
-//! What comes in: each method turns something that happened into an event of the decision library.
+//! Turns what happens outside the library into its events: requests, ends of attempts, counter replies, gossip, lists.
 
 use super::attempts::{AttemptReport, AttemptReportHandler};
 use super::messages::{ForwardedRequest, IncomingRequest, StartedRequest};
@@ -15,11 +15,11 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// A final response leaves this long before the client stops waiting: it has a way to go, and the request had one.
+/// A final response leaves this long before the client's deadline, in ms, for the way of the request and the response.
 const RESPONSE_MARGIN_MS: f64 = 10.0;
 
 impl Driver {
-    /// A request came in. Its final response comes by the receiver that is returned.
+    /// Registers a request and hands it to the library. Its final response comes by the receiver that is returned.
     pub fn start_request(
         self: &Rc<Self>,
         incoming: &IncomingRequest,
@@ -44,7 +44,7 @@
             client_socket,
         };
         let id = self.registry.borrow_mut().insert(new, client);
-        tracing::debug!(txn = %format_args!("{:016x}", incoming.transaction_id), id, timeout_ms, "request");
+        tracing::debug!(txn = %format_args!("{:016x}", incoming.transaction_id), request_id = id, timeout_ms, "request received");
         self.dispatch(Event::Request(Request {
             id,
             customer: incoming.customer,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The client has gone, or its time is up: nothing more is sent for the request.
+    /// Ends a request whose client has disconnected or whose deadline has passed: nothing more is sent for it.
     pub fn cancel_request(self: &Rc<Self>, id: RequestId) {
         if self.registry.borrow().is_answered(id) {
             return;
@@ -73,7 +73,7 @@
         self.dispatch(Event::ClientDisconnected { id });
     }
 
-    /// Ends a request whose time is up. Returns its final response.
+    /// Ends a request whose deadline has passed. Returns its final response.
     pub fn give_up(self: &Rc<Self>, id: RequestId) -> FinalResponse {
         let may_have_executed = self.registry.borrow().may_have_executed(id);
         self.cancel_request(id);
@@ -85,13 +85,17 @@
         }
     }
 
-    /// Gives all open requests their final response, when the process has to end.
+    /// Gives all open requests their final response at the end of the process.
     pub fn end_open_requests(self: &Rc<Self>) {
         let ids = self.registry.borrow().unanswered();
         for id in ids {
             let mut requests = self.registry.borrow_mut();
             let may_have_executed = requests.may_have_executed(id);
-            tracing::debug!(id, may_have_executed, "ended: the process ends");
+            tracing::debug!(
+                request_id = id,
+                may_have_executed,
+                "request ended by shutdown"
+            );
             let response = if may_have_executed {
                 FinalResponse::Failed
             } else {
@@ -108,7 +112,7 @@
     fn attempt_ended(self: Rc<Self>, report: AttemptReport) {
         self.metrics.attempts.increment(report.outcome.into());
         tracing::debug!(
-            id = report.request,
+            request_id = report.request,
             attempt = report.number,
             endpoint = report.endpoint,
             outcome = ?report.outcome,
@@ -154,10 +158,8 @@
 impl EndpointListHandler for Driver {
     fn endpoint_list_changed(self: Rc<Self>, list: EndpointList) {
         if list.endpoints.invalid > 0 {
-            self.bad_entry_warning.warn(
-                "discovery",
-                "an entry of the list can't be read and is passed over",
-            );
+            self.bad_entry_warning
+                .warn("discovery", "an entry of the list is invalid and ignored");
         }
         let complete = list.complete;
         self.metrics.list_updates.inc();
@@ -165,7 +167,7 @@
             version = list.version,
             complete,
             entries = list.endpoints.valid.len(),
-            "endpoint list"
+            "endpoint list updated"
         );
         let endpoints = self
             .endpoints
--- a/src/bin/quota-gateway/driver/messages.rs
+++ b/src/bin/quota-gateway/driver/messages.rs
@@ -1,4 +1,4 @@
-//! What the server hands the driver for each request, and what it gets back.
+//! What the server hands to the driver for each request, and what it gets back.
 
 use bytes::Bytes;
 use quota_gateway::RequestId;
@@ -7,32 +7,33 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Room for the `X-Remaining-Ms` line.
+/// Bytes reserved for the `X-Remaining-Ms` line.
 const REMAINING_LINE_BYTES: usize = 32;
 
-/// What a client's request says of itself, checked by the server.
+/// The fields of a client's request, checked by the server.
 pub struct IncomingRequest {
     /// The client's id of the transaction; no other open request has it.
     pub transaction_id: u64,
-    /// The customer whose quota it takes from.
+    /// The customer whose quota it uses.
     pub customer: u64,
     /// The customer's plan, an index into the settings.
     pub plan: u32,
     /// Its class, an index into the settings.
     pub class: u32,
-    /// Units that it takes from the quota.
+    /// Units of the quota that it is estimated to use.
     pub units: f64,
-    /// Number of gateways that this customer's requests come through.
+    /// Number of gateways over which this customer's requests are spread.
     pub gateway_set_size: f64,
     /// The client marked it as a retry.
     pub is_retry: bool,
-    /// Time that the client still waits, counted from `received_at`.
+    /// Time until the client's deadline, from `received_at` on.
     pub remaining_ms: f64,
-    /// When its head had come.
+    /// When its head was complete.
     pub received_at: Instant,
 }
 
-/// The request as endpoints get it. The remaining time is only known when it is sent and goes between both parts.
+/// The request as endpoints get it. The line with the remaining time is only known when an attempt is sent, and goes
+/// between the two parts.
 pub struct ForwardedRequest {
     /// The request line and all other headers.
     pub head: Vec<u8>,
@@ -43,7 +44,7 @@
 }
 
 impl ForwardedRequest {
-    /// The bytes to be written.
+    /// The bytes of an attempt that propagates this remaining time.
     pub fn encode(&self, remaining: Duration) -> Vec<u8> {
         let mut message =
             Vec::with_capacity(self.head.len() + self.body.len() + REMAINING_LINE_BYTES);
@@ -74,13 +75,13 @@
         /// The endpoint's body.
         body: Bytes,
     },
-    /// It was rejected and was never executed: a retry is harmless.
+    /// It was rejected and was never executed, so that the client may retry.
     Rejected {
-        /// When the client should come back; 0 for no advice.
+        /// Time after which the client should retry; 0 for no advice.
         retry_after_ms: f64,
     },
     /// It failed and may have been executed.
     Failed,
-    /// The process ends, and the request was never executed: a retry elsewhere is harmless.
+    /// The process ends, and the request was never executed, so that the client may retry at another gateway.
     ShuttingDown,
 }
--- a/src/bin/quota-gateway/driver/mod.rs
+++ b/src/bin/quota-gateway/driver/mod.rs
@@ -53,15 +53,15 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A gateway is ready without word from discovery once this has passed.
-const DISCOVERY_PATIENCE: Duration = Duration::from_secs(1);
+/// Without an answer from discovery, a gateway is ready after this time, with the endpoints of its configuration.
+const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Bits of a request's id below the clock's milliseconds.
+/// Bits of a request's id below the clock's milliseconds: one process serves fewer than 2^16 requests per millisecond.
 const REQUEST_ID_SHIFT: u32 = 16;
 
-/// What the driver sends on.
+/// The sockets that the driver sends on.
 pub struct Transports {
-    /// Connections to endpoints.
+    /// The connections to endpoints.
     pub pool: ConnectionPool,
     /// The shared counter; absent where the settings have none.
     pub counter: Option<CounterClient>,
@@ -69,7 +69,8 @@
     pub gossip: Option<Rc<GossipSocket>>,
 }
 
-/// The driver. All tasks share it, on one thread; each part of its state is borrowed only for single steps.
+/// The driver. All tasks share it, on one thread. Each part of its state is borrowed for single steps only, never across
+/// an `await`.
 pub struct Driver {
     clock: Clock,
     decisions: RefCell<Gateway>,
@@ -105,7 +106,7 @@
             hedging: settings.limits.hedging,
             max_units: settings.max_units,
         };
-        // Ids go on from the clock: a late event of a request from before a restart names none of now.
+        // Ids start from the clock, so that no request has the id of one from before a restart.
         let first_id = (clock.now_ms() as u64) << REQUEST_ID_SHIFT;
         let rule_checker = Rc::new(RuleChecker::new(&settings.rules, metrics.clone()));
         let decisions = Gateway::new(settings, seed, clock.now_ms());
@@ -150,14 +151,14 @@
         &self.rule_checker
     }
 
-    /// True once requests can be served: the list is fresh, or discovery is silent, and an endpoint is ready.
+    /// True once requests can be served: the list is up to date, or discovery does not answer, and an endpoint is ready.
     pub fn is_ready(&self) -> bool {
-        let discovery_settled =
-            self.discovery_synced.get() || self.started_at.elapsed() > DISCOVERY_PATIENCE;
-        discovery_settled && self.endpoints.borrow().any_ready()
+        let list_is_usable =
+            self.discovery_synced.get() || self.started_at.elapsed() > DISCOVERY_TIMEOUT;
+        list_is_usable && self.endpoints.borrow().any_ready()
     }
 
-    /// Periodic clean-up: closes expired idle connections and forgets endpoints removed long ago.
+    /// Periodic clean-up: closes expired idle connections and forgets endpoints that were removed long ago.
     pub fn sweep(&self) {
         self.pool.close_expired();
         self.endpoints.borrow_mut().drop_expired();
