--- a/src/bin/quota-gateway/error.rs
+++ b/src/bin/quota-gateway/error.rs
@@ -1,11 +1,11 @@
-//! Why the program can't start.
+//! Errors of the start.
 
 use crate::config::ConfigError;
 use std::io;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// A failed start; printed as one line.
+/// Why the program can't start; logged as one line.
 #[derive(Debug, Error)]
 pub enum StartupError {
     #[error(transparent)]
--- a/src/bin/quota-gateway/main.rs
+++ b/src/bin/quota-gateway/main.rs
@@ -1,4 +1,4 @@
-//! The gateway program: the decision library on real sockets.
+//! The gateway program: runs the decision library on sockets, in one thread.
 // Tests fail by panicking, and the figures that they compare are exact.
 #![cfg_attr(
     test,
@@ -38,7 +38,7 @@
 use tokio::runtime;
 use tokio::task::LocalSet;
 
-/// Exit status if the program can't start.
+/// Exit status of a failed start.
 const STARTUP_FAILED: u8 = 2;
 
 fn main() -> ExitCode {
@@ -62,7 +62,8 @@
     tasks.block_on(&runtime, serve(signals))
 }
 
-/// Starts the gateway and serves until SIGTERM; SIGHUP reloads the configuration, during the shutdown, too.
+/// Starts the gateway and serves until SIGTERM. SIGHUP reloads the configuration, also during the shutdown, in which
+/// requests still need discovery and the counter.
 async fn serve(signals: Signals) -> Result<(), StartupError> {
     let mut terminate = signals
         .terminate
--- a/src/bin/quota-gateway/metrics/family.rs
+++ b/src/bin/quota-gateway/metrics/family.rs
@@ -4,15 +4,15 @@
 use prometheus::{IntCounter, IntCounterVec, Registry};
 use std::marker::PhantomData;
 
-/// The values of a label, in their order.
+/// A label of a metric, as an enumeration of its values.
 pub trait Label: Copy + 'static {
     /// The label's name.
     const NAME: &'static str;
     /// All values.
     const ALL: &'static [Self];
-    /// The value's place in `ALL`.
+    /// The value's index in `ALL`.
     fn index(self) -> usize;
-    /// The value as it is written.
+    /// The value in the text format.
     fn text(self) -> &'static str;
 }
 
@@ -23,11 +23,11 @@
 }
 
 impl<L: Label> CounterFamily<L> {
-    /// All at 0.
+    /// Registers the counters, all at 0.
     pub(super) fn register(registry: &Registry, name: &str, help: &str) -> Self {
         let family = IntCounterVec::new(options(name, help), &[L::NAME]);
         let family = family.expect("the name of a metric is valid, as a test shows");
-        // It fails for a name that is there already, and the counters then count unseen.
+        // It fails if the name is already registered; the counters are then missing from the text, as a test would show.
         let _ = registry.register(Box::new(family.clone()));
         let counters = L::ALL
             .iter()
--- a/src/bin/quota-gateway/metrics/labels.rs
+++ b/src/bin/quota-gateway/metrics/labels.rs
@@ -1,4 +1,4 @@
-//! The values of the metrics' labels.
+//! The labels of the metrics and their values.
 
 use super::family::Label;
 use quota_gateway::Outcome;
@@ -44,13 +44,13 @@
         Rejected => "rejected",
         /// It failed and may have been executed.
         Failed => "failed",
-        /// It was wrong, or not complete in time.
+        /// It was malformed, or not complete in time.
         Invalid => "invalid",
-        /// It was refused as the process ends, and was never executed.
+        /// It was refused at the end of the process, and was never executed.
         ShuttingDown => "shutting_down",
-        /// The gateway answered itself: a check of its health, or a collection of metrics.
+        /// The gateway answered it by itself: a health check, or a collection of metrics.
         HealthCheck => "health_check",
-        /// Its client went before it had a response.
+        /// Its client disconnected before it had a response.
         Disconnected => "disconnected",
     }
 }
@@ -60,39 +60,40 @@
     AttemptOutcome, "outcome", {
         /// The endpoint served it.
         Success => "success",
-        /// The endpoint turned it away, or it was not to be sent there any more.
+        /// The endpoint rejected it unexecuted, or takes no more requests.
         Rejected => "rejected",
-        /// The endpoint answered with an error.
+        /// The endpoint responded with an error.
         ErrorResponse => "error_response",
-        /// No connection came up.
+        /// No connection could be established.
         ConnectFailed => "connect_failed",
         /// The connection broke, or the response can't be read.
         ConnectionReset => "connection_reset",
-        /// No response came in time.
+        /// No complete response arrived in time.
         Timeout => "timeout",
         /// It was cancelled after it was written.
         Cancelled => "cancelled",
-        /// Nothing left this machine.
+        /// It was not sent, for a reason that says nothing about the endpoint.
         NotSent => "not_sent",
     }
 }
 
 label! {
-    /// Why an attempt was not written, right before its first byte.
+    /// Why an attempt was refused right before its first byte.
     AttemptRefusal, "reason", {
         /// The request has its response.
         RequestAnswered => "request_answered",
         /// The client has closed its side, or its connection broke.
         ClientDisconnected => "client_gone",
-        /// The endpoint drains or was removed.
+        /// The endpoint is draining or was removed.
         EndpointNotReady => "endpoint_not_ready",
         /// The endpoint has another address.
         EndpointMoved => "endpoint_moved",
-        /// The endpoint might execute the request twice.
+        /// The deadline for the first byte has passed: the endpoint may no longer know the idempotency key, and could
+        /// execute the request a second time.
         RetryWindowOver => "repeat_window_over",
         /// The request may have been executed and must not be executed twice.
         MayHaveExecuted => "may_have_run",
-        /// The process ends before a response could come.
+        /// The process ends before a response could arrive.
         ShuttingDown => "shutting_down",
     }
 }
@@ -100,25 +101,25 @@
 label! {
     /// Why a client's connection ended.
     ConnectionEnd, "reason", {
-        /// HTTP's own end: the client closed it or sent what is no HTTP, or the gateway's response asked to close.
+        /// It ended by HTTP: the client closed it or sent no valid HTTP, or the gateway's response asked to close.
         Finished => "finished",
-        /// The client went while its request was served.
+        /// The client disconnected while its request was being served.
         ClientGone => "client_gone",
-        /// No complete head came in time.
+        /// No complete head arrived in time.
         TimedOut => "timed_out",
         /// It gave up its slot to another client.
         Evicted => "evicted",
         /// There was no slot for it.
         NoSlot => "no_slot",
-        /// The gateway ends, and it had no request.
+        /// The process shuts down, and no response was due on it.
         Draining => "draining",
-        /// The gateway ends, and its request had come in part: it was refused.
+        /// The process shuts down, and a request that had arrived in part was refused.
         Incomplete => "incomplete",
     }
 }
 
 label! {
-    /// A rule that must never be broken.
+    /// A rule of the protocol that must never be broken.
     Rule, "rule", {
         /// An attempt was written over 0.1 s after its request had ended.
         SendForClosedRequest => "send_for_closed_request",
@@ -126,13 +127,13 @@
         SendToDraining => "send_to_draining",
         /// An attempt propagated more time than its client has left.
         RemainingTime => "remaining_time",
-        /// An attempt was written that may be executed a second time.
+        /// An attempt was written that may be a second execution of a request that must be executed once.
         UnsafeRetry => "repeat",
         /// A connection was closed under a complete request without a response.
         CloseUnanswered => "close_unanswered",
-        /// An attempt was written when the process refused requests, as it was about to end.
+        /// An attempt was written after the process had begun to refuse requests.
         SendWhileRefusing => "send_while_refusing",
-        /// An endpoint in slow start was sent more than this gateway's share of what it bears.
+        /// An endpoint in slow start was sent more than this gateway's share of its capacity.
         SlowStart => "slow_start",
     }
 }
--- a/src/bin/quota-gateway/metrics/mod.rs
+++ b/src/bin/quota-gateway/metrics/mod.rs
@@ -1,7 +1,8 @@
-//! Counters of what the gateway does and why, in the text format of Prometheus, at `/health/metrics`.
+//! Counters of requests, attempts, connections and broken rules, each by its reason, in the text format of Prometheus, at
+//! `/health/metrics`.
 //!
 //! - `family`: a counter for each value of a label
-//! - `labels`: the values
+//! - `labels`: the labels and their values
 
 mod family;
 mod labels;
@@ -14,28 +15,28 @@
 use prometheus::{IntCounter, Opts, Registry, TextEncoder};
 use std::rc::Rc;
 
-/// All counters. One instance counts for the whole process.
+/// All counters. There is one instance in the process.
 pub struct Metrics {
     registry: Registry,
     /// Final responses to clients.
     pub requests: CounterFamily<RequestEnd>,
     /// Attempts that ended.
     pub attempts: CounterFamily<AttemptOutcome>,
-    /// Attempts that were not written after all, right before their first byte.
+    /// Attempts that were refused right before their first byte.
     pub attempt_refusals: CounterFamily<AttemptRefusal>,
     /// Connections of clients that ended.
     pub connections_ended: CounterFamily<ConnectionEnd>,
-    /// Rules broken, as the guard has found.
+    /// Rules broken, as found by `driver::rule_checks` and the server. Each is a fault of this program.
     pub violations: CounterFamily<Rule>,
     /// Clients' connections accepted.
     pub connections_accepted: IntCounter,
-    /// Failures to accept one.
+    /// Failures to accept a client's connection.
     pub accept_errors: IntCounter,
     /// Updates of the endpoint list.
     pub list_updates: IntCounter,
-    /// Configurations taken over at SIGHUP.
+    /// Configurations applied at SIGHUP.
     pub reloads: IntCounter,
-    /// Configurations not taken over at SIGHUP.
+    /// Configurations with an error at SIGHUP; the old one stays in use.
     pub failed_reloads: IntCounter,
 }
 
@@ -76,7 +77,7 @@
 
     /// The counters in the text format.
     pub fn encode(&self) -> String {
-        // It fails on families without a name or a value only; each has both.
+        // It fails only on families without a name or a value; each has both.
         TextEncoder::new()
             .encode_to_string(&self.registry.gather())
             .unwrap_or_default()
@@ -91,7 +92,7 @@
 fn register_counter(registry: &Registry, name: &str, help: &str) -> IntCounter {
     let counter = IntCounter::with_opts(options(name, help));
     let counter = counter.expect("the name of a metric is valid, as a test shows");
-    // It fails for a name that is there already, and the counter then counts unseen.
+    // It fails if the name is already registered; the counter is then missing from the text, as a test would show.
     let _ = registry.register(Box::new(counter.clone()));
     counter
 }
--- a/src/bin/quota-gateway/rate_limited_warning.rs
+++ b/src/bin/quota-gateway/rate_limited_warning.rs
@@ -1,10 +1,11 @@
-//! Warnings that any request or message may cause: one of a kind is logged every ten seconds.
+//! Warnings that any message of a peer may cause, limited in their rate: a faulty peer must not fill the log.
 
 use std::cell::Cell;
 use std::fmt::Display;
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// At least this time passes between two warnings of one kind.
 const MIN_INTERVAL: Duration = Duration::from_secs(10);
 
 /// One kind of warning.
@@ -14,7 +15,7 @@
 }
 
 impl RateLimitedWarning {
-    /// Logs what happened and why, unless the last such warning is too recent.
+    /// Logs what failed and why, unless the last warning is more recent than `MIN_INTERVAL`.
     pub fn warn(&self, what: &str, why: impl Display) {
         if self
             .last_logged_at
--- a/src/bin/quota-gateway/reload.rs
+++ b/src/bin/quota-gateway/reload.rs
@@ -1,4 +1,4 @@
-//! Reloading the configuration on SIGHUP: the addresses of discovery and of the counter may change, all else needs a
+//! Reloads the configuration on SIGHUP: the addresses of discovery and of the counter may change, anything else needs a
 //! restart.
 
 use crate::config::{self, Config};
@@ -10,7 +10,7 @@
 /// The addresses that a reload changes. Their users subscribe to them.
 pub struct ReloadableAddresses {
     pub discovery: watch::Sender<SocketAddr>,
-    /// Absent if the counter is not used.
+    /// Absent if the settings have no counter.
     pub counter: Option<watch::Sender<SocketAddr>>,
     metrics: Rc<Metrics>,
 }
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Subscribers reconnect even if an address is the same: another server may have taken it over.
+    /// Publishes the addresses. Subscribers reconnect even if an address is the same, as another server may have it now.
     fn update(&self, config: &Config) {
         let _ = self.discovery.send(config.discovery);
         if let (Some(sender), Some(addr)) = (&self.counter, config.counter) {
--- a/src/bin/quota-gateway/retry.rs
+++ b/src/bin/quota-gateway/retry.rs
@@ -1,5 +1,8 @@
-//! What the system can't do for a moment is tried again for a while: opening sockets and files, at the start and at a
-//! reload.
+//! Retries opening sockets and files, at the start and at a reload.
+//!
+//! Guards against failures of the system that pass by themselves: descriptors or memory are short for a moment, a call is
+//! interrupted, the former process still has the address. Without a retry the process would end at its start, or keep
+//! addresses that are no longer served.
 
 use crate::transient_errors::may_pass;
 use std::future::Future;
@@ -8,45 +11,46 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Pause between two tries.
-const RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// How long the parts of the runtime are tried for.
-const RUNTIME_PATIENCE: Duration = Duration::from_secs(5);
-/// Tries until it works, fails for a reason that does not pass, or the time is over.
+/// Delay between two tries.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Longest time for which signal handlers and the runtime are retried.
+const RUNTIME_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// Tries until `open` succeeds, fails for a reason that does not pass, or has been tried for `max_duration`.
 ///
 /// # Errors
 ///
 /// The last failure.
 pub async fn retry<T, E, F>(
-    patience: Duration,
+    max_duration: Duration,
     may_pass: impl Fn(&E) -> bool,
     open: impl Fn() -> F,
 ) -> Result<T, E>
 where
     F: Future<Output = Result<T, E>>,
 {
-    let deadline = Instant::now() + patience;
+    let deadline = Instant::now() + max_duration;
     loop {
         match open().await {
             Err(error) if may_pass(&error) && Instant::now() < deadline => {}
             result => return result,
         }
-        sleep(RETRY_PAUSE).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
-/// The same for what comes before the runtime; it blocks.
+/// Like `retry`, before the runtime is there: it blocks the thread, for `RUNTIME_TIMEOUT` at most.
 ///
 /// # Errors
 ///
 /// The last failure.
 pub fn retry_blocking<T>(open: impl Fn() -> io::Result<T>) -> io::Result<T> {
-    let deadline = std::time::Instant::now() + RUNTIME_PATIENCE;
+    let deadline = std::time::Instant::now() + RUNTIME_TIMEOUT;
     loop {
         match open() {
             Err(error) if may_pass(&error) && std::time::Instant::now() < deadline => {}
             result => return result,
         }
-        thread::sleep(RETRY_PAUSE);
+        thread::sleep(RETRY_DELAY);
     }
 }
--- a/src/bin/quota-gateway/startup.rs
+++ b/src/bin/quota-gateway/startup.rs
@@ -23,16 +23,16 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::time::sleep;
 
-/// Descriptors kept for all but clients and endpoints: log, signals, counter, discovery, gossip, listener.
+/// Descriptors reserved for everything but clients and endpoints: log, signals, counter, discovery, gossip, listener.
 const RESERVED_DESCRIPTORS: usize = 32;
 /// Clients that may wait to be accepted.
 const LISTEN_BACKLOG: u32 = 1024;
-/// How long the program tries to get its addresses; it has to be ready 30 s after its start.
-const BIND_PATIENCE: Duration = Duration::from_secs(20);
+/// Longest time for which binding an address is retried; the process has to be ready 30 s after its start.
+const BIND_TIMEOUT: Duration = Duration::from_secs(20);
 /// Interval of the periodic clean-up.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The handles by which the main task controls a running gateway.
+/// The handles with which the main task controls a running gateway.
 pub struct RunningGateway {
     pub addresses: ReloadableAddresses,
     pub shutdown: Shutdown,
@@ -103,7 +103,7 @@
     })
 }
 
-/// Starts the tasks that call the counter, where there is one.
+/// Starts the tasks that call the counter, where the settings have one.
 fn spawn_counter(
     addresses: &ReloadableAddresses,
     settings: &Settings,
@@ -120,7 +120,7 @@
     }
 }
 
-/// Starts to receive messages of other gateways, where they may be sent.
+/// Starts to receive gossip, where the settings have it.
 fn spawn_gossip(
     socket: Option<Rc<GossipSocket>>,
     max_messages_per_second: f64,
@@ -131,7 +131,7 @@
     }
 }
 
-/// Starts to accept clients. The line in the log tells the port where the configuration leaves it open.
+/// Starts to accept clients. The log line states the port, which the configuration may leave to the system.
 fn accept_clients(listener: TcpListener, server: &Rc<Server>) -> Result<Acceptor, StartupError> {
     let addr = listener.local_addr().map_err(StartupError::LocalAddress)?;
     tracing::info!("listening on {addr}");
@@ -139,7 +139,7 @@
 }
 
 async fn listen(addr: SocketAddr) -> Result<TcpListener, StartupError> {
-    let listener = retry(BIND_PATIENCE, may_pass_for_address, || async {
+    let listener = retry(BIND_TIMEOUT, may_pass_for_address, || async {
         open_listener(addr)
     })
     .await;
@@ -152,7 +152,8 @@
     } else {
         TcpSocket::new_v6()?
     };
-    // A restart finds the address free, though connections of the former process linger.
+    // After a restart connections of the former process are still in TIME_WAIT, and without this option the system
+    // would refuse the address until they have left that state.
     socket.set_reuseaddr(true)?;
     socket.bind(addr)?;
     socket.listen(LISTEN_BACKLOG)
@@ -166,13 +167,13 @@
         return Ok(None);
     };
     let bind = || GossipSocket::bind(addr, config.peers.clone(), config.broadcast);
-    match retry(BIND_PATIENCE, may_pass_for_address, bind).await {
+    match retry(BIND_TIMEOUT, may_pass_for_address, bind).await {
         Ok(socket) => Ok(Some(Rc::new(socket))),
         Err(source) => Err(StartupError::GossipListen { addr, source }),
     }
 }
 
-/// Clients may hold three fifths of the free descriptors, endpoints the rest.
+/// How the descriptors of the process are divided: three fifths of the free ones for clients, the rest for endpoints.
 struct DescriptorBudget {
     clients: u32,
     endpoints: usize,
@@ -187,7 +188,7 @@
     }
 }
 
-/// Starts with the list that the configuration holds, if any.
+/// Starts to watch the endpoint list, from the one in the configuration, if any.
 fn spawn_discovery(
     addresses: &ReloadableAddresses,
     known_endpoints: Option<EndpointList>,
--- a/src/bin/quota-gateway/transient_errors.rs
+++ b/src/bin/quota-gateway/transient_errors.rs
@@ -1,9 +1,9 @@
-//! Which failures of system calls pass by themselves.
+//! Which errors of system calls are transient: they have their cause on this machine and may pass by themselves.
 
 use nix::libc;
 use std::io::{self, ErrorKind};
 
-/// Failures to open something that lie on this machine and may pass.
+/// Transient errors of opening a file or a socket.
 const OPENING_ERRORS: [i32; 8] = [
     libc::EADDRNOTAVAIL,
     libc::EAGAIN,
@@ -14,28 +14,28 @@
     libc::ENOBUFS,
     libc::ENOMEM,
 ];
-/// Failures of a call on an open socket that say nothing of the connection.
+/// Transient errors of a call on an open socket: they say nothing about the connection.
 const TRANSFER_ERRORS: [i32; 4] = [libc::EAGAIN, libc::EINTR, libc::ENOBUFS, libc::ENOMEM];
-/// Failures that concern all calls alike: descriptors or memory are short.
+/// Errors for lack of descriptors or memory: any other call may fail in the same way.
 const RESOURCE_ERRORS: [i32; 4] = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
 
-/// Whether an error of opening something lies on this machine and may pass.
+/// Whether an error of opening a file or a socket is transient.
 pub fn may_pass(error: &io::Error) -> bool {
     is_one_of(error, &OPENING_ERRORS)
 }
 
-/// Whether an error of taking an address may pass: the former process may not have ended.
+/// Whether an error of binding an address is transient. The address may be in use until the former process has ended.
 pub fn may_pass_for_address(error: &io::Error) -> bool {
     error.kind() == ErrorKind::AddrInUse || may_pass(error)
 }
 
-/// Whether a call on an open socket is to be made again: the system can't carry it out at this moment.
+/// Whether a call on an open socket can be repeated.
 pub fn may_pass_for_transfer(error: &io::Error) -> bool {
-    // The runtime makes errors of this kind itself.
+    // The runtime makes errors of this kind without a code of the system.
     error.kind() == ErrorKind::WouldBlock || is_one_of(error, &TRANSFER_ERRORS)
 }
 
-/// Whether descriptors or memory are short.
+/// Whether an error is for lack of descriptors or memory.
 pub fn lacks_resources(error: &io::Error) -> bool {
     is_one_of(error, &RESOURCE_ERRORS)
 }
