--- a/src/bin/quota-gateway/driver/attempts.rs
+++ b/src/bin/quota-gateway/driver/attempts.rs
@@ -120,7 +120,7 @@
     target: Target,
     forwarded: Rc<ForwardedRequest>,
     times: AttemptTimes,
-    /// What the client's socket held when it was last looked into.
+    /// The last peek into the client's socket.
     client: Cell<PeekResult>,
     /// The remaining time that is propagated to the endpoint.
     propagated_deadline: Cell<Duration>,
@@ -209,9 +209,9 @@
 /// Lets the client's connection read what has arrived. Returns what its socket holds afterwards.
 ///
 /// Guards against a client that sends more and then disconnects. The end of its stream is hidden behind the unread
-/// bytes, so that a look into the socket shows data only, and the attempt would be executed for nobody. Each turn lets
-/// the task of the client's connection read; once the socket is empty, a second look shows whether the end is there.
-/// After the last turn the attempt is written: a client that still sends is there.
+/// bytes: a peek shows data only, and the attempt would be executed for nobody. Each turn lets the task of the client's
+/// connection read, and once the buffer is empty, the next peek shows whether the end of the stream is there. A client
+/// that has more to read after the last turn is still sending, so it is still connected.
 async fn wait_until_read(client: WeakSocket) -> PeekResult {
     for _ in 0..MAX_READING_TURNS {
         yield_now().await;
--- a/src/bin/quota-gateway/driver/enforcement.rs
+++ b/src/bin/quota-gateway/driver/enforcement.rs
@@ -26,11 +26,9 @@
     pub max_attempts: usize,
     /// Two attempts of one request may be in flight at once.
     pub hedging: bool,
-    /// Units that one request can take.
-    pub max_units: f64,
 }
 
-/// The state of a request for which the library has asked for an attempt.
+/// An attempt that the library has requested, and the state of its request.
 pub struct AttemptToStart {
     /// The request has its final response.
     pub request_answered: bool,
@@ -63,7 +61,7 @@
 pub struct AttemptToWrite {
     /// Its request; none if that is no longer open.
     pub record: Option<RequestRecord>,
-    /// What the client's socket held when it was last looked into.
+    /// The last peek into the client's socket.
     pub client: PeekResult,
     /// Enough time is left for a response before the process ends.
     pub process_may_forward: bool,
@@ -79,7 +77,7 @@
     pub connected_addr: SocketAddr,
 }
 
-/// Refuses to start an attempt that the library asked for.
+/// Refuses to start an attempt that the library has requested.
 ///
 /// Guards against an action that is outdated when it is carried out: one event of the library can lead to several
 /// actions, and an earlier one may have answered the request or used up its attempts. Such an attempt would be sent for
--- a/src/bin/quota-gateway/driver/enforcement/tests.rs
+++ b/src/bin/quota-gateway/driver/enforcement/tests.rs
@@ -15,7 +15,6 @@
 const LIMITS: AttemptLimits = AttemptLimits {
     max_attempts: 3,
     hedging: false,
-    max_units: 1.0,
 };
 
 fn addr(port: u16) -> SocketAddr {
--- a/src/bin/quota-gateway/driver/mod.rs
+++ b/src/bin/quota-gateway/driver/mod.rs
@@ -104,13 +104,15 @@
         let limits = AttemptLimits {
             max_attempts: settings.limits.max_attempts as usize,
             hedging: settings.limits.hedging,
-            max_units: settings.max_units,
         };
+        let max_units = settings.max_units;
         // Ids start from the clock, so that no request has the id of one from before a restart.
         let first_id = (clock.now_ms() as u64) << REQUEST_ID_SHIFT;
         let rule_checker = Rc::new(RuleChecker::new(&settings.rules, metrics.clone()));
         let decisions = Gateway::new(settings, seed, clock.now_ms());
-        let registry = Rc::new(RefCell::new(RequestRegistry::new(first_id, limits)));
+        let registry = Rc::new(RefCell::new(RequestRegistry::new(
+            first_id, limits, max_units,
+        )));
         let endpoints = Rc::new(RefCell::new(Endpoints::new(topology)));
         let pool = Rc::new(transports.pool);
         let attempt_sender = Rc::new(AttemptSender {
--- a/src/bin/quota-gateway/driver/registry.rs
+++ b/src/bin/quota-gateway/driver/registry.rs
@@ -31,15 +31,17 @@
     open: HashMap<RequestId, RegisteredRequest>,
     next_id: RequestId,
     limits: AttemptLimits,
+    max_units: f64,
 }
 
 impl RequestRegistry {
-    /// Ids are assigned in order from `first_id`.
-    pub fn new(first_id: RequestId, limits: AttemptLimits) -> Self {
+    /// Ids are assigned in order from `first_id`. Endpoints can't report more units for one request than `max_units`.
+    pub fn new(first_id: RequestId, limits: AttemptLimits, max_units: f64) -> Self {
         RequestRegistry {
             open: HashMap::new(),
             next_id: first_id,
             limits,
+            max_units,
         }
     }
 
@@ -148,7 +150,7 @@
         served: Option<EndpointResponse>,
     ) -> Option<FinishedAttempt> {
         let request = self.open.get_mut(&id)?;
-        let finished = request.finish_attempt(number, outcome, served, self.limits.max_units);
+        let finished = request.finish_attempt(number, outcome, served, self.max_units);
         self.remove_if_finished(id);
         Some(finished)
     }
--- a/src/bin/quota-gateway/driver/registry/tests.rs
+++ b/src/bin/quota-gateway/driver/registry/tests.rs
@@ -24,8 +24,8 @@
         AttemptLimits {
             max_attempts: 2,
             hedging,
-            max_units: MAX_UNITS,
         },
+        MAX_UNITS,
     )
 }
 
--- a/src/bin/quota-gateway/driver/rule_checks.rs
+++ b/src/bin/quota-gateway/driver/rule_checks.rs
@@ -9,6 +9,7 @@
 use crate::upstream::Target;
 use quota_gateway::Rules;
 use std::cell::RefCell;
+use std::fmt::Display;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -65,11 +66,11 @@
     /// Checks an attempt whose last byte has just been written, and reports the rules that it broke.
     pub fn check_after_write(&self, attempt: &WrittenAttempt<'_>) {
         for rule in self.broken_rules(attempt) {
-            let what = format!(
+            let what = format_args!(
                 "txn {:016x} to endpoint {} at {}",
                 attempt.record.transaction_id, attempt.target.endpoint, attempt.target.addr
             );
-            self.report(rule, &what);
+            self.report(rule, what);
         }
     }
 
@@ -118,7 +119,7 @@
     }
 
     /// Counts and logs a broken rule. `what` names the request or connection that broke it.
-    pub fn report(&self, rule: Rule, what: &str) {
+    pub fn report(&self, rule: Rule, what: impl Display) {
         self.metrics.violations.increment(rule);
         tracing::error!("rule broken: {rule}: {what}");
     }
--- a/src/bin/quota-gateway/driver/slow_start_check.rs
+++ b/src/bin/quota-gateway/driver/slow_start_check.rs
@@ -1,9 +1,9 @@
 //! Checks that an endpoint in slow start gets no more attempts from this gateway than its capacity allows.
 //!
-//! The capacity of an endpoint is not known here. But gateways are equal, and send to all warm endpoints alike: the mean
-//! number of attempts to an endpoint is this gateway's share of a warm one's load. An endpoint in slow start has a part
-//! of a warm one's capacity, which grows with its age, and may get that part of the mean, times the multiple of the
-//! settings at which an endpoint is overloaded.
+//! The capacity of an endpoint is not known here. But gateways are equal, and send alike to all endpoints at full
+//! capacity: the mean number of attempts is this gateway's share of the load of one of those. An endpoint in slow start
+//! has a part of the full capacity, which grows with its age. It may get that part of the mean, times the multiple of
+//! the settings at which an endpoint is overloaded.
 
 use quota_gateway::{EndpointId, Rules};
 use std::collections::{HashMap, VecDeque};
--- a/src/bin/quota-gateway/lifecycle/mod.rs
+++ b/src/bin/quota-gateway/lifecycle/mod.rs
@@ -1,5 +1,4 @@
-//! Where the process stands between its start and its end. One owner holds the phase for all tasks, and it only goes
-//! forward:
+//! The phase of the process, from its start to its exit. One owner holds it for all tasks, and it never goes back:
 //!
 //! ```text
 //! Running -- SIGTERM --> Accepting --> NoNewConnections --> Refusing --> Ended
@@ -40,12 +39,12 @@
 pub struct Lifecycle {
     phase: watch::Sender<Phase>,
     timeline: Cell<Option<Timeline>>,
-    /// When requests began to be refused, or will.
+    /// When requests began to be refused, or will be.
     refusing_at: Cell<Option<Instant>>,
 }
 
 impl Lifecycle {
-    /// A process that has just been started.
+    /// In the phase `Running`.
     pub fn new() -> Rc<Self> {
         Rc::new(Lifecycle {
             phase: watch::Sender::new(Phase::Running),
@@ -54,7 +53,7 @@
         })
     }
 
-    /// SIGTERM has come. Has no effect on a shutdown that has begun.
+    /// Begins the shutdown, at SIGTERM. A second SIGTERM has no effect.
     pub fn begin_shutdown(&self, timeline: Timeline) {
         if self.timeline.get().is_none() {
             self.timeline.set(Some(timeline));
@@ -63,7 +62,7 @@
         }
     }
 
-    /// Enters a phase, unless it has been passed.
+    /// Enters a phase, unless it or a later one has been entered.
     pub fn advance_to(&self, phase: Phase) {
         if phase >= Phase::Refusing {
             let now = Instant::now();
@@ -102,12 +101,12 @@
             .map_or(deadline, |timeline| deadline.min(timeline.request_deadline))
     }
 
-    /// Follows the phase.
+    /// A receiver that is notified of each change of the phase.
     pub fn subscribe(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
     }
 
-    /// Waits for a phase or a later one.
+    /// Waits until a phase, or a later one, is entered.
     pub async fn reached(&self, phase: Phase) {
         // It fails only without a sender, which `self` holds.
         let _ = self.subscribe().wait_for(|current| *current >= phase).await;
--- a/src/bin/quota-gateway/lifecycle/timeline.rs
+++ b/src/bin/quota-gateway/lifecycle/timeline.rs
@@ -49,7 +49,7 @@
 pub struct Timeline {
     /// No new connections are accepted from then on.
     pub no_new_connections_at: Instant,
-    /// No request is forwarded from then on, first or again.
+    /// No attempt is sent from then on, neither a first one nor a retry.
     pub last_forwarding_at: Instant,
     /// Each forwarded request has to have its response by then. No later deadline is propagated to endpoints.
     pub request_deadline: Instant,
--- a/src/bin/quota-gateway/metrics/family.rs
+++ b/src/bin/quota-gateway/metrics/family.rs
@@ -1,7 +1,6 @@
-//! Counters by the value of a label.
+//! Counters: single ones, and families with one for each value of a label.
 
-use super::options;
-use prometheus::{IntCounter, IntCounterVec, Registry};
+use prometheus::{IntCounter, IntCounterVec, Opts, Registry};
 use std::marker::PhantomData;
 
 /// A label of a metric, as an enumeration of its values.
@@ -49,3 +48,17 @@
         self.counters[value.index()].inc();
     }
 }
+
+/// Options of a metric of this program.
+fn options(name: &str, help: &str) -> Opts {
+    Opts::new(format!("gateway_{name}_total"), help)
+}
+
+/// Registers a counter without labels, at 0.
+pub(super) fn register_counter(registry: &Registry, name: &str, help: &str) -> IntCounter {
+    let counter = IntCounter::with_opts(options(name, help));
+    let counter = counter.expect("the name of a metric is valid, as a test shows");
+    // It fails if the name is already registered; the counter is then missing from the text, as a test would show.
+    let _ = registry.register(Box::new(counter.clone()));
+    counter
+}
--- a/src/bin/quota-gateway/metrics/mod.rs
+++ b/src/bin/quota-gateway/metrics/mod.rs
@@ -1,7 +1,7 @@
 //! Counters of requests, attempts, connections and broken rules, each by its reason, in the text format of Prometheus, at
 //! `/health/metrics`.
 //!
-//! - `family`: a counter for each value of a label
+//! - `family`: counters, single ones and one for each value of a label
 //! - `labels`: the labels and their values
 
 mod family;
@@ -11,8 +11,8 @@
 
 pub use labels::{AttemptOutcome, AttemptRefusal, ConnectionEnd, RequestEnd, Rule};
 
-use family::CounterFamily;
-use prometheus::{IntCounter, Opts, Registry, TextEncoder};
+use family::{register_counter, CounterFamily};
+use prometheus::{IntCounter, Registry, TextEncoder};
 use std::rc::Rc;
 
 /// All counters. There is one instance in the process.
@@ -83,16 +83,3 @@
             .unwrap_or_default()
     }
 }
-
-/// Options of a metric of this program.
-fn options(name: &str, help: &str) -> Opts {
-    Opts::new(format!("gateway_{name}_total"), help)
-}
-
-fn register_counter(registry: &Registry, name: &str, help: &str) -> IntCounter {
-    let counter = IntCounter::with_opts(options(name, help));
-    let counter = counter.expect("the name of a metric is valid, as a test shows");
-    // It fails if the name is already registered; the counter is then missing from the text, as a test would show.
-    let _ = registry.register(Box::new(counter.clone()));
-    counter
-}
--- a/src/bin/quota-gateway/shutdown.rs
+++ b/src/bin/quota-gateway/shutdown.rs
@@ -110,10 +110,10 @@
 
     fn report_unanswered(&self) {
         for transaction_id in self.server.unanswered_transactions() {
-            let what = format!("txn {transaction_id:016x} at the end of the process");
+            let what = format_args!("txn {transaction_id:016x} at the end of the process");
             self.driver
                 .rule_checker()
-                .report(Rule::CloseUnanswered, &what);
+                .report(Rule::CloseUnanswered, what);
         }
     }
 }
--- a/src/bin/quota-gateway/upstream/attempt.rs
+++ b/src/bin/quota-gateway/upstream/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt: finds a connection, writes the request, reads the response.
 
-use super::connection::{Connection, Written};
+use super::connection::{Connection, WriteResult};
 use super::pool::{ConnectError, ConnectionPool};
 use super::request::{OutgoingRequest, Target};
 use crate::http::{Head, MAX_BODY_BYTES};
@@ -84,8 +84,8 @@
                     .map_err(connect_outcome)?,
             };
             match timeout_at(deadline, connection.write(request)).await {
-                Ok(Ok(Written::Complete)) => return Ok(connection),
-                Ok(Ok(Written::Refused(outcome))) => {
+                Ok(Ok(WriteResult::Complete)) => return Ok(connection),
+                Ok(Ok(WriteResult::Refused(outcome))) => {
                     // Nothing was written: the connection can be used again.
                     self.put_back(target, connection);
                     return Err(outcome);
--- a/src/bin/quota-gateway/upstream/connection.rs
+++ b/src/bin/quota-gateway/upstream/connection.rs
@@ -42,8 +42,8 @@
     }
 }
 
-/// How writing a request ended.
-pub enum Written {
+/// How writing a request ended, if the connection did not fail.
+pub enum WriteResult {
     /// All of it is written.
     Complete,
     /// Nothing is: it was refused, with this as the attempt's outcome.
@@ -84,7 +84,7 @@
     /// Guards against a write that begins long after its check: a socket that takes no bytes makes it wait, and meanwhile
     /// the client may disconnect and the endpoint drain. Each try of the first byte is preceded by a check, and nothing
     /// else runs between the two. After the first byte the request is written to its end.
-    pub async fn write(&self, request: &dyn OutgoingRequest) -> io::Result<Written> {
+    pub async fn write(&self, request: &dyn OutgoingRequest) -> io::Result<WriteResult> {
         let socket = &self.reader.io;
         let mut message = Vec::new();
         let mut written = 0;
@@ -99,7 +99,7 @@
                     }
                 }
                 if let Some(outcome) = request.refusal() {
-                    return Ok(Written::Refused(outcome));
+                    return Ok(WriteResult::Refused(outcome));
                 }
                 message = request.encode();
             }
@@ -110,6 +110,6 @@
                 Err(e) => return Err(e),
             }
         }
-        Ok(Written::Complete)
+        Ok(WriteResult::Complete)
     }
 }
--- a/src/bin/quota-gateway/upstream/connection/tests.rs
+++ b/src/bin/quota-gateway/upstream/connection/tests.rs
@@ -1,6 +1,6 @@
 //! An endpoint that closes its connection between the choice of that and the first byte.
 
-use super::{Connection, OpenConnections, OutgoingRequest, Written};
+use super::{Connection, OpenConnections, OutgoingRequest, WriteResult};
 use crate::socket::{PeekResult, Socket};
 use crate::upstream::Preparation;
 use quota_gateway::Outcome;
@@ -50,7 +50,7 @@
     };
     let written = connection.write(&request).await;
     assert!(
-        !matches!(written, Ok(Written::Complete)),
+        !matches!(written, Ok(WriteResult::Complete)),
         "written on a closed connection"
     );
 }
