--- a/src/bin/quota-gateway/driver/events.rs
+++ b/src/bin/quota-gateway/driver/events.rs
@@ -18,6 +18,13 @@
 /// A final response leaves this long before the client's deadline, in ms, for the way of the request and the response.
 const RESPONSE_MARGIN_MS: f64 = 10.0;
 
+/// When a request's final response is due.
+struct RequestTimes {
+    deadline: Instant,
+    /// From now until the deadline, in ms.
+    timeout_ms: f64,
+}
+
 impl Driver {
     /// Registers a request and hands it to the library. Its final response comes by the receiver that is returned.
     pub fn start_request(
@@ -27,14 +34,10 @@
         client_socket: WeakSocket,
     ) -> StartedRequest {
         let (client, response) = oneshot::channel();
-        let elapsed_ms = incoming.received_at.elapsed().as_secs_f64() * 1000.0;
-        let timeout_ms = (incoming.remaining_ms - elapsed_ms - RESPONSE_MARGIN_MS).max(0.0);
-        let now = Instant::now();
-        let deadline = self
-            .lifecycle
-            .limit_deadline(now + Duration::from_secs_f64(timeout_ms / 1000.0));
-        let timeout_ms =
-            timeout_ms.min(deadline.saturating_duration_since(now).as_secs_f64() * 1000.0);
+        let RequestTimes {
+            deadline,
+            timeout_ms,
+        } = self.request_times(incoming);
         let new = NewRequest {
             transaction_id: incoming.transaction_id,
             forwarded,
@@ -44,7 +47,12 @@
             client_socket,
         };
         let id = self.registry.borrow_mut().insert(new, client);
-        tracing::debug!(txn = %format_args!("{:016x}", incoming.transaction_id), request_id = id, timeout_ms, "request received");
+        tracing::debug!(
+            txn = %format_args!("{:016x}", incoming.transaction_id),
+            request_id = id,
+            timeout_ms,
+            "request received"
+        );
         self.dispatch(Event::Request(Request {
             id,
             customer: incoming.customer,
@@ -62,6 +70,21 @@
         }
     }
 
+    /// The time that a request has until its final response: what its client's deadline and the shutdown leave.
+    fn request_times(&self, incoming: &IncomingRequest) -> RequestTimes {
+        let elapsed_ms = incoming.received_at.elapsed().as_secs_f64() * 1000.0;
+        let timeout_ms = (incoming.remaining_ms - elapsed_ms - RESPONSE_MARGIN_MS).max(0.0);
+        let now = Instant::now();
+        let deadline = self
+            .lifecycle
+            .limit_deadline(now + Duration::from_secs_f64(timeout_ms / 1000.0));
+        let time_left = deadline.saturating_duration_since(now);
+        RequestTimes {
+            deadline,
+            timeout_ms: timeout_ms.min(time_left.as_secs_f64() * 1000.0),
+        }
+    }
+
     /// Ends a request whose client has disconnected or whose deadline has passed: nothing more is sent for it.
     pub fn cancel_request(self: &Rc<Self>, id: RequestId) {
         if self.registry.borrow().is_answered(id) {
@@ -89,8 +112,8 @@
     pub fn end_open_requests(self: &Rc<Self>) {
         let ids = self.registry.borrow().unanswered();
         for id in ids {
-            let mut requests = self.registry.borrow_mut();
-            let may_have_executed = requests.may_have_executed(id);
+            let mut registry = self.registry.borrow_mut();
+            let may_have_executed = registry.may_have_executed(id);
             tracing::debug!(
                 request_id = id,
                 may_have_executed,
@@ -101,8 +124,8 @@
             } else {
                 FinalResponse::ShuttingDown
             };
-            requests.respond(id, response);
-            drop(requests);
+            registry.respond(id, response);
+            drop(registry);
             self.dispatch(Event::ClientDisconnected { id });
         }
     }
--- a/src/bin/quota-gateway/lifecycle/timeline.rs
+++ b/src/bin/quota-gateway/lifecycle/timeline.rs
@@ -23,9 +23,10 @@
 /// A request is forwarded only if at least this much time is left to it: with less, it would most likely be cut off
 /// after its execution has begun.
 const MIN_FORWARDING_TIME: Duration = Duration::from_millis(40);
-/// After SIGTERM new connections keep coming for up to 0.4 s.
+/// Connections are accepted for at least this long after SIGTERM: the load balancer in front may still make new ones for
+/// up to 0.4 s.
 const MIN_ACCEPTING_TIME: Duration = Duration::from_millis(420);
-/// Where there is time, new connections are accepted for longer: the load balancer in front may be slow to notice.
+/// Connections are accepted for this long if the timeline has room for it: the load balancer in front may be slow.
 const PREFERRED_ACCEPTING_TIME: Duration = Duration::from_millis(600);
 /// The process drains for at least this long after SIGTERM. Then it may exit while idle clients are connected: those that
 /// connected in time have sent their first request.
--- a/src/bin/quota-gateway/upstream/connection.rs
+++ b/src/bin/quota-gateway/upstream/connection.rs
@@ -73,8 +73,8 @@
     ///
     /// Guards against two failures. An endpoint closes a connection while it is idle: a request written to it ends as a
     /// reset and may have been executed, so that it can't be retried. An endpoint sends bytes behind a response, such as
-    /// a second copy: they would be read as the response to the next request, of another client. The system's buffer is
-    /// looked into, as the runtime may not have been notified of what it holds.
+    /// a second copy: they would be read as the response to the next request, of another client. The check
+    /// peeks into the system's buffer, as the runtime may not have been notified of what it holds.
     pub fn is_usable(&self) -> bool {
         !self.reader.has_unread_bytes() && self.reader.io.peek() == PeekResult::Empty
     }
