--- a/src/bin/quota-gateway/driver/enforcement.rs
+++ b/src/bin/quota-gateway/driver/enforcement.rs
@@ -79,10 +79,11 @@
 
 /// Refuses to start an attempt that the library has requested.
 ///
-/// Guards against an action that is outdated when it is carried out: one event of the library can lead to several
-/// actions, and an earlier one may have answered the request or used up its attempts. Such an attempt would be sent for
-/// a request that nobody waits for, or beside another one. The registry that is asked here is the only owner of final
-/// responses, and nothing runs between this check and the registration of the attempt.
+/// Guards against a library whose view of the request is not the registry's: an event that is still queued may have
+/// answered the request, the deadline may have passed since the library was given the time, and a fault of the library
+/// may request one attempt too many. The attempt would be executed for nobody, or beside another one. The check holds
+/// because the registry alone gives final responses and counts attempts, and because nothing else runs between this
+/// check and the registration of the attempt.
 pub fn enforce_before_start(
     limits: &AttemptLimits,
     attempt: &AttemptToStart,
--- a/src/bin/quota-gateway/driver/enforcement/tests.rs
+++ b/src/bin/quota-gateway/driver/enforcement/tests.rs
@@ -31,9 +31,8 @@
     }
 }
 
-/// The library asks for an attempt, and an action before it has changed what the request needs. The attempt would be
-/// sent for a request that nobody waits for, or beside another one. It must not start, and the reason is the first that
-/// stands against it.
+/// The library requests an attempt, while its view of the request is outdated or wrong. The attempt would be executed for
+/// a client that has its response, or beside another one. It must not start, and the first reason against it is given.
 #[test]
 fn an_outdated_attempt_is_not_started() {
     let mut attempt = attempt_to_start();
--- a/src/bin/quota-gateway/driver/registry/tests.rs
+++ b/src/bin/quota-gateway/driver/registry/tests.rs
@@ -1,4 +1,4 @@
-//! When an attempt may be sent, what answers a request, and when it is no longer open.
+//! Which attempts are started, what answers a request, and when it is no longer open.
 
 use super::{EndpointResponse, NewRequest, RequestRegistry, StartedAttempt};
 use crate::driver::enforcement::AttemptLimits;
@@ -61,6 +61,8 @@
     }
 }
 
+/// A fault of the library requests more attempts than the settings allow, a second one at once, or one without an
+/// endpoint or without time. Endpoints would execute requests too often. Each such attempt must be refused.
 #[test]
 fn an_attempt_is_sent_only_within_the_limits() {
     for (hedging, second_is_sent) in [(false, false), (true, true)] {
@@ -93,6 +95,8 @@
     assert!(start(&mut registry, id + 1).is_none(), "of no open request");
 }
 
+/// Two hedged attempts are served. The client must get one final response, that of the first, and its customer must
+/// be charged once.
 #[test]
 fn the_first_served_attempt_answers_the_request() {
     let mut registry = new_registry(true);
@@ -114,6 +118,8 @@
     assert!(registry.record(id).is_none());
 }
 
+/// A faulty endpoint reports more units than one request can take, and would use up the quota of its customer. The
+/// number must be ignored, and the response delivered.
 #[test]
 fn units_beyond_what_a_request_can_take_are_ignored() {
     let mut registry = new_registry(false);
@@ -126,6 +132,8 @@
     assert_eq!(finished.actual_units, None);
 }
 
+/// A request is answered while attempts are in flight. One that is not written yet would be executed for nobody and
+/// must be cancelled. One that is written is left to the library, as the settings may forbid cancelling it.
 #[test]
 fn a_response_cancels_only_attempts_that_are_not_written() {
     let mut registry = new_registry(true);
@@ -143,6 +151,8 @@
     );
 }
 
+/// An attempt ends after its request was answered. Its end must still find the request, as the rules on sending are
+/// checked against it, and the request must be removed afterwards, or the registry would grow without bound.
 #[test]
 fn an_answered_request_stays_open_until_its_last_attempt_has_ended() {
     let mut registry = new_registry(false);
@@ -164,7 +174,9 @@
         .is_none());
 }
 
-/// What may have been executed and must not be executed again is on record until the request is no longer open.
+/// An attempt ends without a response, as its connection was reset. The endpoint may have executed it, and a retry of
+/// a request that must be executed once could be the second execution. That must be on record for as long as the
+/// request is open.
 #[test]
 fn a_request_that_may_have_executed_is_on_record() {
     for (outcome, may_have_executed) in [
@@ -186,7 +198,8 @@
     }
 }
 
-/// A request that is ended from outside is refused only if no endpoint can have executed it.
+/// The process ends while requests are open. A client that is refused sends its request again, to another gateway, so
+/// that a request must be refused only if no endpoint can have executed it.
 #[test]
 fn what_was_never_written_was_not_executed() {
     let mut registry = new_registry(false);
--- a/src/bin/quota-gateway/driver/rule_checks/tests.rs
+++ b/src/bin/quota-gateway/driver/rule_checks/tests.rs
@@ -1,4 +1,4 @@
-//! What counts as a broken rule.
+//! What is found to break a rule.
 
 use super::{RuleChecker, WrittenAttempt};
 use crate::driver::registered_request::RequestRecord;
@@ -63,8 +63,11 @@
     }
 }
 
+/// A fault of the program writes an attempt that breaks a rule. If the check misses it, nobody learns of the fault;
+/// if it reports what the tolerances allow, the engineer on call is called for nothing. Each rule must be found
+/// broken right past its tolerance, and not before.
 #[test]
-fn each_rule_is_broken_past_its_slack_and_not_before() {
+fn each_rule_is_broken_past_its_tolerance_and_not_before() {
     let ms = Duration::from_millis;
     assert_eq!(Case::new().broken_rules(), []);
     let mut case = Case::new();
--- a/src/bin/quota-gateway/lifecycle/tests.rs
+++ b/src/bin/quota-gateway/lifecycle/tests.rs
@@ -1,4 +1,4 @@
-//! The phase on the paused clock.
+//! The phase of the process, on the paused clock.
 
 use super::{Lifecycle, Phase, Timeline};
 use std::time::Duration;
@@ -12,6 +12,8 @@
     timeline
 }
 
+/// Tasks enter phases in any order after a stall, and a second SIGTERM arrives. If the phase went back, or the times
+/// were set anew, the process would accept requests that SIGKILL cuts off. Neither must happen.
 #[tokio::test(start_paused = true)]
 async fn the_phase_never_goes_back() {
     let lifecycle = Lifecycle::new();
@@ -22,7 +24,7 @@
     lifecycle.advance_to(Phase::Refusing);
     lifecycle.advance_to(Phase::NoNewConnections);
     assert_eq!(*phase.borrow(), Phase::Refusing);
-    // A second SIGTERM does not give it more time.
+    // A second SIGTERM.
     advance(Duration::from_millis(300)).await;
     begin(&lifecycle);
     assert_eq!(*phase.borrow(), Phase::Refusing);
@@ -30,7 +32,8 @@
     assert_eq!(lifecycle.limit_deadline(far), timeline.request_deadline);
 }
 
-/// Tasks that run before the phase has moved on, as after a stall of the process, see the same as later ones.
+/// After a stall, tasks run before the one that moves the phase on. A request that they forward would be cut off at
+/// the exit. By the clock nothing may be forwarded, whatever the phase.
 #[tokio::test(start_paused = true)]
 async fn nothing_is_forwarded_once_the_time_for_that_is_over() {
     let lifecycle = Lifecycle::new();
@@ -45,6 +48,8 @@
     assert_eq!(*lifecycle.subscribe().borrow(), Phase::Accepting);
 }
 
+/// The process ends early, as no request is open. A request that arrives then would have no response. It must not be
+/// forwarded, although the time for that is not over.
 #[tokio::test(start_paused = true)]
 async fn an_early_end_forwards_nothing_more() {
     let lifecycle = Lifecycle::new();
@@ -55,6 +60,8 @@
     assert_eq!(lifecycle.refusing_since(), Some(Instant::now()));
 }
 
+/// A deadline after the exit would have an endpoint work for a process that has ended. During the shutdown it must be
+/// limited to the shutdown's own; otherwise deadlines are those of the clients.
 #[tokio::test(start_paused = true)]
 async fn deadlines_are_limited_during_the_shutdown_only() {
     let lifecycle = Lifecycle::new();
--- a/src/bin/quota-gateway/shutdown.rs
+++ b/src/bin/quota-gateway/shutdown.rs
@@ -49,8 +49,8 @@
         );
         self.lifecycle.begin_shutdown(timeline);
         sleep_until(timeline.no_new_connections_at).await;
-        // After a stall connections wait in the listener's queue, and would count as having come too late. The acceptor
-        // runs first, as all tasks that are ready take a turn.
+        // Guards against a stall until now: requests that arrived in it are unread, and the next phase closes connections
+        // that are idle. All tasks that are ready run first, and read them.
         yield_now().await;
         self.enter(Phase::NoNewConnections);
         self.wait_for_open_requests(&timeline).await;
--- a/src/bin/quota-gateway/signals.rs
+++ b/src/bin/quota-gateway/signals.rs
@@ -1,9 +1,9 @@
 //! SIGTERM and SIGHUP.
 //!
-//! Guards against two failures of the runtime's own signal handling: it panics if reading its pipe is interrupted, which
-//! ends the process; and it waits for the pipe alone, so that a signal whose byte is lost is never noticed, and SIGKILL
-//! comes without a shutdown. Here a handler sets a flag before it writes to the pipe. The pipe only wakes the task; the
-//! flag is what counts, and it is read at intervals as well.
+//! Guards against two failures. The runtime's own signal handling panics if reading its pipe is interrupted, which ends
+//! the process. And the byte that wakes the waiting task may be lost, as a write to a pipe can fail: the signal would not
+//! be noticed, and SIGKILL would come without a shutdown. Here the handler sets a flag before it writes to the pipe. The
+//! pipe only wakes the task; the flag is what counts, and it is read at intervals as well.
 
 use nix::libc::c_int;
 use signal_hook::consts::{SIGHUP, SIGTERM};
