--- a/src/bin/quota-gateway/driver/endpoints/tests.rs
+++ b/src/bin/quota-gateway/driver/endpoints/tests.rs
@@ -75,8 +75,8 @@
     assert!(!fleet.endpoints.any_ready());
 }
 
-/// A watch event names one endpoint that begins to drain. It must keep its id and get no more requests, while its
-/// connections stay usable for attempts in flight, and the other endpoints must not change.
+/// A watch event names one endpoint that begins to drain. It must keep its id and its address and get no more requests,
+/// and the other endpoints must not change.
 #[test]
 fn a_change_keeps_ids_and_leaves_other_endpoints_alone() {
     let mut fleet = Fleet::new();
@@ -116,9 +116,9 @@
     assert!(fleet.endpoints.is_ready(before[1].id));
 }
 
-/// An endpoint is removed, and late events still name it. If its id were assigned to another endpoint, that would be
-/// judged by them. An id must be kept while the library may remember the endpoint, and never be used again. The clock
-/// is paused.
+/// An endpoint is removed, and late events still name it. If another endpoint had its id, their outcomes would count for
+/// that one. An id must be kept while the library may remember the endpoint, and never be used again. The clock is
+/// paused.
 #[tokio::test(start_paused = true)]
 async fn the_id_of_a_removed_endpoint_is_kept_for_a_time_and_never_assigned_again() {
     let mut fleet = Fleet::new();
