--- a/src/bin/quota-gateway/upstream/request.rs
+++ b/src/bin/quota-gateway/upstream/request.rs
@@ -20,7 +20,7 @@
 /// A request about to be written. `prepare`, `refusal` and `encode` are called right before its first byte, in this
 /// order, and again if that byte could not be written.
 pub trait OutgoingRequest {
-    /// The wait until `refusal` can tell; none if it can at once.
+    /// The wait that `refusal` needs before it can decide; none if it can decide at once.
     fn prepare(&self) -> Option<Preparation<'_>> {
         None
     }
