--- a/src/bin/quota-gateway/config/error.rs
+++ b/src/bin/quota-gateway/config/error.rs
@@ -1,6 +1,6 @@
 //! What can be wrong with a configuration.
 
-use crate::transient_errors::may_pass;
+use crate::transient_errors::is_transient;
 use quota_gateway::wire_settings::SettingProblem;
 use std::io;
 use thiserror::Error;
@@ -27,8 +27,8 @@
 
 impl ConfigError {
     /// True if the file may be readable a little later.
-    pub fn may_pass(&self) -> bool {
-        matches!(self, ConfigError::FileUnreadable { source, .. } if may_pass(source))
+    pub fn is_transient(&self) -> bool {
+        matches!(self, ConfigError::FileUnreadable { source, .. } if is_transient(source))
     }
 
     pub fn invalid(field: impl Into<String>, problem: FieldProblem) -> Self {
--- a/src/bin/quota-gateway/config/mod.rs
+++ b/src/bin/quota-gateway/config/mod.rs
@@ -22,7 +22,7 @@
 const CONFIG_VARIABLE: &str = "RELAY_CONFIG";
 /// How long the file is tried for. After SIGHUP the former addresses work for 1.5 s, and what discovery tells counts as
 /// told 4 s later.
-const READ_PATIENCE: Duration = Duration::from_secs(2);
+const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A checked configuration.
 pub struct Config {
@@ -66,7 +66,7 @@
 
 /// Reads the file that `RELAY_CONFIG` names, again for a while if that fails for a reason that may pass.
 pub async fn load() -> Result<Config, ConfigError> {
-    retry(READ_PATIENCE, ConfigError::may_pass, || async {
+    retry(READ_TIMEOUT, ConfigError::is_transient, || async {
         load_once()
     })
     .await
--- a/src/bin/quota-gateway/metrics/labels.rs
+++ b/src/bin/quota-gateway/metrics/labels.rs
@@ -104,7 +104,7 @@
         /// It ended by HTTP: the client closed it or sent no valid HTTP, or the gateway's response asked to close.
         Finished => "finished",
         /// The client disconnected while its request was being served.
-        ClientGone => "client_gone",
+        ClientDisconnected => "client_gone",
         /// No complete head arrived in time.
         TimedOut => "timed_out",
         /// It gave up its slot to another client.
--- a/src/bin/quota-gateway/retry.rs
+++ b/src/bin/quota-gateway/retry.rs
@@ -4,7 +4,7 @@
 //! interrupted, the former process still has the address. Without a retry the process would end at its start, or keep
 //! addresses that are no longer served.
 
-use crate::transient_errors::may_pass;
+use crate::transient_errors::is_transient;
 use std::future::Future;
 use std::io;
 use std::thread;
@@ -23,7 +23,7 @@
 /// The last failure.
 pub async fn retry<T, E, F>(
     max_duration: Duration,
-    may_pass: impl Fn(&E) -> bool,
+    is_transient: impl Fn(&E) -> bool,
     open: impl Fn() -> F,
 ) -> Result<T, E>
 where
@@ -32,7 +32,7 @@
     let deadline = Instant::now() + max_duration;
     loop {
         match open().await {
-            Err(error) if may_pass(&error) && Instant::now() < deadline => {}
+            Err(error) if is_transient(&error) && Instant::now() < deadline => {}
             result => return result,
         }
         sleep(RETRY_DELAY).await;
@@ -48,7 +48,7 @@
     let deadline = std::time::Instant::now() + RUNTIME_TIMEOUT;
     loop {
         match open() {
-            Err(error) if may_pass(&error) && std::time::Instant::now() < deadline => {}
+            Err(error) if is_transient(&error) && std::time::Instant::now() < deadline => {}
             result => return result,
         }
         thread::sleep(RETRY_DELAY);
--- a/src/bin/quota-gateway/server/connection/close_reason.rs
+++ b/src/bin/quota-gateway/server/connection/close_reason.rs
@@ -54,7 +54,7 @@
     /// The reason as metrics and the log have it.
     pub fn metric_label(&self, phase: Phase) -> ConnectionEnd {
         match self {
-            CloseReason::ClientDisconnected => ConnectionEnd::ClientGone,
+            CloseReason::ClientDisconnected => ConnectionEnd::ClientDisconnected,
             CloseReason::HeadTimeout => ConnectionEnd::TimedOut,
             CloseReason::PartialRequest => ConnectionEnd::Incomplete,
             CloseReason::Drained => ConnectionEnd::Draining,
--- a/src/bin/quota-gateway/socket.rs
+++ b/src/bin/quota-gateway/socket.rs
@@ -11,7 +11,7 @@
 //! - After a stall of the process the runtime does not know yet what the sockets have received. `peek` and
 //!   `peer_has_closed` ask the system itself.
 
-use crate::transient_errors::{may_pass, may_pass_for_transfer};
+use crate::transient_errors::{is_transient, is_transient_for_transfer};
 use nix::poll::{poll, PollFd, PollFlags, PollTimeout};
 use socket2::SockRef;
 use std::io::{self, ErrorKind, IoSlice};
@@ -59,7 +59,7 @@
         loop {
             match TcpStream::connect(addr).await {
                 Ok(stream) => return Ok(Socket::new(stream)),
-                Err(error) if attempts < MAX_CONNECT_ATTEMPTS && may_pass(&error) => {}
+                Err(error) if attempts < MAX_CONNECT_ATTEMPTS && is_transient(&error) => {}
                 Err(error) => return Err(error),
             }
             attempts += 1;
@@ -84,7 +84,7 @@
     pub fn try_write(&self, bytes: &[u8]) -> io::Result<usize> {
         let written = self.stream.try_write(bytes);
         written.map_err(|error| {
-            if may_pass_for_transfer(&error) {
+            if is_transient_for_transfer(&error) {
                 ErrorKind::WouldBlock.into()
             } else {
                 error
@@ -124,7 +124,7 @@
                 Ok(0) => return PeekResult::EndOfStream,
                 Ok(_) => return PeekResult::Data,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return PeekResult::Empty,
-                Err(error) if may_pass_for_transfer(&error) => {}
+                Err(error) if is_transient_for_transfer(&error) => {}
                 Err(_) => return PeekResult::EndOfStream,
             }
         }
@@ -148,7 +148,7 @@
         for _ in 0..MAX_TRANSIENT_FAILURES {
             match poll(&mut sockets, PollTimeout::ZERO) {
                 Ok(found) => return found > 0,
-                Err(error) if may_pass_for_transfer(&error.into()) => {}
+                Err(error) if is_transient_for_transfer(&error.into()) => {}
                 Err(_) => return false,
             }
         }
@@ -204,7 +204,7 @@
     loop {
         ready!(poll_ready())?;
         match call() {
-            Err(error) if may_pass_for_transfer(&error) => {}
+            Err(error) if is_transient_for_transfer(&error) => {}
             result => return Poll::Ready(result),
         }
     }
--- a/src/bin/quota-gateway/transient_errors.rs
+++ b/src/bin/quota-gateway/transient_errors.rs
@@ -20,17 +20,17 @@
 const RESOURCE_ERRORS: [i32; 4] = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
 
 /// Whether an error of opening a file or a socket is transient.
-pub fn may_pass(error: &io::Error) -> bool {
+pub fn is_transient(error: &io::Error) -> bool {
     is_one_of(error, &OPENING_ERRORS)
 }
 
 /// Whether an error of binding an address is transient. The address may be in use until the former process has ended.
-pub fn may_pass_for_address(error: &io::Error) -> bool {
-    error.kind() == ErrorKind::AddrInUse || may_pass(error)
+pub fn is_transient_for_address(error: &io::Error) -> bool {
+    error.kind() == ErrorKind::AddrInUse || is_transient(error)
 }
 
 /// Whether a call on an open socket can be repeated.
-pub fn may_pass_for_transfer(error: &io::Error) -> bool {
+pub fn is_transient_for_transfer(error: &io::Error) -> bool {
     // The runtime makes errors of this kind without a code of the system.
     error.kind() == ErrorKind::WouldBlock || is_one_of(error, &TRANSFER_ERRORS)
 }
