--- a/src/bin/quota-gateway/config/mod.rs
+++ b/src/bin/quota-gateway/config/mod.rs
@@ -20,8 +20,8 @@
 
 /// Names the configuration file.
 const CONFIG_VARIABLE: &str = "RELAY_CONFIG";
-/// How long the file is tried for. After SIGHUP the former addresses work for 1.5 s, and what discovery tells counts as
-/// told 4 s later.
+/// How long reading the file is retried. After SIGHUP the former addresses work for 1.5 s, and the gateway counts as
+/// notified of changes at the new discovery 4 s later.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A checked configuration.
