--- a/emulator/src/simulation/attempts.rs
+++ b/emulator/src/simulation/attempts.rs
@@ -1,16 +1,13 @@
 //! Attempts: from a gateway over the network to an endpoint, and back.
 
+use super::connections::ConnectionUse;
 use super::event::{Event, GatewayProcess};
-use super::requests::{FirstExecution, OpenRequest};
+use super::requests::FirstExecution;
 use super::Simulation;
 use crate::endpoint::{Arrival, EndpointStatus};
-use crate::experiment::IdempotencyModel;
 use crate::{micros, Micros};
 use quota_gateway::{AttemptEnd, Event as GatewayEvent, Outcome};
 
-/// An attempt that begins later than this after its client has disconnected is one too many.
-const DISCONNECT_GRACE: Micros = 100_000;
-
 /// An attempt that its gateway awaits, or that its endpoint still has.
 pub(super) struct Attempt {
     request: u64,
@@ -26,14 +23,6 @@
     actual_units: f64,
 }
 
-/// What opening or reusing a connection meant for an attempt.
-#[derive(Clone, Copy)]
-struct ConnectionUse {
-    is_new: bool,
-    /// The endpoint holds as many connections as it accepts.
-    refused: bool,
-}
-
 impl Simulation<'_> {
     /// A gateway sends an attempt. Returns the end of one that is not sent at all.
     pub(super) fn send_attempt(
@@ -122,32 +111,6 @@
             .schedule_in(handshake + delay, Event::AttemptArrives { attempt });
     }
 
-    /// Takes an idle connection or opens a new one.
-    fn take_connection(&mut self, gateway: u32, endpoint: u32) -> ConnectionUse {
-        let now = self.queue.now();
-        // As the program has it: a connection counts as closed from half the time-out on.
-        let idle_timeout = self.idle_timeout();
-        let checkout = self.gateways[gateway as usize].take_connection(endpoint, now, idle_timeout);
-        let target = &mut self.endpoints[endpoint as usize];
-        target.connections -= checkout.closed;
-        if !checkout.is_new {
-            return ConnectionUse {
-                is_new: false,
-                refused: false,
-            };
-        }
-        let refused = target.connections >= self.endpoint_parameters.max_connections;
-        target.connections += 1;
-        ConnectionUse {
-            is_new: true,
-            refused,
-        }
-    }
-
-    fn idle_timeout(&self) -> Micros {
-        micros(self.experiment.rules.idle_timeout_ms / 2.0)
-    }
-
     fn record_attempt(
         &mut self,
         gateway: u32,
@@ -177,73 +140,6 @@
             .or_default() += 1;
     }
 
-    /// Rule: nothing is sent for a client that disconnected a while ago.
-    fn check_disconnected(&mut self, gateway: u32, request: u64) {
-        let now = self.queue.now();
-        let Some(disconnected_at) = self.open_requests[&request].disconnected_at else {
-            return;
-        };
-        if now <= disconnected_at + DISCONNECT_GRACE {
-            return;
-        }
-        let late_ms = (now - disconnected_at) / 1000;
-        let violations = &mut self.recorder.report.violations;
-        violations.sent_after_disconnect += 1;
-        violations.describe(|| {
-            format!("left: gateway {gateway} sent {late_ms} ms after the client had disconnected")
-        });
-    }
-
-    /// Rule: what may have been executed is retried only where a second execution does no harm.
-    fn check_duplicated(&mut self, gateway: u32, request: u64, endpoint: u32) {
-        let open = &self.open_requests[&request];
-        if !self.would_duplicate(open, endpoint) {
-            return;
-        }
-        let violations = &mut self.recorder.report.violations;
-        violations.duplicated += 1;
-        violations.describe(|| format!("doubled: gateway {gateway} sent request {request} again"));
-    }
-
-    fn would_duplicate(&self, open: &OpenRequest, endpoint: u32) -> bool {
-        let idempotency = self.experiment.classes[open.client_request.class as usize].idempotency;
-        if idempotency == IdempotencyModel::NotIdempotent {
-            return open.first_execution.is_some() || open.in_flight > 0;
-        }
-        let Some(first) = open.first_execution else {
-            return false;
-        };
-        let key_expires_at = first.sent_at + micros(self.experiment.rules.idempotency_window_ms);
-        let key_expired = self.queue.now() > key_expires_at;
-        match idempotency {
-            IdempotencyModel::KeyPerZone => {
-                first.zone != self.endpoints[endpoint as usize].zone || key_expired
-            }
-            IdempotencyModel::KeyEverywhere => key_expired,
-            IdempotencyModel::Idempotent | IdempotencyModel::NotIdempotent => false,
-        }
-    }
-
-    /// Rule: nothing new is sent to an endpoint some time after the gateway was notified of its draining.
-    fn check_draining(&mut self, gateway: u32, endpoint: u32) {
-        let now = self.queue.now();
-        let Some(notified_at) = self.gateways[gateway as usize]
-            .draining_since
-            .get(&endpoint)
-        else {
-            return;
-        };
-        if now <= notified_at + micros(self.experiment.rules.drain_grace_ms) {
-            return;
-        }
-        let late_ms = (now - notified_at) / 1000;
-        let violations = &mut self.recorder.report.violations;
-        violations.sent_after_drain += 1;
-        violations.describe(|| {
-            format!("drain: gateway {gateway} sent to endpoint {endpoint} {late_ms} ms after it was notified")
-        });
-    }
-
     /// An attempt has arrived at its endpoint.
     pub(super) fn attempt_arrives(&mut self, id: u64) {
         let is_measuring = self.is_measuring();
@@ -279,15 +175,6 @@
         }
     }
 
-    fn record_overload(&mut self, endpoint: u32, arrived: usize, allowed: f64) {
-        let at_s = self.queue.now() as f64 / 1e6;
-        let violations = &mut self.recorder.report.violations;
-        violations.overloaded_endpoints += 1;
-        violations.describe(|| {
-            format!("cold: endpoint {endpoint} got {arrived} requests of {allowed:.1} allowed, at {at_s:.3} s")
-        });
-    }
-
     /// An endpoint has completed an attempt.
     pub(super) fn service_completed(&mut self, index: u32, generation: u32, attempt: u64) {
         let now = self.queue.now();
@@ -406,32 +293,6 @@
             }
         }
     }
-
-    /// After a response the connection is idle again; without one it is closed.
-    fn release_connection(&mut self, gateway: u32, endpoint: u32, outcome: Outcome) {
-        let connections = &mut self.gateways[gateway as usize].connections;
-        if matches!(outcome, Outcome::Success | Outcome::Rejected) {
-            connections.put_back(endpoint, self.queue.now());
-        } else if connections.close_one(endpoint) {
-            self.endpoints[endpoint as usize].connections -= 1;
-        }
-    }
-
-    /// A gateway closes connections that have been idle for too long.
-    pub(super) fn close_idle_connections(&mut self, gateway: u32) {
-        let now = self.queue.now();
-        let idle_timeout = self.idle_timeout();
-        let connections = &mut self.gateways[gateway as usize].connections;
-        for (endpoint, closed) in connections.close_idle(now, idle_timeout) {
-            self.endpoints[endpoint as usize].connections -= closed;
-        }
-        if now < self.ends_at {
-            self.queue.schedule_in(
-                super::IDLE_CHECK_INTERVAL,
-                Event::IdleConnectionCheck { gateway },
-            );
-        }
-    }
 }
 
 /// The end of an attempt that was not sent.
--- a/emulator/src/simulation/mod.rs
+++ b/emulator/src/simulation/mod.rs
@@ -2,6 +2,7 @@
 
 mod actions;
 mod attempts;
+mod connections;
 mod counter_calls;
 mod endpoint_list;
 mod event;
@@ -10,6 +11,7 @@
 mod gateway;
 mod recorder;
 mod requests;
+mod rule_checks;
 
 use crate::clients::Clients;
 use crate::counter::Counter;
--- /dev/null
+++ b/emulator/src/simulation/rule_checks.rs
@@ -0,0 +1,89 @@
+//! The rules on attempts, checked on the event clock as each is sent. What breaks one is counted and described in the
+//! report.
+
+use super::requests::OpenRequest;
+use super::Simulation;
+use crate::experiment::IdempotencyModel;
+use crate::{micros, Micros};
+
+/// An attempt that begins later than this after its client has disconnected is one too many.
+const DISCONNECT_GRACE: Micros = 100_000;
+
+impl Simulation<'_> {
+    /// Rule: nothing is sent for a client that disconnected a while ago.
+    pub(super) fn check_disconnected(&mut self, gateway: u32, request: u64) {
+        let now = self.queue.now();
+        let Some(disconnected_at) = self.open_requests[&request].disconnected_at else {
+            return;
+        };
+        if now <= disconnected_at + DISCONNECT_GRACE {
+            return;
+        }
+        let late_ms = (now - disconnected_at) / 1000;
+        let violations = &mut self.recorder.report.violations;
+        violations.sent_after_disconnect += 1;
+        violations.describe(|| {
+            format!("left: gateway {gateway} sent {late_ms} ms after the client had disconnected")
+        });
+    }
+
+    /// Rule: what may have been executed is retried only where a second execution does no harm.
+    pub(super) fn check_duplicated(&mut self, gateway: u32, request: u64, endpoint: u32) {
+        let open = &self.open_requests[&request];
+        if !self.would_duplicate(open, endpoint) {
+            return;
+        }
+        let violations = &mut self.recorder.report.violations;
+        violations.duplicated += 1;
+        violations.describe(|| format!("doubled: gateway {gateway} sent request {request} again"));
+    }
+
+    fn would_duplicate(&self, open: &OpenRequest, endpoint: u32) -> bool {
+        let idempotency = self.experiment.classes[open.client_request.class as usize].idempotency;
+        if idempotency == IdempotencyModel::NotIdempotent {
+            return open.first_execution.is_some() || open.in_flight > 0;
+        }
+        let Some(first) = open.first_execution else {
+            return false;
+        };
+        let key_expires_at = first.sent_at + micros(self.experiment.rules.idempotency_window_ms);
+        let key_expired = self.queue.now() > key_expires_at;
+        match idempotency {
+            IdempotencyModel::KeyPerZone => {
+                first.zone != self.endpoints[endpoint as usize].zone || key_expired
+            }
+            IdempotencyModel::KeyEverywhere => key_expired,
+            IdempotencyModel::Idempotent | IdempotencyModel::NotIdempotent => false,
+        }
+    }
+
+    /// Rule: nothing new is sent to an endpoint some time after the gateway was notified of its draining.
+    pub(super) fn check_draining(&mut self, gateway: u32, endpoint: u32) {
+        let now = self.queue.now();
+        let Some(notified_at) = self.gateways[gateway as usize]
+            .draining_since
+            .get(&endpoint)
+        else {
+            return;
+        };
+        if now <= notified_at + micros(self.experiment.rules.drain_grace_ms) {
+            return;
+        }
+        let late_ms = (now - notified_at) / 1000;
+        let violations = &mut self.recorder.report.violations;
+        violations.sent_after_drain += 1;
+        violations.describe(|| {
+            format!("drain: gateway {gateway} sent to endpoint {endpoint} {late_ms} ms after it was notified")
+        });
+    }
+
+    /// Rule: an endpoint in slow start is not overloaded.
+    pub(super) fn record_overload(&mut self, endpoint: u32, arrived: usize, allowed: f64) {
+        let at_s = self.queue.now() as f64 / 1e6;
+        let violations = &mut self.recorder.report.violations;
+        violations.overloaded_endpoints += 1;
+        violations.describe(|| {
+            format!("cold: endpoint {endpoint} got {arrived} requests of {allowed:.1} allowed, at {at_s:.3} s")
+        });
+    }
+}
