--- a/tests/gateway/stand_ins/config.rs
+++ b/tests/gateway/stand_ins/config.rs
@@ -1,8 +1,6 @@
 //! Configurations of the gateway under test.
 
-use super::counter::start_counter;
-use super::discovery::list_entry;
-use super::server::{start_server, Reply};
+use super::{list_entry, start_counter, start_server, Reply};
 use std::net::SocketAddr;
 use std::sync::mpsc::channel;
 use std::sync::Arc;
--- a/tests/gateway/stand_ins/gateway.rs
+++ b/tests/gateway/stand_ins/gateway.rs
@@ -1,10 +1,8 @@
 //! The gateway under test.
 
 use super::faults::fault_environment;
-use super::http::{read_message, Message};
 use super::requests::get_request;
-use super::server::unused_address;
-use super::TEST_TIMEOUT;
+use super::{read_message, unused_address, Message, TEST_TIMEOUT};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
@@ -45,7 +43,7 @@
     (spawn_program_at(&path, sockets, log, environment), path)
 }
 
-/// Starts the program with the configuration that lies there, and with at most this number of descriptors.
+/// Starts the program with the configuration in this file, and with at most this number of descriptors.
 pub fn spawn_program_at(
     path: &Path,
     sockets: u64,
