--- a/emulator/src/real/clients.rs
+++ b/emulator/src/real/clients.rs
@@ -1,6 +1,6 @@
 //! The load of a run: clients that make requests at even times.
 
-use super::http::Connection;
+use ::stand_ins::connection::Connection;
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -129,24 +129,16 @@
     pub(super) async fn request(&mut self, request: &str) -> io::Result<u16> {
         let mut connection = match self.connection.take() {
             Some(connection) => connection,
-            None => Connection::new(TcpStream::connect(self.gateway).await?)?,
+            None => Connection::new(TcpStream::connect(self.gateway).await?),
         };
         connection.send(request.as_bytes()).await?;
         let response = connection
             .receive()
             .await?
             .ok_or_else(|| io::Error::other("closed"))?;
-        let status = response
-            .second_word()
-            .parse()
-            .map_err(|_| io::Error::other("no status"))?;
-        if !response
-            .head
-            .to_ascii_lowercase()
-            .contains("connection: close")
-        {
+        if !response.closes() {
             self.connection = Some(connection);
         }
-        Ok(status)
+        Ok(response.status())
     }
 }
--- a/emulator/src/real/figures.rs
+++ b/emulator/src/real/figures.rs
@@ -67,18 +67,18 @@
         let idle_processor_s = at_rest.processor_s() - at_start.processor_s();
         let load_processor_s = after_load.processor_s() - at_rest.processor_s();
         let counter_calls =
-            (after_load.traffic.counter_calls - at_rest.traffic.counter_calls) as f64;
+            (after_load.traffic.counter.calls - at_rest.traffic.counter.calls) as f64;
         let counter_bytes =
-            (after_load.traffic.counter_bytes - at_rest.traffic.counter_bytes) as f64;
-        let idle_list_bytes = (at_rest.traffic.list_bytes - at_start.traffic.list_bytes) as f64;
+            (after_load.traffic.counter.bytes - at_rest.traffic.counter.bytes) as f64;
+        let idle_list_bytes = (at_rest.traffic.list.bytes - at_start.traffic.list.bytes) as f64;
         RealRunFigures {
             gateways: run.gateways,
             endpoints: run.endpoints,
             requests_per_s: run.requests_per_s,
             service_ms: run.service_ms,
             ready_s,
-            list_calls: after_load.traffic.list_calls,
-            list_kb: at_start.traffic.list_bytes as f64 / 1000.0,
+            list_calls: after_load.traffic.list.calls,
+            list_kb: at_start.traffic.list.bytes as f64 / 1000.0,
             idle_list_bytes_per_s: idle_list_bytes / gateway_seconds,
             idle_core_percent: 100.0 * idle_processor_s / gateway_seconds,
             load_core_percent: 100.0 * load_processor_s / gateway_seconds,
--- a/emulator/src/real/gateway_config.rs
+++ b/emulator/src/real/gateway_config.rs
@@ -13,8 +13,8 @@
     json!({
         "name": format!("n{index}"),
         "listen": "127.0.0.1:0",
-        "discovery": stand_ins.discovery,
-        "counter": stand_ins.counter,
+        "discovery": stand_ins.discovery.address(),
+        "counter": stand_ins.counter_address,
         "seed": format!("{:x}", FIRST_SEED + u64::from(index)),
         "known": known_list(stand_ins),
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
@@ -23,12 +23,8 @@
 }
 
 fn known_list(stand_ins: &StandIns) -> Value {
-    let first = stand_ins
-        .list_entries
-        .first()
-        .and_then(|entry| serde_json::from_str::<Value>(entry).ok());
-    let servers: Vec<Value> = first.into_iter().collect();
-    json!({"version": KNOWN_VERSION, "full": true, "servers": servers})
+    let entries: Vec<_> = stand_ins.first_entry.iter().collect();
+    json!({"version": KNOWN_VERSION, "full": true, "servers": entries})
 }
 
 fn settings(index: u32, gateways: u32) -> Value {
--- a/emulator/src/real/mod.rs
+++ b/emulator/src/real/mod.rs
@@ -5,7 +5,6 @@
 mod figures;
 mod gateway_config;
 mod gateway_process;
-mod http;
 mod stand_ins;
 
 pub use figures::RealRunFigures;
@@ -56,7 +55,7 @@
 /// Why a run could not be made; printed as one line.
 #[derive(Debug, Error)]
 pub enum RealRunError {
-    /// An argument lies outside its range.
+    /// An argument is outside its range.
     #[error("{argument}: {value} is not within 1 to {max}")]
     OutOfRange {
         /// The argument's name.
