--- a/soak/src/crowd.rs
+++ b/soak/src/clients/idle.rs
@@ -1,9 +1,8 @@
 //! Idle clients that fill the descriptors of a gateway: each connects, sends nothing, and connects again once it has
 //! been closed.
 
-use crate::world::World;
+use super::context::ClientContext;
 use rand::Rng;
-use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
@@ -11,22 +10,21 @@
 
 /// Pause before a client connects again.
 const PAUSE_MS: std::ops::Range<u64> = 50..300;
-/// Room for whatever the gateway says.
+/// Bytes that are read at a time of whatever the gateway sends.
 const READ_BYTES: usize = 512;
+/// Name of these clients' random streams. Another name would draw other times from a seed.
+const STREAM: &str = "crowd";
 
 /// One idle client of a gateway, until the load ends.
-pub async fn run(world: Rc<World>, gateway: usize, number: u64) {
-    let mut rng = crate::stream(world.seed, "crowd", number);
-    while !world.has_ended() {
+pub async fn run(context: ClientContext, gateway: usize, number: u64) {
+    let mut rng = crate::stream(context.settings.seed, STREAM, number);
+    while !context.settings.has_load_ended() {
         sleep(Duration::from_millis(rng.random_range(PAUSE_MS))).await;
-        let (is_admitted, address) = {
-            let gateways = world.gateways.borrow();
-            (gateways[gateway].is_admitted, gateways[gateway].address)
-        };
-        if !is_admitted {
+        let state = context.directory.state(gateway);
+        if !state.is_admitted {
             continue;
         }
-        let Ok(mut stream) = TcpStream::connect(address).await else {
+        let Ok(mut stream) = TcpStream::connect(state.address).await else {
             continue;
         };
         let mut answer = [0; READ_BYTES];
--- a/soak/src/misbehaving_clients.rs
+++ b/soak/src/clients/misbehaving.rs
@@ -1,17 +1,21 @@
 //! Clients that misbehave. Each is owed an error or a close within 3 s of connecting.
 
-use crate::http::Connection;
-use crate::judge::Rule;
-use crate::world::World;
+use super::context::ClientContext;
+use crate::rules::Rule;
 use rand::Rng;
-use std::rc::Rc;
+use stand_ins::connection::Connection;
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
 
+/// Pause before a client connects again.
 const PAUSE_MS: std::ops::Range<u64> = 100..1500;
 /// What such a client is owed comes within this time of connecting.
-const PATIENCE: Duration = Duration::from_secs(3);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
+/// A client waits this much longer, so that a late answer is told from none.
+const EXTRA_WAIT: Duration = Duration::from_secs(2);
+/// Pause between connecting and sending, of those clients that pause.
+const SEND_DELAY_MS: std::ops::Range<u64> = 0..2200;
 
 /// What such a client sends, and then nothing more.
 const TEXTS: [&str; 7] = [
@@ -26,44 +30,38 @@
 ];
 
 /// Misbehaves until the load ends.
-pub async fn run(world: Rc<World>, number: u64) {
-    let mut rng = crate::stream(world.seed, "misbehaving client", number);
-    while !world.has_ended() {
+pub async fn run(context: ClientContext, number: u64) {
+    let mut rng = crate::stream(context.settings.seed, "misbehaving client", number);
+    while !context.settings.has_load_ended() {
         sleep(Duration::from_millis(rng.random_range(PAUSE_MS))).await;
-        let gateway = rng.random_range(0..world.gateways.borrow().len());
+        let gateway = rng.random_range(0..context.directory.count());
         let delay = Duration::from_millis(if rng.random() {
             0
         } else {
-            rng.random_range(0..2200)
+            rng.random_range(SEND_DELAY_MS)
         });
         let text = TEXTS[rng.random_range(0..TEXTS.len())];
-        let (address, generation) = {
-            let gateways = world.gateways.borrow();
-            if !gateways[gateway].is_admitted {
-                continue;
-            }
-            (gateways[gateway].address, gateways[gateway].generation)
-        };
-        let Ok(stream) = TcpStream::connect(address).await else {
+        let state = context.directory.state(gateway);
+        if !state.is_admitted {
+            continue;
+        }
+        let Ok(stream) = TcpStream::connect(state.address).await else {
             continue;
         };
         let connected_at = Instant::now();
         let mut connection = Connection::new(stream);
         sleep(delay).await;
         let _ = connection.send(text.as_bytes()).await;
-        let is_over = timeout(PATIENCE + Duration::from_secs(2), connection.receive())
+        let is_over = timeout(ANSWER_TIMEOUT + EXTRA_WAIT, connection.receive())
             .await
             .is_ok();
         let took = connected_at.elapsed();
-        let allowed = PATIENCE + world.lag.allowance();
-        let state_changed = world.gateways.borrow()[gateway].generation != generation;
-        world.judge.borrow_mut().count("misbehaving clients");
-        if (!is_over || took > allowed) && !state_changed {
+        let allowed = ANSWER_TIMEOUT + context.delay.allowance();
+        let was_restarted = context.directory.state(gateway).generation != state.generation;
+        context.observations.count("misbehaving clients");
+        if (!is_over || took > allowed) && !was_restarted {
             let detail = format!("gateway {gateway}: {took:?} for {text:?}, sent after {delay:?}");
-            world
-                .judge
-                .borrow_mut()
-                .report(Rule::MisbehavingClient, detail);
+            context.observations.report(Rule::MisbehavingClient, detail);
         }
     }
 }
--- a/soak/src/outcome.rs
+++ b/soak/src/clients/outcome.rs
@@ -1,8 +1,9 @@
-//! What becomes of a request that was sent: its answer, or what the end of its connection tells.
+//! What becomes of a request that was sent: its answer, or what the end of its connection says of it.
 
-use crate::http::{Connection, Message};
-use crate::request::Request;
-use crate::world::World;
+use super::context::ClientContext;
+use super::request::Request;
+use stand_ins::connection::Connection;
+use stand_ins::message::Message;
 use std::io;
 use std::time::Duration;
 use tokio::time::{timeout, Instant};
@@ -10,7 +11,7 @@
 #[cfg(test)]
 mod tests;
 
-/// An answer may come this long after the client's time, and earns nothing then.
+/// A client waits this much longer than its deadline, so that a late answer is told from none.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
 /// A request and the end of its connection may cross for so long.
 const CROSSING_TIME: Duration = Duration::from_millis(10);
@@ -27,24 +28,24 @@
 
 impl Close {
     /// The close that a client saw so long after it had sent its request on a connection that was open then.
-    pub fn seen(result: &io::Result<Option<Message>>, after: Duration, lag: Duration) -> Self {
+    pub fn seen(result: &io::Result<Option<Message>>, after: Duration, delay: Duration) -> Self {
         let is_orderly = matches!(result, Ok(None));
-        if is_orderly && after > CROSSING_TIME + lag {
+        if is_orderly && after > CROSSING_TIME + delay {
             Close::Dropped
         } else {
             Close::Unread
         }
     }
 
-    /// Whether this is owed to a crowd: where idle clients fill the descriptors, a connection may be shut unread.
-    pub fn is_due_to_crowd(self, was_forwarded: bool) -> bool {
+    /// Whether idle clients may be the cause: where they fill the descriptors, a connection may be closed unread.
+    pub fn is_due_to_idle_clients(self, was_forwarded: bool) -> bool {
         self == Close::Unread && !was_forwarded
     }
 }
 
 /// What became of a request.
-pub enum End {
-    /// Its answer came whole.
+pub enum Outcome {
+    /// Its answer is complete.
     Answered(Message),
     /// The connection ended without an answer.
     Closed(Close),
@@ -52,22 +53,24 @@
     TimedOut,
 }
 
-/// Waits for the answer to a request that was sent just now, and hands it to the judge.
-pub async fn receive(world: &World, connection: &mut Connection, request: &Request) -> End {
+/// Waits for the answer to a request that was sent just now, and hands it to the checker.
+pub async fn receive(
+    context: &ClientContext,
+    connection: &mut Connection,
+    request: &Request,
+) -> Outcome {
     let sent_at = Instant::now();
     match timeout(request.remaining + ANSWER_SLACK, connection.receive()).await {
         Ok(Ok(Some(answer))) => {
-            world
-                .judge
-                .borrow_mut()
-                .answered(request.transaction, answer.status(), &answer.body);
-            End::Answered(answer)
+            let mut checker = context.checker.borrow_mut();
+            checker.answered(request.transaction, answer.status(), &answer.body);
+            Outcome::Answered(answer)
         }
-        Ok(result) => End::Closed(Close::seen(
+        Ok(result) => Outcome::Closed(Close::seen(
             &result,
             sent_at.elapsed(),
-            world.lag.allowance(),
+            context.delay.allowance(),
         )),
-        Err(_) => End::TimedOut,
+        Err(_) => Outcome::TimedOut,
     }
 }
--- a/soak/src/request.rs
+++ b/soak/src/clients/request.rs
@@ -1,19 +1,24 @@
 //! Requests as clients send them.
 
-use crate::judge::Class;
-use crate::world::World;
+use super::context::ClientContext;
+use crate::request_class::RequestClass;
 use rand::seq::IndexedRandom;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
-use std::rc::Rc;
 use std::time::Duration;
 
-/// A client waits for at least this, or this part of the class's deadline.
+/// A client waits for at least this, or half of the class's deadline if that is shorter.
 const MIN_REMAINING: Duration = Duration::from_millis(150);
+/// A client waits for at least this part of the class's deadline.
 const MIN_REMAINING_PART: f64 = 0.1;
 /// Customers of one client.
 const CUSTOMERS: u64 = 50;
-
+/// The classes, each as likely as the others.
+const CLASSES: [RequestClass; 3] = [
+    RequestClass::Idempotent,
+    RequestClass::WithKey,
+    RequestClass::AtMostOnce,
+];
 /// Bytes of a body.
 const BODY_BYTES: std::ops::Range<usize> = 0..4000;
 
@@ -22,7 +27,7 @@
     /// Its id.
     pub transaction: u64,
     /// Its class.
-    pub class: Class,
+    pub class: RequestClass,
     /// How long its client waits.
     pub remaining: Duration,
     /// As it is sent.
@@ -31,32 +36,36 @@
 
 /// Makes the requests of one client.
 pub struct RequestSource {
-    world: Rc<World>,
+    context: ClientContext,
     number: u64,
     rng: ChaCha8Rng,
 }
 
 impl RequestSource {
     /// Those of the client of this number, which no other client has.
-    pub fn new(world: Rc<World>, number: u64) -> Self {
-        let rng = crate::stream(world.seed, "requests", number);
-        RequestSource { world, number, rng }
+    pub fn new(context: ClientContext, number: u64) -> Self {
+        let rng = crate::stream(context.settings.seed, "requests", number);
+        RequestSource {
+            context,
+            number,
+            rng,
+        }
     }
 
     /// The next request, with an id of its own.
     pub fn next(&mut self) -> Request {
-        let class = *[Class::Look, Class::Order, Class::Once]
+        let class = *CLASSES
             .choose(&mut self.rng)
-            .unwrap_or(&Class::Look);
-        let longest = self.world.conditions.deadline(class);
+            .unwrap_or(&RequestClass::Idempotent);
+        let longest = self.context.settings.scenario.deadline(class);
         let shortest = longest
             .mul_f64(MIN_REMAINING_PART)
             .max(MIN_REMAINING)
             .min(longest / 2);
         let remaining = self.rng.random_range(shortest..longest);
-        let transaction = self.world.next_transaction();
+        let transaction = self.context.transactions.next();
         let customer = self.number * CUSTOMERS + self.rng.random_range(0..CUSTOMERS);
-        let body_length = if class == Class::Look {
+        let body_length = if class == RequestClass::Idempotent {
             0
         } else {
             self.rng.random_range(BODY_BYTES)
@@ -72,24 +81,26 @@
 }
 
 fn request_text(
-    class: Class,
+    class: RequestClass,
     transaction: u64,
     customer: u64,
     remaining: Duration,
     body_length: usize,
 ) -> String {
     let (method, name) = match class {
-        Class::Look => ("GET", "look"),
-        Class::Order => ("POST", "order"),
-        Class::Once => ("POST", "once"),
+        RequestClass::Idempotent => ("GET", "look"),
+        RequestClass::WithKey => ("POST", "order"),
+        RequestClass::AtMostOnce => ("POST", "once"),
     };
     let key = match class {
-        Class::Order => format!("Idempotency-Key: key-{transaction:016x}\r\n"),
-        Class::Look | Class::Once => String::new(),
+        RequestClass::WithKey => format!("Idempotency-Key: key-{transaction:016x}\r\n"),
+        RequestClass::Idempotent | RequestClass::AtMostOnce => String::new(),
     };
     let length = match class {
-        Class::Look => String::new(),
-        Class::Order | Class::Once => format!("Content-Length: {body_length}\r\n"),
+        RequestClass::Idempotent => String::new(),
+        RequestClass::WithKey | RequestClass::AtMostOnce => {
+            format!("Content-Length: {body_length}\r\n")
+        }
     };
     format!(
         "{method} /{name}?account={customer:016x} HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: {transaction:016x}\r\n\
--- a/soak/src/shutdown_clients.rs
+++ b/soak/src/clients/shutdown.rs
@@ -1,22 +1,21 @@
 //! Clients of a gateway that is about to end. They connect before or shortly after SIGTERM, rest, and send a request at
 //! any moment up to SIGKILL, on a connection that they have not used yet or have used once.
 
-use crate::gateway::FRONT_DELAY;
-use crate::http::Connection;
-use crate::outcome::{receive, Close, End};
-use crate::request::{Request, RequestSource};
-use crate::world::World;
+use super::context::ClientContext;
+use super::outcome::{receive, Close, Outcome};
+use super::request::{Request, RequestSource};
+use crate::gateway_directory::FRONT_DELAY;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
+use stand_ins::connection::Connection;
 use std::net::SocketAddr;
-use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
 /// The first of these clients connect so long before SIGTERM.
-pub const LEAD: Duration = Duration::from_millis(500);
+pub const LEAD_TIME: Duration = Duration::from_millis(500);
 /// Clients of one gateway.
 const CLIENTS: u64 = 40;
 /// Pause between the two pieces of a request.
@@ -29,33 +28,33 @@
 /// How a client sends what it has to send.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum SendPattern {
-    Whole,
+    Complete,
     InTwoPieces,
     TwoAtOnce,
 }
 
 /// One of these clients.
 struct ShutdownClient {
-    world: Rc<World>,
+    context: ClientContext,
     gateway: usize,
     address: SocketAddr,
     rng: ChaCha8Rng,
     requests: RequestSource,
 }
 
-/// Starts the clients of a gateway that gets SIGTERM after `LEAD`.
-pub fn start(world: &Rc<World>, gateway: usize, rng: &mut ChaCha8Rng) -> JoinSet<()> {
-    let terminated_at = Instant::now() + LEAD;
+/// Starts the clients of a gateway that gets SIGTERM after `LEAD_TIME`.
+pub fn start(context: &ClientContext, gateway: usize, rng: &mut ChaCha8Rng) -> JoinSet<()> {
+    let terminated_at = Instant::now() + LEAD_TIME;
     let mut clients = JoinSet::new();
     for number in 0..CLIENTS {
         let rng = crate::stream(rng.random(), "shutdown client", number);
         let number = FIRST_NUMBER + gateway as u64 * CLIENTS + number;
         let client = ShutdownClient {
-            world: world.clone(),
+            context: context.clone(),
             gateway,
-            address: world.gateways.borrow()[gateway].address,
+            address: context.directory.state(gateway).address,
             rng,
-            requests: RequestSource::new(world.clone(), number),
+            requests: RequestSource::new(context.clone(), number),
         };
         clients.spawn_local(client.run(terminated_at));
     }
@@ -65,11 +64,13 @@
 impl ShutdownClient {
     async fn run(mut self, terminated_at: Instant) {
         let started_at = Instant::now();
-        let connect_after = self.rng.random_range(Duration::ZERO..LEAD + FRONT_DELAY);
+        let connect_after = self
+            .rng
+            .random_range(Duration::ZERO..LEAD_TIME + FRONT_DELAY);
         let send_at = terminated_at
             + self
                 .rng
-                .random_range(Duration::ZERO..self.world.conditions.kill_after());
+                .random_range(Duration::ZERO..self.context.settings.scenario.kill_after());
         sleep_until(started_at + connect_after).await;
         let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address)).await;
         let Ok(Ok(stream)) = connecting else { return };
@@ -92,7 +93,7 @@
 
     async fn send_late(&mut self, connection: &mut Connection) {
         let pattern = match self.rng.random_range(0..3) {
-            0 => SendPattern::Whole,
+            0 => SendPattern::Complete,
             1 => SendPattern::InTwoPieces,
             _ => SendPattern::TwoAtOnce,
         };
@@ -115,18 +116,14 @@
             rest = last;
         }
         if connection.is_closed_by_peer() {
-            return self
-                .world
-                .judge
-                .borrow_mut()
-                .count("connections closed before the last request");
+            let observations = &self.context.observations;
+            return observations.count("connections closed before the last request");
         }
         for request in &requests {
             self.note_sent(request);
         }
-        self.world
-            .judge
-            .borrow_mut()
+        self.context
+            .observations
             .count("requests at a gateway's end");
         // As above.
         let _ = connection.send(rest).await;
@@ -138,8 +135,8 @@
     }
 
     fn note_sent(&self, request: &Request) {
-        let mut judge = self.world.judge.borrow_mut();
-        judge.request_sent(
+        let mut checker = self.context.checker.borrow_mut();
+        checker.request_sent(
             request.transaction,
             request.class,
             self.gateway,
@@ -149,30 +146,36 @@
 
     /// Waits for an answer; false if nothing more is answered behind it.
     async fn receive(&self, connection: &mut Connection, request: &Request) -> bool {
-        match receive(&self.world, connection, request).await {
-            End::Answered(answer) => return !answer.closes(),
-            End::Closed(close) => self.judge_unanswered(request, close),
-            End::TimedOut => self
-                .world
-                .judge
-                .borrow_mut()
-                .lost(request.transaction, "no answer in time"),
+        match receive(&self.context, connection, request).await {
+            Outcome::Answered(answer) => return !answer.closes(),
+            Outcome::Closed(close) => self.check_unanswered(request, close),
+            Outcome::TimedOut => self.lost(request, "no answer in time"),
         }
         false
     }
 
     /// A request that crossed the end of its connection, unread, may be sent once more elsewhere; one that was read is
     /// lost.
-    fn judge_unanswered(&self, request: &Request, close: Close) {
-        let mut judge = self.world.judge.borrow_mut();
+    fn check_unanswered(&self, request: &Request, close: Close) {
+        let was_forwarded = self
+            .context
+            .checker
+            .borrow()
+            .was_forwarded(request.transaction);
         match close {
-            Close::Dropped => {
-                judge.lost(request.transaction, "read and dropped at the gateway's end");
+            Close::Dropped => self.lost(request, "read and dropped at the gateway's end"),
+            Close::Unread if was_forwarded => {
+                self.lost(request, "not answered at the gateway's end");
             }
-            Close::Unread if judge.was_forwarded(request.transaction) => {
-                judge.lost(request.transaction, "not answered at the gateway's end");
+            Close::Unread => {
+                let observations = &self.context.observations;
+                observations.count("requests at a gateway's end that crossed a close");
             }
-            Close::Unread => judge.count("requests at a gateway's end that crossed a close"),
         }
     }
+
+    fn lost(&self, request: &Request, how: &str) {
+        let mut checker = self.context.checker.borrow_mut();
+        checker.lost(request.transaction, how);
+    }
 }
--- a/soak/src/endpoint.rs
+++ b/soak/src/endpoint.rs
@@ -1,228 +1,195 @@
-//! The stand-ins for endpoints.
+//! Endpoints that hand what they get to the rule checker.
 
-use crate::fleet::{Behaviour, ListedState};
-use crate::http::{Connection, Message};
-use crate::judge::{answer_body, SeenAttempt};
+use crate::fleet::Fleet;
 use crate::loopback::any_port;
-use crate::world::World;
+use crate::notices::NoticeTimes;
+use crate::rules::{answer_body, ObservedAttempt, SharedRuleChecker};
+use crate::scheduling_delay::SchedulingDelay;
+use crate::settings::RunSettings;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
+use stand_ins::connection::Connection;
+use stand_ins::endpoint::{answer, Behaviour, Response};
+use stand_ins::endpoint_list::EntryState;
+use stand_ins::message::Message;
+use stand_ins::server::Server;
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpListener;
-use tokio::task::{spawn_local, JoinHandle};
-use tokio::time::{sleep, Instant};
+use tokio::time::sleep;
 
 /// Time that a request takes.
 const SERVICE_MS: std::ops::Range<u64> = 3..25;
-/// A request that nobody answers is held for this long.
-const HANG_TIME: Duration = Duration::from_secs(20);
+/// Time after which an endpoint that drains ends, longer than the grace after the notice.
+const DRAIN_TIME: Duration = Duration::from_secs(4);
+/// The same where lists are polled, so that the notice may take 6 s.
+const POLLED_DRAIN_TIME: Duration = Duration::from_secs(10);
+
+/// What endpoints need of a run.
+pub struct EndpointContext {
+    /// What was set for the run.
+    pub settings: RunSettings,
+    /// Gets what the endpoints see.
+    pub checker: SharedRuleChecker,
+    /// All endpoints.
+    pub fleet: Fleet,
+    /// When gateways were notified of changes.
+    pub notices: Rc<NoticeTimes>,
+    /// How late this process runs.
+    pub delay: SchedulingDelay,
+}
 
 /// A running endpoint.
 pub struct RunningEndpoint {
-    accepting: JoinHandle<()>,
-    connections: Rc<std::cell::RefCell<Vec<JoinHandle<()>>>>,
+    server: Server,
 }
 
 impl RunningEndpoint {
-    /// Starts an endpoint and puts it into the list.
-    pub async fn start(world: &Rc<World>, is_cold: bool) -> io::Result<(usize, Self)> {
+    /// Starts an endpoint and puts it into the list. Returns its number, too.
+    pub async fn start(context: &Rc<EndpointContext>, is_cold: bool) -> io::Result<(usize, Self)> {
         let listener = TcpListener::bind(any_port()).await?;
-        let number = world
-            .fleet
-            .borrow_mut()
-            .add(listener.local_addr()?, is_cold);
-        let connections = Rc::new(std::cell::RefCell::new(Vec::new()));
-        let accepting = spawn_local(accept(world.clone(), number, listener, connections.clone()));
-        Ok((
-            number,
-            RunningEndpoint {
-                accepting,
-                connections,
-            },
-        ))
+        let number = context.fleet.add(listener.local_addr()?, is_cold);
+        let mut rng = crate::stream(context.settings.seed, "endpoint", number as u64);
+        let context = context.clone();
+        let server = Server::start(listener, move |connection| {
+            let session = Session {
+                context: context.clone(),
+                number,
+                rng: crate::stream(rng.random(), "service", 0),
+                connection,
+            };
+            session.serve()
+        })?;
+        Ok((number, RunningEndpoint { server }))
     }
 
     /// Ends the process: its connections break, and new ones are refused.
     pub fn stop(self) {
-        self.accepting.abort();
-        for connection in self.connections.borrow().iter() {
-            connection.abort();
-        }
-    }
-}
-
-async fn accept(
-    world: Rc<World>,
-    number: usize,
-    listener: TcpListener,
-    connections: Rc<std::cell::RefCell<Vec<JoinHandle<()>>>>,
-) {
-    let mut rng = crate::stream(world.seed, "endpoint", number as u64);
-    while let Ok((stream, _)) = listener.accept().await {
-        let service = Service {
-            world: world.clone(),
-            number,
-            rng: crate::stream(rng.random(), "service", 0),
-        };
-        let task = spawn_local(async move {
-            // Connections break as part of the test.
-            let _ = service.serve(Connection::new(stream)).await;
-        });
-        let mut connections = connections.borrow_mut();
-        connections.retain(|connection| !connection.is_finished());
-        connections.push(task);
+        self.server.stop();
     }
 }
 
-struct Service {
-    world: Rc<World>,
+/// One connection.
+struct Session {
+    context: Rc<EndpointContext>,
     number: usize,
     rng: ChaCha8Rng,
+    connection: Connection,
 }
 
-impl Service {
-    async fn serve(mut self, mut connection: Connection) -> io::Result<()> {
-        while let Some(request) = connection.receive().await? {
+impl Session {
+    async fn serve(mut self) -> io::Result<()> {
+        while let Some(request) = self.connection.receive().await? {
             let Some(transaction) = self.record_attempt(&request) else {
-                connection.respond(404, "", "").await?;
+                self.connection.respond(404, "", "").await?;
                 continue;
             };
-            let behaviour = self.behaviour();
-            if behaviour == Behaviour::TurnsAway {
-                connection.respond(503, "X-Turned-Away: 1\r\n", "").await?;
-                continue;
-            }
-            let is_first = self
-                .world
-                .judge
-                .borrow_mut()
-                .executed(transaction, self.number);
-            sleep(Duration::from_millis(self.rng.random_range(SERVICE_MS))).await;
+            let behaviour = self.draw_behaviour();
             let body = answer_body(transaction);
-            let charged = "X-Units-Charged: 1\r\n";
-            match behaviour {
-                _ if !is_first => connection.respond(200, charged, &body).await?,
-                Behaviour::Serves | Behaviour::TurnsAway => {
-                    connection.respond(200, charged, &body).await?;
-                }
-                Behaviour::Hangs => {
-                    sleep(HANG_TIME).await;
-                    return Ok(());
-                }
-                Behaviour::Resets => {
-                    connection.reset();
-                    return Ok(());
-                }
-                Behaviour::Garbles => connection.send(b"\x01\x02 this is no HTTP\r\n\r\n").await?,
-                Behaviour::OmitsLength => {
-                    connection
-                        .send(format!("HTTP/1.1 200 OK\r\n{charged}\r\n{body}").as_bytes())
-                        .await?;
-                    return connection.finish().await;
-                }
-                Behaviour::Repeats => {
-                    connection.respond(200, charged, &body).await?;
-                    connection.respond(200, charged, &body).await?;
-                }
-                Behaviour::Closes => {
-                    connection.respond(200, charged, &body).await?;
-                    return connection.finish().await;
-                }
+            let response = Response {
+                headers: "X-Units-Charged: 1\r\n",
+                body: &body,
+            };
+            let behaviour = match behaviour {
+                Behaviour::Rejects => behaviour,
+                _ => self.execute(transaction, behaviour).await,
+            };
+            let next = answer(&mut self.connection, behaviour, response).await?;
+            if next.is_break() {
+                return Ok(());
             }
         }
         Ok(())
     }
 
+    /// Executes a request, or finds its key known. Returns how it is answered: one whose key is known is answered from
+    /// the first execution, whatever the endpoint does otherwise.
+    async fn execute(&mut self, transaction: u64, behaviour: Behaviour) -> Behaviour {
+        let is_first = self.record_execution(transaction);
+        sleep(Duration::from_millis(self.rng.random_range(SERVICE_MS))).await;
+        if is_first {
+            behaviour
+        } else {
+            Behaviour::Serves
+        }
+    }
+
     /// How this request is treated: as the endpoint behaves now, but for the few that hang in any case.
-    fn behaviour(&mut self) -> Behaviour {
-        if self.rng.random_range(0..100) < self.world.conditions.hanging_percent {
+    fn draw_behaviour(&mut self) -> Behaviour {
+        if self.rng.random_range(0..100) < self.context.settings.scenario.hanging_percent {
             return Behaviour::Hangs;
         }
-        self.world.fleet.borrow().endpoints[self.number].behaviour
+        self.context.fleet.state(self.number).behaviour
+    }
+
+    /// Returns false if the request's key is known.
+    fn record_execution(&self, transaction: u64) -> bool {
+        let mut checker = self.context.checker.borrow_mut();
+        checker.executed(transaction, self.number)
     }
 
-    /// Hands what came to the judge. Returns the request's id.
+    /// Hands a request to the checker. Returns its id; none if it has none.
     fn record_attempt(&self, request: &Message) -> Option<u64> {
         let transaction = u64::from_str_radix(request.header("x-txn")?, 16).ok()?;
         let propagated_ms = request.header("x-remaining-ms")?.parse().ok()?;
-        let world = &self.world;
-        let fleet = world.fleet.borrow();
-        let endpoint = &fleet.endpoints[self.number];
-        let gateway = world.judge.borrow().gateway_of(transaction);
+        let context = &self.context;
+        let endpoint = context.fleet.state(self.number);
+        let gateway = context.checker.borrow().gateway_of(transaction);
         let drain_notified_at = endpoint
-            .listed_state
-            .since()
-            .and_then(|at| world.notified_at(gateway?, at));
-        world.judge.borrow_mut().attempt(SeenAttempt {
+            .unavailable_since
+            .and_then(|at| context.notices.notified_at(gateway?, at));
+        context.checker.borrow_mut().attempt(ObservedAttempt {
             transaction,
             endpoint: self.number,
-            began_at: request.began_at,
+            began_at: self.connection.began_at(),
             propagated_deadline: Duration::from_millis(propagated_ms),
             drain_notified_at,
             started_at: endpoint
                 .started_at
-                .filter(|_| endpoint.listed_state == ListedState::Ready),
-            lag: world.lag.allowance(),
+                .filter(|_| endpoint.listed_state == EntryState::Ready),
+            allowance: context.delay.allowance(),
         });
         Some(transaction)
     }
 }
 
-/// Sets how endpoints behave for a time.
-pub async fn behave(
-    world: &Rc<World>,
+/// Has endpoints behave differently for a time.
+pub async fn misbehave(
+    context: &EndpointContext,
     endpoints: &[usize],
     behaviour: Behaviour,
-    how_long: Duration,
+    duration: Duration,
 ) {
-    let set = |behaviour| {
-        let mut fleet = world.fleet.borrow_mut();
-        for endpoint in endpoints {
-            fleet.endpoints[*endpoint].behaviour = behaviour;
-        }
-    };
-    set(behaviour);
-    sleep(how_long).await;
-    set(Behaviour::Serves);
+    context.fleet.set_behaviour(endpoints, behaviour);
+    sleep(duration).await;
+    context.fleet.set_behaviour(endpoints, Behaviour::Serves);
 }
 
-/// Time after which an endpoint that drains ends, longer than the grace after the notice.
-const DRAIN_TIME: Duration = Duration::from_secs(4);
-/// The same where the notice may take 6 s.
-const POLLED_DRAIN_TIME: Duration = Duration::from_secs(10);
-
-/// Replaces an endpoint by a new one: it drains and ends, or vanishes at once.
+/// Replaces an endpoint by a new one: it drains and ends, or ends without notice. Returns the new one and its number.
 pub async fn replace(
-    world: &Rc<World>,
+    context: &Rc<EndpointContext>,
     number: usize,
     running: RunningEndpoint,
     drains: bool,
 ) -> Option<(usize, RunningEndpoint)> {
+    let fleet = &context.fleet;
     if drains {
-        world
-            .fleet
-            .borrow_mut()
-            .set_listed_state(number, ListedState::Draining(Instant::now()));
-        world.list_changes();
-        sleep(if world.is_polled {
-            POLLED_DRAIN_TIME
-        } else {
-            DRAIN_TIME
-        })
-        .await;
+        fleet.drain(number);
+        fleet.publish();
+        sleep(drain_time(context.settings)).await;
     }
-    let since = world.fleet.borrow().endpoints[number]
-        .listed_state
-        .since()
-        .unwrap_or_else(Instant::now);
     running.stop();
-    world
-        .fleet
-        .borrow_mut()
-        .set_listed_state(number, ListedState::Gone(since));
-    let new = RunningEndpoint::start(world, true).await.ok();
-    world.list_changes();
+    fleet.remove(number);
+    let new = RunningEndpoint::start(context, true).await.ok();
+    fleet.publish();
     new
 }
+
+fn drain_time(settings: RunSettings) -> Duration {
+    if settings.is_polled {
+        POLLED_DRAIN_TIME
+    } else {
+        DRAIN_TIME
+    }
+}
--- /dev/null
+++ b/soak/src/faults/endpoint_faults.rs
@@ -0,0 +1,58 @@
+//! Faults of endpoints: they misbehave for a time, or are replaced.
+
+use super::injector::Injector;
+use crate::endpoint::{misbehave, replace};
+use rand::seq::IndexedRandom;
+use stand_ins::endpoint::Behaviour;
+use std::time::Duration;
+use tokio::task::JoinSet;
+
+/// Endpoints that stay at least.
+const MIN_READY: usize = 6;
+/// How endpoints misbehave.
+const MISBEHAVIOURS: [Behaviour; 7] = [
+    Behaviour::Hangs,
+    Behaviour::Resets,
+    Behaviour::Rejects,
+    Behaviour::SendsInvalidHttp,
+    Behaviour::OmitsLength,
+    Behaviour::AnswersTwice,
+    Behaviour::ClosesUnannounced,
+];
+
+impl Injector {
+    /// Some endpoints misbehave for a time, all in the same way.
+    pub async fn misbehave(mut self, duration: Duration) {
+        let numbers = self.draw_endpoints();
+        let behaviour = self.draw_behaviour();
+        misbehave(&self.context.endpoints, &numbers, behaviour, duration).await;
+    }
+
+    fn draw_behaviour(&mut self) -> Behaviour {
+        MISBEHAVIOURS
+            .choose(&mut self.rng)
+            .copied()
+            .unwrap_or(Behaviour::Hangs)
+    }
+
+    /// Some endpoints are replaced by new ones: they drain first, or end without notice.
+    pub async fn replace_endpoints(mut self, drains: bool) {
+        let mut replacements = JoinSet::new();
+        for number in self.draw_endpoints() {
+            let running = &self.context.processes.endpoints;
+            if running.borrow().len() <= MIN_READY {
+                break;
+            }
+            let Some(endpoint) = running.borrow_mut().remove(&number) else {
+                continue;
+            };
+            let context = self.context.clone();
+            replacements.spawn_local(async move {
+                let new = replace(&context.endpoints, number, endpoint, drains).await;
+                let mut endpoints = context.processes.endpoints.borrow_mut();
+                endpoints.extend(new);
+            });
+        }
+        while replacements.join_next().await.is_some() {}
+    }
+}
--- a/soak/src/fleet.rs
+++ b/soak/src/fleet.rs
@@ -1,157 +1,129 @@
-//! The endpoints of a run: what the list says of them, and how they behave.
+//! The endpoints of a run: how they behave, and since when the list says that they take nothing new.
 
+use stand_ins::endpoint::Behaviour;
+use stand_ins::endpoint_list::{EntryState, ListEntry};
+use stand_ins::list_publisher::ListPublisher;
+use std::cell::RefCell;
 use std::net::SocketAddr;
+use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// How an endpoint behaves towards requests.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Behaviour {
-    /// Serves them.
-    Serves,
-    /// Executes them and says nothing.
-    Hangs,
-    /// Executes them and resets the connection.
-    Resets,
-    /// Turns them away, and says that they was never executed.
-    TurnsAway,
-    /// Executes them and answers what is no HTTP.
-    Garbles,
-    /// Answers without a length, and ends the connection behind that.
-    OmitsLength,
-    /// Answers twice.
-    Repeats,
-    /// Closes the connection behind each answer without a word.
-    Closes,
-}
-
-/// Where an endpoint stands in the list.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListedState {
-    /// It takes requests.
-    Ready,
-    /// It drains since then.
-    Draining(Instant),
-    /// It is gone since then, and drained before, perhaps.
-    Gone(Instant),
-}
-
-impl ListedState {
-    /// When it became known that the endpoint takes nothing new.
-    pub fn since(self) -> Option<Instant> {
-        match self {
-            ListedState::Ready => None,
-            ListedState::Draining(at) | ListedState::Gone(at) => Some(at),
-        }
-    }
-}
+/// The version of the first list.
+pub const FIRST_VERSION: u64 = 7;
 
 /// One endpoint.
-pub struct Endpoint {
-    /// Where it listens.
-    pub address: SocketAddr,
+#[derive(Clone, Copy)]
+pub struct EndpointState {
     /// Its state in the list.
-    pub listed_state: ListedState,
+    pub listed_state: EntryState,
+    /// When the list first said that it takes nothing new.
+    pub unavailable_since: Option<Instant>,
     /// How it behaves now.
     pub behaviour: Behaviour,
     /// When it started; none if that is long past.
     pub started_at: Option<Instant>,
-    started_ms: u64,
-    /// The version of the list that changed it last.
-    changed_in: u64,
 }
 
-/// All endpoints, those that are gone included.
+/// All endpoints by number, those that were removed included.
 pub struct Fleet {
-    /// By number.
-    pub endpoints: Vec<Endpoint>,
-    /// The version of the list.
-    pub version: u64,
+    publisher: Rc<ListPublisher>,
+    endpoints: RefCell<Vec<EndpointState>>,
 }
 
-/// The version of the first list.
-const FIRST_VERSION: u64 = 7;
-
 impl Fleet {
-    /// No endpoints yet.
-    pub fn new() -> Self {
+    /// No endpoints yet. Their changes go to this publisher.
+    pub fn new(publisher: Rc<ListPublisher>) -> Self {
         Fleet {
-            endpoints: Vec::new(),
-            version: FIRST_VERSION,
+            publisher,
+            endpoints: RefCell::default(),
         }
     }
 
-    /// Adds an endpoint that has just started, or started long ago. Returns its number.
-    pub fn add(&mut self, address: SocketAddr, is_cold: bool) -> usize {
-        if is_cold {
-            self.version += 1;
-        }
-        let unix = SystemTime::now()
-            .duration_since(UNIX_EPOCH)
-            .unwrap_or(Duration::ZERO);
-        self.endpoints.push(Endpoint {
-            address,
-            listed_state: ListedState::Ready,
+    /// Adds an endpoint that has started just now (cold) or long ago. Returns its number.
+    pub fn add(&self, address: SocketAddr, is_cold: bool) -> usize {
+        let mut endpoints = self.endpoints.borrow_mut();
+        let number = endpoints.len();
+        endpoints.push(EndpointState {
+            listed_state: EntryState::Ready,
+            unavailable_since: None,
             behaviour: Behaviour::Serves,
             started_at: is_cold.then(Instant::now),
-            started_ms: if is_cold { unix.as_millis() as u64 } else { 0 },
-            changed_in: self.version,
         });
-        self.endpoints.len() - 1
+        self.publisher.edit(|list| {
+            if is_cold {
+                list.add(entry(number, address, unix_time_ms()));
+            } else {
+                list.add_initial(entry(number, address, 0));
+            }
+        });
+        number
     }
 
-    /// Changes an endpoint's state in the list.
-    pub fn set_listed_state(&mut self, endpoint: usize, listed_state: ListedState) {
-        self.version += 1;
-        self.endpoints[endpoint].listed_state = listed_state;
-        self.endpoints[endpoint].changed_in = self.version;
+    /// Sends the changes so far to the gateways.
+    pub fn publish(&self) {
+        self.publisher.publish();
     }
 
-    /// The numbers of the endpoints that take requests.
-    pub fn ready(&self) -> Vec<usize> {
-        let numbered = self.endpoints.iter().enumerate();
-        numbered
-            .filter(|(_, endpoint)| endpoint.listed_state == ListedState::Ready)
-            .map(|(number, _)| number)
-            .collect()
+    /// The list says that an endpoint drains.
+    pub fn drain(&self, number: usize) {
+        self.set_listed_state(number, EntryState::Draining);
+    }
+
+    /// The list says that an endpoint was removed.
+    pub fn remove(&self, number: usize) {
+        self.set_listed_state(number, EntryState::Removed);
     }
 
-    /// The complete list, as discovery writes it.
-    pub fn complete_list(&self) -> String {
-        self.list(true, |endpoint| {
-            !matches!(endpoint.listed_state, ListedState::Gone(_))
-        })
+    fn set_listed_state(&self, number: usize, state: EntryState) {
+        let mut endpoints = self.endpoints.borrow_mut();
+        let endpoint = &mut endpoints[number];
+        endpoint.listed_state = state;
+        endpoint.unavailable_since.get_or_insert_with(Instant::now);
+        self.publisher.edit(|list| list.set_state(number, state));
     }
 
-    /// What changed after a version, as discovery writes it.
-    pub fn changes_after(&self, version: u64) -> String {
-        self.list(false, |endpoint| endpoint.changed_in > version)
+    /// The state of one endpoint.
+    pub fn state(&self, number: usize) -> EndpointState {
+        self.endpoints.borrow()[number]
     }
 
-    fn list(&self, complete: bool, is_named: impl Fn(&Endpoint) -> bool) -> String {
-        let numbered = self.endpoints.iter().enumerate();
-        let named = numbered.filter(|(_, endpoint)| is_named(endpoint));
-        let entries: Vec<_> = named
-            .map(|(number, endpoint)| entry(number, endpoint))
-            .collect();
-        let version = self.version;
-        format!(
-            "{{\"version\":{version},\"full\":{complete},\"servers\":[{}]}}",
-            entries.join(",")
-        )
+    /// Sets how endpoints behave.
+    pub fn set_behaviour(&self, numbers: &[usize], behaviour: Behaviour) {
+        let mut endpoints = self.endpoints.borrow_mut();
+        for number in numbers {
+            endpoints[*number].behaviour = behaviour;
+        }
+    }
+
+    /// The numbers of the endpoints that take requests.
+    pub fn ready(&self) -> Vec<usize> {
+        let endpoints = self.endpoints.borrow();
+        let numbered = endpoints.iter().enumerate();
+        numbered
+            .filter(|(_, endpoint)| endpoint.listed_state == EntryState::Ready)
+            .map(|(number, _)| number)
+            .collect()
     }
 }
 
-fn entry(number: usize, endpoint: &Endpoint) -> String {
-    let state = match endpoint.listed_state {
-        ListedState::Ready => "Ready",
-        ListedState::Draining(_) => "Terminating",
-        ListedState::Gone(_) => "Gone",
-    };
-    let (address, started_ms) = (endpoint.address, endpoint.started_ms);
+fn entry(number: usize, address: SocketAddr, started_ms: u64) -> ListEntry {
     let zone = if number % 2 == 0 { "room-a" } else { "room-b" };
-    format!(
-        "{{\"id\":\"s-{number:08x}\",\"addr\":\"{address}\",\"zone\":\"{zone}\",\"kind\":\"std\",\"cell\":{number},\
-         \"state\":\"{state}\",\"weight\":1.0,\"started_ms\":{started_ms}}}"
-    )
+    ListEntry {
+        id: format!("s-{number:08x}"),
+        address,
+        zone: zone.to_owned(),
+        kind: "std".to_owned(),
+        cell: number as u32,
+        state: EntryState::Ready,
+        weight: 1.0,
+        started_ms,
+    }
+}
+
+fn unix_time_ms() -> u64 {
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or(Duration::ZERO)
+        .as_millis() as u64
 }
--- a/soak/src/gateway_config.rs
+++ b/soak/src/gateway/config.rs
@@ -1,26 +1,17 @@
-//! The configuration and the rules of a run.
+//! The configuration that gateways are started with.
 
-use crate::conditions::Conditions;
-use crate::judge::{Class, RuleFigures};
+use crate::request_class::RequestClass;
+use crate::rules::LIMITS;
+use crate::scenario::Scenario;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The latency objective of a class is this, or a part of its deadline where that is short.
+/// The latency objective of a class with a long deadline.
 const LATENCY_OBJECTIVE: Duration = Duration::from_millis(1500);
+/// The objective is at most this part of the class's deadline.
 const LATENCY_OBJECTIVE_PART: f64 = 0.75;
 
-/// What the gateways get and the judge goes by.
-pub const RULES: RuleFigures = RuleFigures {
-    drain_grace: Duration::from_secs(2),
-    key_window: Duration::from_secs(1),
-    overload_window: Duration::from_millis(1500),
-    capacity_per_s: 40.0,
-    initial_share: 0.16,
-    warm_up: Duration::from_secs(8),
-    overload_multiple: 4.0,
-};
-
 /// The addresses that a gateway is started with.
 #[derive(Clone, Copy)]
 pub struct Addresses {
@@ -37,10 +28,10 @@
 pub struct Site {
     /// Number of gateways.
     pub gateways: usize,
-    /// Gateways ask a service that all share for the list, in place of an agent that pushes it.
+    /// Gateways poll a service that all share for the list, in place of an agent that pushes it.
     pub is_polled: bool,
-    /// What the run is made under.
-    pub conditions: Conditions,
+    /// Deadlines and sockets.
+    pub scenario: Scenario,
 }
 
 /// The configuration of one gateway.
@@ -58,7 +49,7 @@
         "counter": addresses.counter,
         "seed": format!("{seed:x}"),
         "known": known,
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": site.conditions.sockets()},
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": site.scenario.sockets()},
         "settings": settings(index, site),
     })
 }
@@ -67,7 +58,7 @@
     let objective = LATENCY_OBJECTIVE.min(deadline.mul_f64(LATENCY_OBJECTIVE_PART));
     json!({
         "name": name, "aim-ms": millis(objective), "give-up-ms": millis(deadline), "value": 1.0, "late-worth": 0.2,
-        "effect": effect, "group": "all", "window-ms": millis(RULES.key_window)
+        "effect": effect, "group": "all", "window-ms": millis(LIMITS.key_window)
     })
 }
 
@@ -85,9 +76,9 @@
         "granularity-ms": 2.0,
         "membership-mode": if site.is_polled { "ask" } else { "push" },
         "categories": [
-            class("look", "read_like", site.conditions.deadline(Class::Look)),
-            class("order", "idempotency_key", site.conditions.deadline(Class::Order)),
-            class("once", "non_idempotent", site.conditions.deadline(Class::Once))
+            class("look", "read_like", site.scenario.deadline(RequestClass::Idempotent)),
+            class("order", "idempotency_key", site.scenario.deadline(RequestClass::WithKey)),
+            class("once", "non_idempotent", site.scenario.deadline(RequestClass::AtMostOnce))
         ],
         "tiers-of-service": [{
             "name": "plus", "refill": 2000.0, "store-size": 4000.0, "max-out": 0, "pays": 1.0, "extra-worth": 0.0,
@@ -104,9 +95,9 @@
         },
         "penalties": {"cross-zone": 0.013, "waste": 0.16, "probe": 0.0, "late-fail": 0.05, "handshake": 0.01},
         "rules": {
-            "answer-slack-ms": 16.0, "cold-from": RULES.initial_share, "warm-up-ms": millis(RULES.warm_up),
-            "drain-grace-ms": millis(RULES.drain_grace), "fall-multiple": RULES.overload_multiple,
-            "fall-ms": millis(RULES.overload_window), "ask-within-ms": 10000.0
+            "answer-slack-ms": 16.0, "cold-from": LIMITS.initial_share, "warm-up-ms": millis(LIMITS.warm_up),
+            "drain-grace-ms": millis(LIMITS.drain_grace), "fall-multiple": LIMITS.overload_multiple,
+            "fall-ms": millis(LIMITS.overload_window), "ask-within-ms": 10000.0
         }
     })
 }
--- /dev/null
+++ b/soak/src/gateway/processor.rs
@@ -0,0 +1,18 @@
+//! Which processors a process may use.
+
+use nix::sched::{sched_getaffinity, sched_setaffinity, CpuSet};
+use nix::unistd::Pid;
+
+/// Lets a process run on one of this machine's processors alone, the one of this number, counted round.
+pub fn bind_to_processor(pid: Pid, number: usize) -> std::io::Result<()> {
+    let available = sched_getaffinity(Pid::from_raw(0))?;
+    let allowed: Vec<_> = (0..CpuSet::count())
+        .filter(|cpu| available.is_set(*cpu) == Ok(true))
+        .collect();
+    let mut only = CpuSet::new();
+    if let Some(cpu) = allowed.get(number % allowed.len().max(1)) {
+        only.set(*cpu)?;
+        sched_setaffinity(pid, &only)?;
+    }
+    Ok(())
+}
--- /dev/null
+++ b/soak/src/gateway/shutdown.rs
@@ -0,0 +1,64 @@
+//! The end of a gateway, by SIGTERM or by SIGKILL.
+
+use super::config::Addresses;
+use super::process::Gateway;
+use super::shutdown_plan::ShutdownPlan;
+use super::thread_states::thread_states;
+use crate::gateway_directory::{GatewayDirectory, FRONT_DELAY};
+use nix::sys::signal::Signal;
+use std::rc::Rc;
+use tokio::task::{spawn_local, JoinHandle};
+use tokio::time::{sleep, timeout_at, Instant};
+
+impl Gateway {
+    /// Ends the process by SIGTERM; the front notices a moment later, and SIGKILL comes as early as it may.
+    pub async fn terminate(mut self, plan: ShutdownPlan) -> Addresses {
+        let terminated_at = Instant::now();
+        let directory = self.launcher.directory.clone();
+        directory.record_termination(self.index, terminated_at);
+        self.signal(Signal::SIGTERM);
+        let disturbing = self
+            .pid()
+            .map(|pid| spawn_local(plan.carry_out(pid, terminated_at)));
+        let front = spawn_local(withdraw_from_front(directory, self.index));
+        let kill_at = terminated_at + self.launcher.settings.scenario.kill_after();
+        let ended = timeout_at(kill_at, self.child.wait()).await;
+        // No signal is sent to a process that has ended: its id may be another one's soon.
+        disturbing.iter().for_each(JoinHandle::abort);
+        match ended {
+            Ok(Ok(status)) if status.success() => {}
+            Ok(status) => self.report_process(&format!("ended with {status:?}")),
+            Err(_) => self.kill_late(plan).await,
+        }
+        let _ = front.await;
+        self.launcher.observations.count("planned restarts");
+        self.addresses
+    }
+
+    /// Kills a process that did not end by itself in time, and reports it.
+    async fn kill_late(&mut self, plan: ShutdownPlan) {
+        let threads = self.child.id().map(thread_states).unwrap_or_default();
+        self.report_process(&format!(
+            "is still there when it is killed, {plan}, threads: {threads}"
+        ));
+        self.signal(Signal::SIGKILL);
+        let _ = self.child.wait().await;
+    }
+
+    /// Kills the process; the front notices a moment later.
+    pub async fn kill(mut self) -> Addresses {
+        let directory = self.launcher.directory.clone();
+        directory.record_kill(self.index);
+        self.signal(Signal::SIGKILL);
+        let _ = self.child.wait().await;
+        withdraw_from_front(directory, self.index).await;
+        self.launcher.observations.count("kills");
+        self.addresses
+    }
+}
+
+/// The front sends no more clients after a moment.
+async fn withdraw_from_front(directory: Rc<GatewayDirectory>, index: usize) {
+    sleep(FRONT_DELAY).await;
+    directory.withdraw(index);
+}
--- a/soak/src/shutdown_plan.rs
+++ b/soak/src/gateway/shutdown_plan.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ShutdownPlan {
     /// It stalls once, this long after SIGTERM.
-    held_up_after: Option<Duration>,
+    stall_after: Option<Duration>,
     /// SIGHUP and SIGTERM come again and again.
     repeats_signals: bool,
 }
@@ -25,9 +25,9 @@
 impl ShutdownPlan {
     /// One for a process that is killed after this time.
     pub fn draw(rng: &mut ChaCha8Rng, kill_after: Duration, repeats_signals: bool) -> Self {
-        let held_up_after = rng.random_range(Duration::ZERO..kill_after);
+        let stall_after = rng.random_range(Duration::ZERO..kill_after);
         ShutdownPlan {
-            held_up_after: rng.random::<bool>().then_some(held_up_after),
+            stall_after: rng.random::<bool>().then_some(stall_after),
             repeats_signals,
         }
     }
@@ -38,7 +38,7 @@
     }
 
     async fn stall(self, pid: Pid, terminated_at: Instant) {
-        if let Some(after) = self.held_up_after {
+        if let Some(after) = self.stall_after {
             sleep_until(terminated_at + after).await;
             suspend(pid, STALL).await;
         }
@@ -58,7 +58,7 @@
 
 impl Display for ShutdownPlan {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
-        match self.held_up_after {
+        match self.stall_after {
             Some(after) => write!(formatter, "stall after {after:?}")?,
             None => write!(formatter, "no stall")?,
         }
--- a/soak/src/process_state.rs
+++ b/soak/src/gateway/thread_states.rs
@@ -1,4 +1,4 @@
-//! What the threads of a process do, as the system tells.
+//! What the threads of a process do, as the system reports it.
 
 use std::fs;
 use std::path::Path;
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,7 +1,7 @@
 //! The command line of the soak test.
 
 use clap::Parser;
-use gateway_soak::{Soak, SoakError};
+use gateway_soak::{SoakArguments, SoakError};
 use std::process::ExitCode;
 
 /// Exit code if a rule was broken.
@@ -10,7 +10,7 @@
 const EXIT_FAILURE: u8 = 2;
 
 fn main() -> ExitCode {
-    match run_all(&Soak::parse()) {
+    match run_all(&SoakArguments::parse()) {
         Ok(0) => ExitCode::SUCCESS,
         Ok(broken_runs) => {
             println!("rules were broken in {broken_runs} runs");
@@ -24,10 +24,10 @@
 }
 
 /// Makes all runs. Returns in how many of them a rule was broken.
-fn run_all(soak: &Soak) -> Result<usize, SoakError> {
-    soak.check()?;
+fn run_all(arguments: &SoakArguments) -> Result<usize, SoakError> {
+    arguments.check()?;
     let mut broken_runs = 0;
-    for run in soak.each_run() {
+    for run in arguments.each_run() {
         let report = run.run()?;
         print!("{report}");
         broken_runs += usize::from(!report.violations.is_empty());
--- a/soak/src/conditions.rs
+++ b/soak/src/scenario.rs
@@ -1,6 +1,6 @@
-//! What a run is made under, drawn from its seed: deadlines, and what makes shutdowns harder.
+//! The scenario of a run, drawn from its seed: deadlines, and what makes shutdowns harder.
 
-use crate::judge::Class;
+use crate::request_class::RequestClass;
 use rand::Rng;
 use std::fmt::{Display, Formatter};
 use std::time::Duration;
@@ -16,44 +16,45 @@
 const OTHER_DEADLINE_PARTS: std::ops::Range<f64> = 0.3..1.0;
 /// The longest deadline of a run without faults.
 const CALM_DEADLINE: Duration = Duration::from_secs(2);
-/// SIGKILL follows SIGTERM no sooner than after the longest deadline, counted as this at most ...
-const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// ... and this.
+/// A longer deadline does not put off SIGKILL any further.
+const MAX_DEADLINE_BEFORE_KILL: Duration = Duration::from_secs(3);
+/// SIGKILL comes this long after the longest deadline of a request that arrived at SIGTERM.
 const KILL_GRACE: Duration = Duration::from_millis(700);
 /// Requests in a hundred that endpoints execute and never answer.
 const HANGING_PERCENTS: [u32; 3] = [0, 12, 30];
-/// Where processors are short, so many gateways share one.
+/// Gateways that share one processor in a run that is short of them.
 const GATEWAYS_PER_PROCESSOR: usize = 8;
-/// Sockets that a gateway may have, and where idle clients fill them.
+/// Sockets that a gateway may have.
 const SOCKETS: u64 = 256;
-const CROWDED_SOCKETS: u64 = 96;
-/// Idle clients that hold on to a gateway in a crowd: more than it has slots for.
-const CROWD_CLIENTS: usize = 44;
+/// Sockets that a gateway may have in a run with idle clients.
+const SOCKETS_WITH_IDLE_CLIENTS: u64 = 96;
+/// Idle clients of each gateway in a run with them: more than it has slots for.
+const IDLE_CLIENTS: usize = 44;
 
 /// The deadlines of the classes: clients wait no longer.
 #[derive(Clone, Copy, Debug)]
 struct Deadlines {
-    look: Duration,
-    order: Duration,
-    once: Duration,
+    idempotent: Duration,
+    with_key: Duration,
+    at_most_once: Duration,
 }
 
-/// What a run is made under.
+/// What makes one run differ from another.
 #[derive(Clone, Copy, Debug)]
-pub struct Conditions {
+pub struct Scenario {
     deadlines: Deadlines,
     /// Requests in a hundred that endpoints execute and never answer.
     pub hanging_percent: u32,
     /// Idle clients fill the gateways' descriptors.
-    pub has_crowd: bool,
+    pub has_idle_clients: bool,
     /// Gateways that share one processor; none if all may use all.
     pub gateways_per_processor: Option<usize>,
     /// SIGTERM and SIGHUP come again and again while a gateway ends.
     pub repeats_signals: bool,
 }
 
-impl Conditions {
-    /// Those of a run with faults.
+impl Scenario {
+    /// The scenario of a run with faults.
     #[must_use]
     pub fn draw(seed: u64) -> Self {
         let mut rng = crate::stream(seed, "conditions", 0);
@@ -64,32 +65,33 @@
                 Duration::from_secs_f64(longest_s * rng.random_range(OTHER_DEADLINE_PARTS));
             deadline.max(MIN_DEADLINE)
         };
-        let (order, once) = (other(), other());
+        let with_key = other();
+        let at_most_once = other();
         let deadlines = Deadlines {
-            look: Duration::from_secs_f64(longest_s),
-            order,
-            once,
+            idempotent: Duration::from_secs_f64(longest_s),
+            with_key,
+            at_most_once,
         };
-        Conditions {
+        Scenario {
             deadlines,
             hanging_percent: HANGING_PERCENTS[rng.random_range(0..HANGING_PERCENTS.len())],
-            has_crowd: rng.random_ratio(1, 4),
+            has_idle_clients: rng.random_ratio(1, 4),
             gateways_per_processor: rng.random_ratio(1, 4).then_some(GATEWAYS_PER_PROCESSOR),
             repeats_signals: rng.random_ratio(1, 2),
         }
     }
 
-    /// Those of a run without faults.
+    /// The scenario of a run without faults.
     #[must_use]
     pub fn calm() -> Self {
-        Conditions {
+        Scenario {
             deadlines: Deadlines {
-                look: CALM_DEADLINE,
-                order: CALM_DEADLINE,
-                once: CALM_DEADLINE,
+                idempotent: CALM_DEADLINE,
+                with_key: CALM_DEADLINE,
+                at_most_once: CALM_DEADLINE,
             },
             hanging_percent: 0,
-            has_crowd: false,
+            has_idle_clients: false,
             gateways_per_processor: None,
             repeats_signals: false,
         }
@@ -97,11 +99,11 @@
 
     /// How long clients wait for requests of this class at most.
     #[must_use]
-    pub fn deadline(&self, class: Class) -> Duration {
+    pub fn deadline(&self, class: RequestClass) -> Duration {
         match class {
-            Class::Look => self.deadlines.look,
-            Class::Order => self.deadlines.order,
-            Class::Once => self.deadlines.once,
+            RequestClass::Idempotent => self.deadlines.idempotent,
+            RequestClass::WithKey => self.deadlines.with_key,
+            RequestClass::AtMostOnce => self.deadlines.at_most_once,
         }
     }
 
@@ -109,48 +111,52 @@
     #[must_use]
     pub fn longest_deadline(&self) -> Duration {
         self.deadlines
-            .look
-            .max(self.deadlines.order)
-            .max(self.deadlines.once)
+            .idempotent
+            .max(self.deadlines.with_key)
+            .max(self.deadlines.at_most_once)
     }
 
     /// How long after SIGTERM SIGKILL comes: as early as the protocol permits.
     #[must_use]
     pub fn kill_after(&self) -> Duration {
-        self.longest_deadline().min(MAX_COUNTED_DEADLINE) + KILL_GRACE
+        self.longest_deadline().min(MAX_DEADLINE_BEFORE_KILL) + KILL_GRACE
     }
 
     /// Sockets that a gateway may have.
     #[must_use]
     pub fn sockets(&self) -> u64 {
-        if self.has_crowd {
-            CROWDED_SOCKETS
+        if self.has_idle_clients {
+            SOCKETS_WITH_IDLE_CLIENTS
         } else {
             SOCKETS
         }
     }
 
-    /// Idle clients that hold on to each gateway.
+    /// Idle clients that keep connections to each gateway.
     #[must_use]
-    pub fn crowd_clients(&self) -> usize {
-        if self.has_crowd {
-            CROWD_CLIENTS
+    pub fn idle_clients(&self) -> usize {
+        if self.has_idle_clients {
+            IDLE_CLIENTS
         } else {
             0
         }
     }
 }
 
-impl Display for Conditions {
+impl Display for Scenario {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
-        let Deadlines { look, order, once } = self.deadlines;
+        let Deadlines {
+            idempotent,
+            with_key,
+            at_most_once,
+        } = self.deadlines;
         write!(
             formatter,
-            "deadlines {look:.2?}, {order:.2?}, {once:.2?}; {}% hang",
+            "deadlines {idempotent:.2?}, {with_key:.2?}, {at_most_once:.2?}; {}% hang",
             self.hanging_percent
         )?;
-        if self.has_crowd {
-            write!(formatter, "; crowd")?;
+        if self.has_idle_clients {
+            write!(formatter, "; idle clients")?;
         }
         if let Some(count) = self.gateways_per_processor {
             write!(formatter, "; {count} gateways to a processor")?;
--- /dev/null
+++ b/soak/src/scenario/tests.rs
@@ -0,0 +1,58 @@
+//! What is drawn is within the protocol's bounds, and each seed draws the same again.
+
+use super::{Scenario, MIN_DEADLINE};
+use crate::request_class::RequestClass;
+use std::time::Duration;
+
+const SEEDS: std::ops::Range<u64> = 0..400;
+
+#[test]
+fn deadlines_are_between_a_tenth_of_a_second_and_five() {
+    for seed in SEEDS {
+        let scenario = Scenario::draw(seed);
+        let longest = scenario.longest_deadline();
+        assert!(
+            (MIN_DEADLINE..Duration::from_secs(5)).contains(&longest),
+            "{seed}: {longest:?}"
+        );
+        for class in [
+            RequestClass::Idempotent,
+            RequestClass::WithKey,
+            RequestClass::AtMostOnce,
+        ] {
+            assert!(
+                (MIN_DEADLINE..=longest).contains(&scenario.deadline(class)),
+                "{seed}: {class:?}"
+            );
+        }
+    }
+}
+
+#[test]
+fn the_kill_comes_at_the_earliest() {
+    for seed in SEEDS {
+        let scenario = Scenario::draw(seed);
+        let counted = scenario.longest_deadline().min(Duration::from_secs(3));
+        assert_eq!(scenario.kill_after(), counted + Duration::from_millis(700));
+    }
+}
+
+#[test]
+fn a_seed_draws_the_same_again_and_some_seed_each_difficulty() {
+    let drawn: Vec<_> = SEEDS.map(Scenario::draw).collect();
+    for (seed, scenario) in SEEDS.zip(&drawn) {
+        assert_eq!(scenario.to_string(), Scenario::draw(seed).to_string());
+    }
+    assert!(drawn.iter().any(|scenario| scenario.has_idle_clients));
+    assert!(drawn.iter().any(|scenario| scenario.repeats_signals));
+    assert!(drawn
+        .iter()
+        .any(|scenario| scenario.gateways_per_processor.is_some()));
+    assert!(drawn.iter().any(|scenario| scenario.hanging_percent > 0));
+    assert!(drawn
+        .iter()
+        .any(|scenario| scenario.longest_deadline() < Duration::from_millis(200)));
+    assert!(drawn
+        .iter()
+        .any(|scenario| scenario.longest_deadline() > Duration::from_secs(3)));
+}
