--- /dev/null
+++ b/emulator/src/real/arguments.rs
@@ -0,0 +1,74 @@
+//! The arguments of a run, and their bounds.
+
+use super::error::RealRunError;
+use clap::Args;
+use std::path::PathBuf;
+use std::time::Duration;
+
+/// Bounds of a run, so that it ends by itself and leaves the machine usable.
+const MAX_GATEWAYS: u32 = 50;
+const MAX_SECONDS: u32 = 120;
+const MAX_REQUESTS_PER_S: u32 = 2000;
+const MAX_ENDPOINTS: u32 = 20_000;
+const MAX_SERVICE_MS: u32 = 10_000;
+
+/// A run of the gateway's program.
+#[derive(Args, Clone, Debug)]
+pub struct RealRun {
+    /// The gateway's program.
+    #[arg(long, default_value = "target/release/quota-gateway")]
+    pub(super) program: PathBuf,
+    /// Gateways side by side.
+    #[arg(long, default_value_t = 1)]
+    pub(super) gateways: u32,
+    /// Entries of the endpoint list.
+    #[arg(long, alias = "backends", default_value_t = 1000)]
+    pub(super) endpoints: u32,
+    /// Requests a second at each gateway.
+    #[arg(long, default_value_t = 100)]
+    pub(super) requests_per_s: u32,
+    /// Seconds without load, and again under load.
+    #[arg(long, default_value_t = 5)]
+    pub(super) seconds: u32,
+    /// Service time of an endpoint, in ms.
+    #[arg(long, alias = "work-ms", default_value_t = 20)]
+    pub(super) service_ms: u32,
+}
+
+impl RealRun {
+    /// Checks that the arguments are within their bounds and the program is there.
+    pub(super) fn check(&self) -> Result<(), RealRunError> {
+        within("--gateways", self.gateways, MAX_GATEWAYS)?;
+        within("--endpoints", self.endpoints, MAX_ENDPOINTS)?;
+        within("--requests-per-s", self.requests_per_s, MAX_REQUESTS_PER_S)?;
+        within("--seconds", self.seconds, MAX_SECONDS)?;
+        within("--service-ms", self.service_ms, MAX_SERVICE_MS)?;
+        if !self.program.is_file() {
+            return Err(RealRunError::NoProgram {
+                program: self.program.clone(),
+            });
+        }
+        Ok(())
+    }
+
+    /// The time without load, and again under load.
+    pub(super) fn duration(&self) -> Duration {
+        Duration::from_secs(self.seconds.into())
+    }
+
+    /// How long an endpoint takes for a request.
+    pub(super) fn service_time(&self) -> Duration {
+        Duration::from_millis(self.service_ms.into())
+    }
+}
+
+fn within(argument: &'static str, value: u32, max: u32) -> Result<(), RealRunError> {
+    if (1..=max).contains(&value) {
+        return Ok(());
+    }
+    Err(RealRunError::OutOfRange {
+        argument,
+        value,
+        max,
+    })
+}
--- a/emulator/src/real/figures.rs
+++ b/emulator/src/real/figures.rs
@@ -1,9 +1,9 @@
 //! What a run has shown.
 
+use super::arguments::RealRun;
 use super::clients::ResponseFigures;
 use super::gateway_process::{GatewayProcess, Usage};
 use super::stand_ins::{StandIns, TrafficCounts};
-use super::RealRun;
 use crate::report::Distribution;
 use std::fmt::{Display, Formatter};
 
--- a/emulator/src/real/gateway_process.rs
+++ b/emulator/src/real/gateway_process.rs
@@ -1,7 +1,7 @@
 //! One gateway's process: its start, its end, and what the system reports of it.
 
 use super::clients::ClientConnection;
-use super::RealRunError;
+use super::error::RealRunError;
 use crate::process_memory::peak_memory_kb;
 use serde_json::Value;
 use std::net::SocketAddr;
--- a/stand-ins/src/blocking/discovery.rs
+++ b/stand-ins/src/blocking/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery, and the endpoint lists that it sends.
 
 use super::http::read_message;
-use super::TEST_TIMEOUT;
+use super::timeout::TEST_TIMEOUT;
 use crate::discovery::chunk;
 use crate::endpoint_list::ListEntry;
 use std::io::{BufReader, Write};
--- a/stand-ins/src/blocking/endpoint.rs
+++ b/stand-ins/src/blocking/endpoint.rs
@@ -1,7 +1,7 @@
 //! Endpoints.
 
 use super::server::{start_server, Reply};
-use super::TEST_TIMEOUT;
+use super::timeout::TEST_TIMEOUT;
 use crate::message::{response, Message};
 use socket2::{Domain, Socket, Type};
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
--- a/stand-ins/src/blocking/mod.rs
+++ b/stand-ins/src/blocking/mod.rs
@@ -6,14 +6,11 @@
 mod endpoint;
 mod http;
 mod server;
+mod timeout;
 
 pub use counter::start_counter;
 pub use discovery::{list_entry, push_update, Discovery};
 pub use endpoint::{healthy_endpoint, StalledEndpoint};
 pub use http::read_message;
 pub use server::{start_server, unused_address, Reply};
-
-use std::time::Duration;
-
-/// Waits are on conditions; this only ends a test that has failed.
-pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+pub use timeout::TEST_TIMEOUT;
