--- a/soak/src/clients/misbehaving.rs
+++ b/soak/src/clients/misbehaving.rs
@@ -12,7 +12,7 @@
 const PAUSE_MS: std::ops::Range<u64> = 100..1500;
 /// What such a client is owed comes within this time of connecting.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
-/// A client waits this much longer, so that a late answer is told from none.
+/// A client waits this much longer, so that the report shows how late an answer came.
 const EXTRA_WAIT: Duration = Duration::from_secs(2);
 /// Pause between connecting and sending, of those clients that pause.
 const SEND_DELAY_MS: std::ops::Range<u64> = 0..2200;
--- a/soak/src/clients/outcome.rs
+++ b/soak/src/clients/outcome.rs
@@ -11,9 +11,9 @@
 #[cfg(test)]
 mod tests;
 
-/// A client waits this much longer than its deadline, so that a late answer is told from none.
+/// An answer may come this long after the client's deadline; later, the request counts as lost.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
-/// A request and the end of its connection may cross for so long.
+/// A request and the close of its connection may cross for this long.
 const CROSSING_TIME: Duration = Duration::from_millis(10);
 
 /// How a connection ended without an answer.
@@ -27,7 +27,8 @@
 }
 
 impl Close {
-    /// The close that a client saw so long after it had sent its request on a connection that was open then.
+    /// The close that a client saw `after` it had sent its request on a connection that was open then; `delay` is how
+    /// late this process may have seen it.
     pub fn seen(result: &io::Result<Option<Message>>, after: Duration, delay: Duration) -> Self {
         let is_orderly = matches!(result, Ok(None));
         if is_orderly && after > CROSSING_TIME + delay {
--- a/soak/src/clients/shutdown.rs
+++ b/soak/src/clients/shutdown.rs
@@ -14,7 +14,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// The first of these clients connect so long before SIGTERM.
+/// The first of these clients connect this long before SIGTERM.
 pub const LEAD_TIME: Duration = Duration::from_millis(500);
 /// Clients of one gateway.
 const CLIENTS: u64 = 40;
@@ -82,15 +82,16 @@
         self.send_late(&mut connection).await;
     }
 
-    /// Makes a request as any other client; false if the connection can't be used any more.
+    /// Makes a request in the way of any other client; false if the connection can't be used any more.
     async fn use_once(&mut self, connection: &mut Connection) -> bool {
         let request = self.requests.next();
-        self.note_sent(&request);
+        self.record_sent(&request);
         // Where it fails, an answer may have come before.
         let _ = connection.send(request.text.as_bytes()).await;
         self.receive(connection, &request).await
     }
 
+    /// Sends what is drawn, on a connection that the gateway may be about to close.
     async fn send_late(&mut self, connection: &mut Connection) {
         let pattern = match self.rng.random_range(0..3) {
             0 => SendPattern::Complete,
@@ -120,12 +121,12 @@
             return observations.count("connections closed before the last request");
         }
         for request in &requests {
-            self.note_sent(request);
+            self.record_sent(request);
         }
         self.context
             .observations
             .count("requests at a gateway's end");
-        // As above.
+        // Where it fails, an answer may have come before.
         let _ = connection.send(rest).await;
         for request in &requests {
             if !self.receive(connection, request).await {
@@ -134,7 +135,7 @@
         }
     }
 
-    fn note_sent(&self, request: &Request) {
+    fn record_sent(&self, request: &Request) {
         let mut checker = self.context.checker.borrow_mut();
         checker.request_sent(
             request.transaction,
--- a/soak/src/gateway/shutdown_plan.rs
+++ b/soak/src/gateway/shutdown_plan.rs
@@ -13,7 +13,7 @@
 /// Pause between two signals of a series.
 const SIGNAL_INTERVAL: Duration = Duration::from_millis(30);
 
-/// What happens to a process between SIGTERM and its end.
+/// What happens to a process between SIGTERM and its end, beside its clients.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ShutdownPlan {
     /// It stalls once, this long after SIGTERM.
@@ -67,9 +67,9 @@
 }
 
 /// Suspends a process for a time. It may end meanwhile.
-pub async fn suspend(pid: Pid, how_long: Duration) {
+pub async fn suspend(pid: Pid, duration: Duration) {
     // Signals fail for a process that has just ended.
     let _ = kill(pid, Signal::SIGSTOP);
-    sleep(how_long).await;
+    sleep(duration).await;
     let _ = kill(pid, Signal::SIGCONT);
 }
--- a/soak/src/notices.rs
+++ b/soak/src/notices.rs
@@ -93,3 +93,6 @@
         FAILURE_GRACE
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/soak/src/rules/checker/tests.rs
+++ b/soak/src/rules/checker/tests.rs
@@ -43,6 +43,8 @@
         .collect()
 }
 
+/// A gateway sends an attempt for a client that has closed, to an endpoint that drains, or with a deadline that is too
+/// long. Sockets and this process delay what is seen; up to that slack nothing is reported, one ms more is.
 #[tokio::test(start_paused = true)]
 async fn times_are_checked_with_their_slack() {
     let mut checker = checker();
@@ -83,6 +85,8 @@
     assert_eq!(rules(&checker)[2..], [Rule::Drain]);
 }
 
+/// A gateway retries a request that may have been executed. An idempotent one may be, and one with a key that the
+/// endpoints still know is dropped there; any other is executed twice, and that is reported.
 #[tokio::test(start_paused = true)]
 async fn a_request_is_executed_once_unless_it_is_idempotent() {
     let mut checker = checker();
@@ -103,6 +107,7 @@
     assert_eq!(rules(&checker), [Rule::Duplicate, Rule::Duplicate]);
 }
 
+/// A gateway gives a client the response to another request, or a success that no endpoint made. The body shows it.
 #[tokio::test(start_paused = true)]
 async fn a_success_needs_the_answer_made_for_its_request() {
     let mut checker = checker();
@@ -129,7 +134,7 @@
     );
 }
 
-/// At first 4 * 0.2 * 10 = 8 a second are the limit, with a margin of 3 standard deviations and 3.
+/// A gateway sends an endpoint that has just started more than it can serve, which would overload it. At first 4 * 0.2 * 10 = 8 a second are the limit, with a margin of 3 standard deviations and 3.
 #[tokio::test(start_paused = true)]
 async fn a_cold_endpoint_may_get_only_so_many_attempts() {
     let mut checker = checker();
--- a/soak/src/scenario/tests.rs
+++ b/soak/src/scenario/tests.rs
@@ -37,6 +37,32 @@
     }
 }
 
+/// A find is reported with its seed, and the kept seeds of the test command stand for what they draw. A change of the
+/// draws, or of their order, would turn them into other runs unnoticed.
+#[test]
+fn the_kept_seeds_draw_what_they_always_drew() {
+    for (seed, drawn) in [
+        (
+            13,
+            "deadlines 997.25ms, 566.87ms, 929.25ms; 30% hang; idle clients; signals in series",
+        ),
+        (
+            14,
+            "deadlines 103.65ms, 100.00ms, 100.00ms; 30% hang; signals in series",
+        ),
+        (
+            21,
+            "deadlines 2.27s, 883.85ms, 1.42s; 30% hang; signals in series",
+        ),
+        (
+            23,
+            "deadlines 2.06s, 1.42s, 1.45s; 0% hang; 8 gateways to a processor",
+        ),
+    ] {
+        assert_eq!(Scenario::draw(seed).to_string(), drawn, "seed {seed}");
+    }
+}
+
 #[test]
 fn a_seed_draws_the_same_again_and_some_seed_each_difficulty() {
     let drawn: Vec<_> = SEEDS.map(Scenario::draw).collect();
