--- a/soak/src/clients/misbehaving.rs
+++ b/soak/src/clients/misbehaving.rs
@@ -1,4 +1,4 @@
-//! Clients that misbehave. Each is owed an error or a close within 3 s of connecting.
+//! Clients that never send a valid request. Each has to get an error or a close within 3 s of connecting.
 
 use super::context::ClientContext;
 use crate::rules::Rule;
@@ -10,14 +10,14 @@
 
 /// Pause before a client connects again.
 const PAUSE_MS: std::ops::Range<u64> = 100..1500;
-/// What such a client is owed comes within this time of connecting.
+/// The gateway answers or closes within this time of the connection.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 /// A client waits this much longer, so that the report shows how late an answer came.
 const EXTRA_WAIT: Duration = Duration::from_secs(2);
 /// Pause between connecting and sending, of those clients that pause.
 const SEND_DELAY_MS: std::ops::Range<u64> = 0..2200;
 
-/// What such a client sends, and then nothing more.
+/// What such a client sends before it falls silent.
 const TEXTS: [&str; 7] = [
     "",
     "GET /look",
--- a/soak/src/clients/steady.rs
+++ b/soak/src/clients/steady.rs
@@ -59,7 +59,7 @@
 }
 
 impl Client {
-    /// The client of this number, which leaves so many requests in a hundred before their answer.
+    /// The client of this number. It leaves before the answer to `leaving_percent` of its requests.
     pub fn new(context: ClientContext, number: u64, leaving_percent: u32) -> Self {
         let rng = crate::stream(context.settings.seed, "client", number);
         let requests = RequestSource::new(context.clone(), number);
--- a/soak/src/rules/slow_start.rs
+++ b/soak/src/rules/slow_start.rs
@@ -4,10 +4,11 @@
 use std::collections::{HashMap, VecDeque};
 use tokio::time::Instant;
 
-/// Below this number of attempts in a window chance counts for more, and the margin is wider.
+/// Below this number of attempts in a window the wider margin applies, as small counts vary more by chance.
 const FEW_ATTEMPTS: f64 = 30.0;
-/// Margin in standard deviations of a Poisson count, and as many attempts more.
+/// Margin above the limit, in standard deviations of a Poisson count; as many attempts are added.
 const MARGIN: f64 = 2.0;
+/// The margin where the limit is less than `FEW_ATTEMPTS`, in the same unit.
 const MARGIN_FOR_FEW: f64 = 3.0;
 
 /// More attempts in a window than a cold endpoint can serve.
--- a/stand-ins/src/blocking/discovery.rs
+++ b/stand-ins/src/blocking/discovery.rs
@@ -72,7 +72,7 @@
     }
 }
 
-/// Reads a call, begins the response if it is a watch, and hands both to the test.
+/// Reads a call, begins the response if it is a watch, and passes call and connection to the test.
 fn take_call(mut stream: TcpStream, calls: &Sender<(String, TcpStream)>) {
     let mut from = BufReader::new(stream.try_clone().expect("a second handle"));
     let Some(request) = read_message(&mut from) else {
--- a/stand-ins/src/blocking/endpoint.rs
+++ b/stand-ins/src/blocking/endpoint.rs
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Connections that wait to come up, as the system has it.
+    /// Connections that wait to be accepted, according to the system.
     fn pending_connections(&self) -> usize {
         let port = format!(":{:04X}", self.addr.port());
         let table = std::fs::read_to_string("/proc/net/tcp").expect("the system's table");
--- a/stand-ins/src/blocking/server.rs
+++ b/stand-ins/src/blocking/server.rs
@@ -1,4 +1,4 @@
-//! A server that replies to each request as the test has it. Stands in for endpoints, the counter and discovery.
+//! A server whose replies a function of the test makes. Stands in for endpoints, the counter and discovery.
 
 use super::http::read_message;
 use crate::message::Message;
--- a/stand-ins/src/message.rs
+++ b/stand-ins/src/message.rs
@@ -53,7 +53,7 @@
         Some((message, end))
     }
 
-    /// The length of the body, as the head has it; 0 if it has none.
+    /// The length of the body according to the head; 0 if the head does not say.
     ///
     /// # Errors
     ///
