--- a/src/api/action.rs
+++ b/src/api/action.rs
@@ -24,14 +24,15 @@
         /// The attempt, counted from 0.
         attempt: u8,
     },
-    /// Final response: rejected. Nothing was executed, so the client may safely try again.
+    /// Final response: rejected. The client may safely send the request again: nothing was executed, or a second
+    /// execution does no harm.
     Reject {
         /// The request.
         id: RequestId,
         /// When the client should try again; 0 for no advice.
         retry_after_ms: Millis,
     },
-    /// Final response: failed. An attempt may have been executed.
+    /// Final response: failed. An attempt may have been executed, and another execution could do harm.
     Fail {
         /// The request.
         id: RequestId,
--- a/src/bin/quota-gateway/driver/messages.rs
+++ b/src/bin/quota-gateway/driver/messages.rs
@@ -75,12 +75,12 @@
         /// The endpoint's body.
         body: Bytes,
     },
-    /// It was rejected and was never executed, so that the client may retry.
+    /// It was rejected, and the client may safely retry: it was never executed, or a second execution does no harm.
     Rejected {
         /// Time after which the client should retry; 0 for no advice.
         retry_after_ms: f64,
     },
-    /// It failed and may have been executed.
+    /// It failed and may have been executed, and another execution could do harm.
     Failed,
     /// The process ends, and the request was never executed, so that the client may retry at another gateway.
     ShuttingDown,
--- a/src/bin/quota-gateway/metrics/labels.rs
+++ b/src/bin/quota-gateway/metrics/labels.rs
@@ -40,7 +40,7 @@
     RequestEnd, "outcome", {
         /// An endpoint served it.
         Success => "success",
-        /// It was rejected and was never executed.
+        /// It was rejected and may safely be retried: it was never executed, or a second execution does no harm.
         Rejected => "rejected",
         /// It failed and may have been executed.
         Failed => "failed",
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -8,10 +8,11 @@
 
 use crate::api::Millis;
 
-/// A request is rejected if its expected latency is above this share of its latency objective.
+/// A request is rejected if its expected latency is above this share of the time that it has: up to its
+/// latency objective or its client's time-out, whichever is first.
 const MAX_EXPECTED_SHARE: f64 = 0.4;
 /// A request over a limit is forwarded, where that pays, only if its expected latency is below this share of
-/// its latency objective.
+/// the latency objective of its class.
 const MAX_EXPECTED_SHARE_OVER_LIMIT: f64 = 0.35;
 
 /// What becomes of a request.
@@ -22,7 +23,8 @@
     Charge,
     /// It is forwarded within its quota.
     Forward,
-    /// It is forwarded though its customer is over this limit. Nothing is charged.
+    /// It is forwarded though its customer is over this limit. Its units stay out of the customer's count: they
+    /// are not charged, or what was charged before the wait is refunded.
     ForwardOverLimit(Limit),
     /// It is rejected.
     Reject(RejectReason),
@@ -77,7 +79,7 @@
     /// Latency objective of the request's class.
     pub(super) latency_objective_ms: Millis,
     /// Time from the request's arrival to its latency objective or its client's time-out, whichever is first.
-    pub(super) objective_ms: Millis,
+    pub(super) usable_time_ms: Millis,
     /// Share of its value that a request served over a limit has.
     pub(super) over_quota_weight: f64,
     /// Share of its value that a request forwarded over a limit costs.
@@ -89,7 +91,7 @@
     if let Some(limit) = exceeded_limit(customer) {
         return decide_over_limit(limit, load);
     }
-    if load.expected_latency_ms > MAX_EXPECTED_SHARE * load.objective_ms.max(0.0) {
+    if load.expected_latency_ms > MAX_EXPECTED_SHARE * load.usable_time_ms.max(0.0) {
         return Admission::Reject(RejectReason::Overloaded);
     }
     Admission::Charge
--- a/src/policy/call_limiter.rs
+++ b/src/policy/call_limiter.rs
@@ -82,7 +82,8 @@
         !self.bucket.has(1.0)
     }
 
-    /// Whether the counter counts as down.
+    /// Whether requests no longer wait for the counter: its last calls were rejected, timed out or found no
+    /// connection. Invalid replies and broken connections are no such failures.
     pub(crate) fn is_down(&self) -> bool {
         self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
     }
--- a/src/policy/final_response.rs
+++ b/src/policy/final_response.rs
@@ -50,7 +50,7 @@
         /// When the client should do so, in ms from now; 0 for no advice.
         retry_after_ms: Millis,
     },
-    /// The request may have been executed and must not be executed again.
+    /// The request may have been executed, and a retry could come to an endpoint that executes it again.
     Failed,
 }
 
--- a/src/policy/request_handler.rs
+++ b/src/policy/request_handler.rs
@@ -1,7 +1,7 @@
 //! The way of a request: what becomes of it at each event, from its arrival to its end.
 //!
-//! This module decides nothing. It gathers the inputs of a decision, asks the module that makes it, and
-//! carries the decision out: charges, timers, attempts and responses.
+//! It gathers the inputs of a decision, asks the module that makes it, and carries the decision out: charges,
+//! timers, attempts and responses. What follows from a decision for the customer's units is settled here.
 
 use crate::api::{Action, AttemptEnd, Millis, Outcome, Request, Settings};
 use crate::policy::admission::{self, Admission, CustomerInputs, LoadInputs};
@@ -61,8 +61,8 @@
 
     /// The call to the counter that was made for the request has ended.
     pub(crate) fn counter_replied(&mut self, cx: &mut Context, open: &mut OpenRequest) {
-        // The charge of a rejected request would keep the other gateways from quota that is there. While the
-        // counter is well it is taken back at once, otherwise with the next charge.
+        // The charge of a request that is not within the quota would keep the other gateways from quota that is
+        // there. While the counter replies it is refunded at once, otherwise with the customer's next charge.
         if open.awaiting_counter && self.decide_after_wait(cx, open) != Admission::Forward {
             self.quota.settle_now(cx, open);
         }
@@ -97,7 +97,7 @@
             Admission::Charge => self.charge(cx, open),
             Admission::Forward => self.forward_within_quota(cx, open),
             Admission::ForwardOverLimit(_) => {
-                // Nothing is charged for it, so nothing is settled later.
+                // Nothing is charged for it, or that is refunded already: nothing is left to settle.
                 open.settlement_due = false;
                 self.forward(cx, open);
             }
@@ -222,13 +222,14 @@
     LoadInputs {
         expected_latency_ms,
         latency_objective_ms: cx.class(&open.request).latency_objective_ms,
-        objective_ms: open.objective_ms,
+        usable_time_ms: open.usable_time_ms,
         over_quota_weight: plan.over_quota_weight,
         over_quota_cost: plan.over_quota_cost,
     }
 }
 
-/// Settles the request's units: the difference to the actual ones, or all of them if it was never sent.
+/// An attempt of the customer is no longer in flight. Settles the request's units: the difference to the actual
+/// ones, or all of them if no attempt of it was sent (`Outcome::NotSent` alone counts as that).
 fn settle_attempt(
     cx: &mut Context,
     quota: &mut QuotaLedger,
@@ -246,14 +247,15 @@
     }
 }
 
-/// The request was never sent, so it used nothing.
+/// Refunds the request's units, unless they are settled: it was never sent, so it used nothing.
 fn refund(cx: &mut Context, quota: &mut QuotaLedger, open: &mut OpenRequest) {
     if std::mem::take(&mut open.settlement_due) {
         quota.settle(cx, open.account(), -open.request.units);
     }
 }
 
-/// The request has its response or needs none any more: no attempt follows.
+/// The request has its response or needs none any more. Releases the units that are reserved while it waits for
+/// the counter, and cancels its attempts in flight where that is permitted.
 fn close(cx: &mut Context, customers: &mut Customers, open: &mut OpenRequest) {
     customers.release(open);
     if !std::mem::replace(&mut open.closed, true) && cx.settings.limits.cancellation {
