--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -23,8 +23,8 @@
     Charge,
     /// It is forwarded within its quota.
     Forward,
-    /// It is forwarded though its customer is over this limit. Its units stay out of the customer's count: they
-    /// are not charged, or what was charged before the wait is refunded.
+    /// It is forwarded though its customer is over this limit. Its units stay out of the customer's count:
+    /// they are not charged, or what was charged before the wait is refunded.
     ForwardOverLimit(Limit),
     /// It is rejected.
     Reject(RejectReason),
--- a/src/policy/ceiling.rs
+++ b/src/policy/ceiling.rs
@@ -1,5 +1,10 @@
-//! The hard ceiling of a plan: a second quota that is never exceeded, not even while the counter is down.
-//! Gateways don't exchange its usage. Each enforces an equal share of it.
+//! The hard ceiling of a plan: a second quota, which is enforced also while the counter is down. Gateways
+//! don't exchange its usage. Each enforces an equal share of it, with a token bucket.
+//!
+//! The usage of a customer can still exceed the ceiling in two cases. The units that a request states on
+//! arrival are counted, not those that it really used; they are counted once, at its first attempt. And a
+//! customer that was forgotten as the table of customers was full comes back with a full share, unless the
+//! gateway started recently.
 
 use crate::api::{Millis, Plan, Settings};
 use crate::primitives::token_bucket::TokenBucket;
--- a/src/policy/counter_calls.rs
+++ b/src/policy/counter_calls.rs
@@ -46,6 +46,9 @@
 
     /// Learns from a reply. Returns whether it shows that the counter is short of capacity.
     pub(super) fn record_reply(&mut self, cx: &Context, reply: &ChargeReply) -> bool {
+        // The wait is that of the class with the shortest objective: a reply that is too late for one class
+        // already shows a shortage. It is computed before the reply changes it, as requests waited by the
+        // old value.
         let classes = cx.settings.classes.iter();
         let shortest_objective_ms = classes
             .map(|class| class.latency_objective_ms)
--- a/src/policy/customer_quota.rs
+++ b/src/policy/customer_quota.rs
@@ -68,21 +68,27 @@
                     self.gossip_level = self.quota.level;
                 }
             }
+            // Only the units of the request itself are settled with a later charge. Earlier unsettled units
+            // that the charge carried as well are dropped: the shared count never gets them.
             ChargeResult::NotCounted => self.quota.settle_later(now, charge.units, limits),
             // Charged again, the units could count twice and the customer lose quota that it hasn't used.
+            // If the counter has not counted them, they are missing from the shared count.
             ChargeResult::MayHaveCounted => {}
         }
     }
 
-    /// Attempts in flight at all gateways. Those of this one are counted; those of its peers are estimated by
-    /// Little's law from their rate of usage, the mean units of a request and the duration of an attempt.
+    /// Attempts in flight at all gateways. Those of this one are counted, and so are its calls to the
+    /// counter in flight: a request that waits for one is about to be sent. Calls that only settle units or
+    /// query the total count as well. Those of its peers are estimated by Little's law from their rate of
+    /// usage, the mean units of a request and the duration of an attempt.
     pub(super) fn concurrent_attempts(&self, mean_units: f64, duration_ms: Millis) -> f64 {
         let at_peers = self.quota.peer_rate / mean_units * duration_ms / 1000.0;
         f64::from(self.in_flight + self.pending_calls) + at_peers.round()
     }
 
-    /// Subtracts units that were used at a peer, or adds them if negative. Usage that the level doesn't cover
-    /// is left out.
+    /// Subtracts units that were used at a peer, or adds a refund if negative, up to the burst. Nothing
+    /// changes where the units are above the level. That holds for a refund, too: at a level of -7, units
+    /// of -5 are left out, while units of -8 are added.
     pub(super) fn record_peer_usage(&mut self, units: f64, burst: f64) {
         if self.gossip_level >= units {
             self.gossip_level = (self.gossip_level - units).min(burst);
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -20,7 +20,8 @@
 }
 
 impl OutlierDetector {
-    /// Has to be called before the endpoint's `last_response_at` is updated by the same outcome.
+    /// Has to be called before `TrackedEndpoint::attempt_ended` for the same attempt: `last_response_at`
+    /// says then whether the endpoint has responded to other attempts.
     pub(super) fn record(
         &mut self,
         cx: &mut Context,
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -2,8 +2,11 @@
 //!
 //! [`QuotaLedger`] connects the parts that a request meets: the customers' levels (`customer_quota`), the
 //! calls to the counter (`counter_calls`) and the exchange of usage with other gateways (`gossip`). A
-//! request's units are charged before it is forwarded. Units that could not be charged, and differences to
-//! the units that the request really used, are settled with a later charge.
+//! request's units are charged before it is forwarded. Units that were not charged as the counter may not
+//! be called now, and differences to the units that the request really used, are settled with a later
+//! charge. If the call of a charge fails and the counter can't have counted it, the units of its request
+//! are settled with a later one; earlier unsettled units that it carried are lost. If the counter may have
+//! counted it, nothing is settled.
 
 use crate::api::{Millis, RequestId, Settings};
 use crate::gossip::UsageExchange;
--- a/src/policy/request_handler.rs
+++ b/src/policy/request_handler.rs
@@ -61,8 +61,9 @@
 
     /// The call to the counter that was made for the request has ended.
     pub(crate) fn counter_replied(&mut self, cx: &mut Context, open: &mut OpenRequest) {
-        // The charge of a request that is not within the quota would keep the other gateways from quota that is
-        // there. While the counter replies it is refunded at once, otherwise with the customer's next charge.
+        // The charge of a request that is not within the quota would keep the other gateways from quota
+        // that is there. While the counter replies it is refunded at once, otherwise with the customer's
+        // next charge.
         if open.awaiting_counter && self.decide_after_wait(cx, open) != Admission::Forward {
             self.quota.settle_now(cx, open);
         }
@@ -228,8 +229,8 @@
     }
 }
 
-/// An attempt of the customer is no longer in flight. Settles the request's units: the difference to the actual
-/// ones, or all of them if no attempt of it was sent (`Outcome::NotSent` alone counts as that).
+/// An attempt of the customer is no longer in flight. Settles the request's units: the difference to the
+/// actual ones, or all of them if no attempt of it was sent (`Outcome::NotSent` alone counts as that).
 fn settle_attempt(
     cx: &mut Context,
     quota: &mut QuotaLedger,
@@ -254,8 +255,8 @@
     }
 }
 
-/// The request has its response or needs none any more. Releases the units that are reserved while it waits for
-/// the counter, and cancels its attempts in flight where that is permitted.
+/// The request has its response or needs none any more. Releases the units that are reserved while it waits
+/// for the counter, and cancels its attempts in flight where that is permitted.
 fn close(cx: &mut Context, customers: &mut Customers, open: &mut OpenRequest) {
     customers.release(open);
     if !std::mem::replace(&mut open.closed, true) && cx.settings.limits.cancellation {
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -84,8 +84,8 @@
 /// Why a request is not retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RetryDenial {
-    /// The attempt was not sent. In most cases the program refused it, as the request had ended, the client had
-    /// disconnected or the process shuts down, and would refuse another one as well.
+    /// The attempt was not sent. In most cases the program refused it, as the request had ended, the client
+    /// had disconnected or the process shuts down, and would refuse another one as well.
     NotSent,
     /// The client has part of a response already.
     ResponseStarted,
@@ -123,8 +123,8 @@
     if !inputs.budget_has_retry {
         return RetryDecision::Denied(RetryDenial::BudgetExhausted);
     }
-    // An attempt that the gateway cancelled itself is no failure of the fleet. The program only cancels attempts
-    // of requests that have ended, so that none of them comes here.
+    // An attempt that the gateway cancelled itself is no failure of the fleet. The program only cancels
+    // attempts of requests that have ended, so that none of them comes here.
     RetryDecision::Allowed {
         uses_budget: inputs.outcome != Outcome::Cancelled,
     }
--- a/src/policy/shared_quota.rs
+++ b/src/policy/shared_quota.rs
@@ -33,6 +33,8 @@
 const LOST_COUNT_SHARE: f64 = 0.99;
 /// Time constant over which the usage at the peers is averaged, in ms.
 const PEER_RATE_AVERAGING_MS: Millis = 2000.0;
+/// Shortest time between two totals that a usage at the peers is spread over, in ms.
+const MIN_TOTAL_INTERVAL_MS: Millis = 1.0;
 /// Longest time after the last total for which the usage at the peers is extrapolated, in ms.
 const MAX_EXTRAPOLATION_MS: Millis = 10_000.0;
 /// The level falls below 0 by the units of one request, or by this share of the burst.
@@ -141,13 +143,17 @@
     }
 
     /// Adds units to what the next charge carries to the counter; they decay like any usage.
+    ///
+    /// Under a plan with rate and burst 0 the stored units become NaN. Only a charge reads them, and such a
+    /// plan is never charged; a customer is expected to have one plan.
     pub(crate) fn settle_later(&mut self, now: Millis, units: f64, limits: QuotaLimits) {
         let remaining = limits.decay().remaining_share(now - self.unsettled_at);
         self.unsettled_units = self.unsettled_units * remaining + units;
         self.unsettled_at = now;
     }
 
-    /// The addition to the counter for these units and those not settled yet.
+    /// The addition to the counter for these units and those not settled yet. The latter are no longer
+    /// stored then: they are lost if the call fails.
     pub(crate) fn charge(&mut self, now: Millis, units: f64, limits: QuotaLimits) -> Charge {
         let decay = limits.decay();
         let window = self.window_at(now, limits);
@@ -246,13 +252,17 @@
         limits: QuotaLimits,
     ) {
         let decay = limits.decay();
-        let elapsed_ms = (now - self.last_total_at).max(1.0);
+        // Two totals may come at the same time, and a rate over no time would be NaN.
+        let elapsed_ms = (now - self.last_total_at).max(MIN_TOTAL_INTERVAL_MS);
         let remaining = decay.remaining_share(elapsed_ms);
         let added = usage.total - last_usage * remaining - usage.charged;
         let peer_units = decay.evenly_spread_usage(added, elapsed_ms);
         self.level += std::mem::take(&mut self.extrapolated_units) - peer_units;
         // At least as much is left as if all usage that still counts had been taken from a full quota.
         let min_level = limits.burst - usage.before_request;
+        // The longer ago the last total, the less is known of when its difference was used, and the more
+        // the level follows the count alone. The square keeps that weight small for short times, in which
+        // usage that is spread evenly is a good assumption.
         let count_weight = (1.0 - remaining).powi(2);
         self.level = (1.0 - count_weight) * self.level.max(min_level)
             + count_weight * level_by_count(usage, limits);
--- a/src/state/customer.rs
+++ b/src/state/customer.rs
@@ -44,11 +44,13 @@
     }
 }
 
-/// Most customers that are remembered. A client can send any number as its customer: without a limit, invented
-/// numbers would take up all memory.
+/// From this number of customers on, idle ones are forgotten before another one is added. A client can send any
+/// number as its customer: without a limit, invented numbers would take up all memory. Customers with work in flight
+/// are never forgotten, so that there can be more as long as all are active.
 const MAX_CUSTOMERS: usize = 16_384;
 
-/// The customers, by number. Where they are too many, the half that was idle longest is forgotten.
+/// The customers, by number. Where they are too many, the half of the idle ones that was not seen for longest is
+/// forgotten.
 #[derive(Default)]
 pub(crate) struct Customers(BTreeMap<CustomerId, Customer>);
 
