--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -40,7 +40,7 @@
 
     /// The endpoints that this gateway sends to at present.
     pub fn subset(&mut self) -> &[EndpointId] {
-        self.handler.forwarder.load_balancer.subset()
+        self.handler.forwarder.load_balancer.update_subset()
     }
 
     /// Takes in one event and appends what is to be done.
--- a/src/policy/avoidance.rs
+++ b/src/policy/avoidance.rs
@@ -17,32 +17,33 @@
     MIN_AVOIDANCE_MS.max(MIN_AVOIDANCE_REQUESTS * 1000.0 / request_rate.max(MIN_REQUEST_RATE))
 }
 
-/// The requests that an endpoint is likely to reject, by the outcome of an attempt.
-pub(super) enum Rejection {
+/// The requests for which an endpoint is avoided, as it is likely to reject them.
+pub(super) enum AvoidanceScope {
     /// Requests of this plan.
     Plan(usize),
     /// Requests of all plans, which are this many.
     AllPlans(usize),
 }
 
-impl Rejection {
+impl AvoidanceScope {
+    /// The scope after an attempt with this outcome; none if the outcome says nothing of rejections.
     pub(super) fn new(outcome: Outcome, plan: usize, plan_count: usize) -> Option<Self> {
         match outcome {
-            Outcome::Rejected => Some(Rejection::Plan(plan)),
+            Outcome::Rejected => Some(AvoidanceScope::Plan(plan)),
             // What accepts no connection accepts no request of any plan.
-            Outcome::ConnectFailed => Some(Rejection::AllPlans(plan_count)),
+            Outcome::ConnectFailed => Some(AvoidanceScope::AllPlans(plan_count)),
             _ => None,
         }
     }
 }
 
 impl EndpointHealth {
-    /// Avoids the endpoint from now on.
-    pub(super) fn avoid(&mut self, now: Millis, rejection: &Rejection, request_rate: f64) {
+    /// Avoids the endpoint from now on for the requests in the scope.
+    pub(super) fn avoid(&mut self, now: Millis, scope: &AvoidanceScope, request_rate: f64) {
         let until = now + avoidance_ms(request_rate);
-        match *rejection {
-            Rejection::Plan(plan) => self.set_rejecting(plan..plan + 1, until),
-            Rejection::AllPlans(count) => self.set_rejecting(0..count, until),
+        match *scope {
+            AvoidanceScope::Plan(plan) => self.set_rejecting(plan..plan + 1, until),
+            AvoidanceScope::AllPlans(count) => self.set_rejecting(0..count, until),
         }
     }
 }
--- a/src/policy/avoidance/tests.rs
+++ b/src/policy/avoidance/tests.rs
@@ -2,8 +2,8 @@
 
 fn avoided(outcome: Outcome, request_rate: f64) -> EndpointHealth {
     let mut health = EndpointHealth::default();
-    if let Some(rejection) = Rejection::new(outcome, 1, 3) {
-        health.avoid(0.0, &rejection, request_rate);
+    if let Some(scope) = AvoidanceScope::new(outcome, 1, 3) {
+        health.avoid(0.0, &scope, request_rate);
     }
     health
 }
--- a/src/policy/ejection.rs
+++ b/src/policy/ejection.rs
@@ -27,20 +27,22 @@
 
     /// Whether an attempt may be sent: always without an ejection; after the ejection time if the endpoint is
     /// idle, so that this one attempt probes it.
-    fn admits(&self, now: Millis, is_idle: bool) -> bool {
+    fn allows_attempt(&self, now: Millis, is_idle: bool) -> bool {
         !self.is_ejected || now >= self.until && is_idle
     }
 }
 
 impl TrackedEndpoint {
-    /// Whether an attempt may be sent as far as ejection goes.
-    pub(super) fn is_admitted(&self, now: Millis) -> bool {
-        self.health.ejection.admits(now, self.in_flight == 0)
+    /// Whether ejection permits an attempt now. Other reasons may still rule it out.
+    pub(super) fn ejection_allows_attempt(&self, now: Millis) -> bool {
+        self.health
+            .ejection
+            .allows_attempt(now, self.in_flight == 0)
     }
 
     /// Whether it takes attempts of any plan now.
     pub(super) fn is_available(&self, now: Millis) -> bool {
-        self.is_ready() && self.is_admitted(now) && !self.health.is_rejecting_any(now)
+        self.is_ready() && self.ejection_allows_attempt(now) && !self.health.is_rejecting_any(now)
     }
 }
 
--- a/src/policy/ejection/tests.rs
+++ b/src/policy/ejection/tests.rs
@@ -13,7 +13,7 @@
 #[test]
 fn the_last_of_several_consecutive_failures_ejects() {
     assert!(!after_failures(1).is_ejected);
-    assert!(after_failures(1).admits(0.0, false));
+    assert!(after_failures(1).allows_attempt(0.0, false));
     assert!(after_failures(2).is_ejected);
 }
 
@@ -32,11 +32,11 @@
     for (failures, ejection_ms) in ejection_times_ms {
         let ejection = after_failures(failures);
         assert!(
-            !ejection.admits(ejection_ms - 1.0, true),
+            !ejection.allows_attempt(ejection_ms - 1.0, true),
             "{failures} failures"
         );
         assert!(
-            ejection.admits(ejection_ms * (1.0 + EJECTION_TIME.jitter), true),
+            ejection.allows_attempt(ejection_ms * (1.0 + EJECTION_TIME.jitter), true),
             "{failures} failures"
         );
     }
@@ -47,8 +47,8 @@
 fn after_the_ejection_time_only_an_idle_endpoint_is_admitted() {
     let ejection = after_failures(2);
     assert!(ejection.is_ejected);
-    assert!(ejection.admits(ejection.until, true));
-    assert!(!ejection.admits(ejection.until, false));
+    assert!(ejection.allows_attempt(ejection.until, true));
+    assert!(!ejection.allows_attempt(ejection.until, false));
 }
 
 #[test]
@@ -56,5 +56,5 @@
     let mut ejection = after_failures(5);
     ejection.record_success();
     assert!(!ejection.is_ejected);
-    assert!(ejection.admits(0.0, false));
+    assert!(ejection.allows_attempt(0.0, false));
 }
--- a/src/policy/endpoint_comparison.rs
+++ b/src/policy/endpoint_comparison.rs
@@ -103,7 +103,7 @@
             .iter()
             .any(|attempt| attempt.endpoint == id);
         let is_rejecting = endpoint.health.is_rejecting(self.now, plan);
-        let is_ejected = !ignore_ejections && !endpoint.is_admitted(self.now);
+        let is_ejected = !ignore_ejections && !endpoint.ejection_allows_attempt(self.now);
         if had_attempt || is_rejecting || is_ejected {
             Preference::LastResort
         } else {
--- a/src/policy/forwarding.rs
+++ b/src/policy/forwarding.rs
@@ -107,8 +107,8 @@
         ended: &AttemptEnd,
         latency_ms: Millis,
     ) {
-        let responded = ended.outcome == Outcome::Success;
-        self.load.attempt_ended(cx.now, responded);
+        let succeeded = ended.outcome == Outcome::Success;
+        self.load.attempt_ended(cx.now, succeeded);
         if matches!(ended.outcome, Outcome::Success | Outcome::Timeout) {
             let objective_ms = cx.class(&open.request).latency_objective_ms;
             self.load.record_latency(latency_ms, objective_ms);
--- a/src/policy/load_balancer.rs
+++ b/src/policy/load_balancer.rs
@@ -2,7 +2,7 @@
 //! all endpoints, or where there are many, among a few random members of the subset (power of two choices).
 
 use crate::api::{AttemptEnd, Class, Endpoint, EndpointId, Millis, Outcome, Settings};
-use crate::policy::avoidance::Rejection;
+use crate::policy::avoidance::AvoidanceScope;
 use crate::policy::candidate::Candidate;
 use crate::policy::endpoint_comparison::EndpointComparison;
 use crate::policy::{connections, endpoints, latency, outlier, slow_start, subset};
@@ -62,8 +62,9 @@
         self.baselines[class].value()
     }
 
-    /// Updates the subset and returns its members, sorted by id; all ready endpoints where there are few.
-    pub(crate) fn subset(&mut self) -> &[EndpointId] {
+    /// Updates the subset and returns its members, sorted by id: all ready endpoints where there are few and
+    /// the connection limit permits them.
+    pub(crate) fn update_subset(&mut self) -> &[EndpointId] {
         if self.subset.update() {
             self.warming_members.is_stale = true;
         }
@@ -79,8 +80,8 @@
     pub(crate) fn tick(&mut self, cx: &Context, mean_in_flight: f64) {
         self.endpoints.forget_removed(cx.now, FORGET_REMOVED_MS);
         self.subset_load.mean_in_flight = mean_in_flight;
-        if subset::is_partial(&self.subset) {
-            self.subset();
+        if subset::uses_subsetting(&self.subset) {
+            self.update_subset();
             let members = self.endpoints.select(self.subset.members());
             self.subset_load.unhealthy_members = members
                 .clone()
@@ -126,7 +127,7 @@
         comparison: &EndpointComparison,
         rng: &mut Rng,
     ) -> Option<Candidate> {
-        if !subset::is_partial(&self.subset) {
+        if !subset::uses_subsetting(&self.subset) {
             return None;
         }
         let sample = self.sample(cx, rng);
@@ -151,12 +152,12 @@
 
     /// Brings the tokens of the members that are warming up to now.
     fn refill_warming_members(&mut self, cx: &Context) {
-        self.subset();
+        self.update_subset();
         let capacity = self
             .warming_members
             .update(cx.now, &self.endpoints, self.subset.members());
         let request_rate = self.request_rate.per_second();
-        let rate = slow_start::rate_per_endpoint(&cx.settings.rules, request_rate, capacity);
+        let rate = slow_start::capped_rate_per_endpoint(&cx.settings.rules, request_rate, capacity);
         slow_start::refill(&self.warming_members, cx.now, &mut self.endpoints, rate);
     }
 
@@ -216,8 +217,8 @@
             let idle_ms = latency::at_idle_endpoint(end.elapsed_ms, attempt.endpoint_in_flight);
             endpoint.record_latency(cx.now, idle_ms, baseline);
         }
-        if let Some(rejection) = Rejection::new(end.outcome, plan, cx.settings.plans.len()) {
-            endpoint.health.avoid(cx.now, &rejection, request_rate);
+        if let Some(scope) = AvoidanceScope::new(end.outcome, plan, cx.settings.plans.len()) {
+            endpoint.health.avoid(cx.now, &scope, request_rate);
         }
     }
 }
--- a/src/policy/load_estimate.rs
+++ b/src/policy/load_estimate.rs
@@ -44,9 +44,9 @@
         self.in_flight += 1.0;
     }
 
-    /// An attempt has ended, with a response or without.
-    pub(super) fn attempt_ended(&mut self, now: Millis, responded: bool) {
-        self.update(now, if responded { 1.0 } else { 0.0 });
+    /// An attempt has ended. Only a success counts as a response here.
+    pub(super) fn attempt_ended(&mut self, now: Millis, succeeded: bool) {
+        self.update(now, if succeeded { 1.0 } else { 0.0 });
         self.in_flight -= 1.0;
     }
 
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -49,8 +49,9 @@
         }
     }
 
-    /// Units left for a request that has just arrived.
-    pub(crate) fn available_units(&mut self, cx: &Context, open: &OpenRequest) -> f64 {
+    /// Records that a request has arrived: its units count in the mean, and its customer is added if it is
+    /// not known, and refilled. Returns the units left for it.
+    pub(crate) fn observe_request(&mut self, cx: &Context, open: &OpenRequest) -> f64 {
         self.mean_units.update(open.request.units);
         let gossip_active = self.gossip.is_active(cx);
         let customer = self.refresh(cx, open.account(), open.request.gateway_set_size);
--- a/src/policy/request_handler.rs
+++ b/src/policy/request_handler.rs
@@ -196,7 +196,8 @@
     }
 }
 
-/// What the customer uses and may use, where an attempt takes `baseline_ms`. Refills the customer's quota.
+/// What the customer uses and may use, where an attempt takes `baseline_ms`. Records the arrival in the
+/// ledger.
 fn customer_inputs(
     cx: &Context,
     quota: &mut QuotaLedger,
@@ -204,9 +205,9 @@
     baseline_ms: Millis,
 ) -> CustomerInputs {
     let plan = cx.plan(open.account());
-    // In this order: the first adds a customer that is not known yet, and counts the request in the mean
-    // units.
-    let available_units = quota.available_units(cx, open);
+    // In this order: the concurrent attempts depend on the customer and the mean units that the first call
+    // brings up to date.
+    let available_units = quota.observe_request(cx, open);
     let concurrent_attempts = quota.concurrent_attempts(open, baseline_ms);
     CustomerInputs {
         has_quota: plan.rate > 0.0,
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -35,7 +35,7 @@
 
 /// Rate of attempts to a warm endpoint, in attempts per second: an equal share of `request_rate` by capacity,
 /// where all endpoints that the gateway uses have the capacity of `capacity` warm ones.
-pub(super) fn rate_per_endpoint(rules: &Rules, request_rate: f64, capacity: f64) -> f64 {
+pub(super) fn capped_rate_per_endpoint(rules: &Rules, request_rate: f64, capacity: f64) -> f64 {
     request_rate / capacity.max(1.0) * (rules.overload_multiple * MAX_OVERLOAD_SHARE).min(1.0)
 }
 
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -6,8 +6,8 @@
 use crate::primitives::ring::{evenly_spaced_position, RingArc};
 use crate::state::SubsetLoad;
 
-/// Least number of members; with up to this number of endpoints a gateway uses all. The time that a choice
-/// takes grows with it.
+/// Least number of members, unless `MAX_MEMBERS_PER_CONNECTION_LIMIT` permits fewer. With up to this number
+/// of endpoints a gateway chooses among all. The time that a choice takes grows with it.
 const MIN_MEMBERS: usize = 256;
 /// Least number of gateways that use each endpoint. Gateways differ in load; the more of them share an
 /// endpoint, the less the loads of endpoints differ.
@@ -16,7 +16,8 @@
 const MEMBERS_PER_ATTEMPT: f64 = 8.0;
 /// Least number of members in each zone, where the zone has them.
 const MIN_MEMBERS_PER_ZONE: usize = 4;
-/// Largest number of members, as a share of the connection limit: the rest is for bursts.
+/// Largest number of members, as a share of the connection limit: the rest is for bursts. Of the least
+/// numbers above only that in each zone comes before it.
 const MAX_MEMBERS_PER_CONNECTION_LIMIT: f64 = 0.75;
 /// Changes of the arc's length by up to this share of it are left out, as each replaces members.
 const MIN_RESIZE_SHARE: f64 = 0.15;
@@ -28,8 +29,9 @@
     RingArc::new(start, MIN_MEMBERS_PER_ZONE)
 }
 
-/// Whether there are too many endpoints to use them all.
-pub(super) fn is_partial(subset: &RingArc) -> bool {
+/// Whether there are too many endpoints to compare them all. With fewer, the choice for an attempt is among
+/// all of them, also if the connection limit keeps the arc shorter than the ring.
+pub(super) fn uses_subsetting(subset: &RingArc) -> bool {
     subset.node_count() > MIN_MEMBERS
 }
 
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -46,8 +46,8 @@
     pub(crate) awaiting_counter: bool,
     /// Its units are taken from the quota when it is forwarded, and have not been settled or refunded.
     pub(crate) settlement_due: bool,
-    /// An attempt that was sent has ended.
-    pub(crate) was_sent: bool,
+    /// An attempt with another outcome than [`Outcome::NotSent`] has ended.
+    pub(crate) has_ended_sent_attempt: bool,
     /// It has its final response, or its client has disconnected.
     pub(crate) closed: bool,
     /// Part of a response has been passed on to the client.
@@ -85,7 +85,7 @@
             request,
             awaiting_counter: false,
             settlement_due: true,
-            was_sent: false,
+            has_ended_sent_attempt: false,
             closed: false,
             response_started: false,
             attempts: Vec::new(),
@@ -117,7 +117,7 @@
 
     /// Whether no attempt of it was sent or may still be.
     pub(crate) fn was_never_sent(&self) -> bool {
-        !self.was_sent && !self.has_attempt_in_flight()
+        !self.has_ended_sent_attempt && !self.has_attempt_in_flight()
     }
 
     /// Whether an endpoint may have executed it.
@@ -139,7 +139,7 @@
             self.first_execution = Some(first);
         }
         if ended.outcome != Outcome::NotSent {
-            self.was_sent = true;
+            self.has_ended_sent_attempt = true;
         }
         Some(attempt)
     }
