--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -28,7 +28,8 @@
         /// The request.
         id: RequestId,
     },
-    /// A timer that was set by [`Action::SetTimer`](crate::Action::SetTimer) has fired.
+    /// A timer that was set by [`Action::SetTimer`](crate::Action::SetTimer) has fired. To be reported once for each
+    /// such action: a token that was not set, or one reported twice, may start a second round of housekeeping.
     TimerFired {
         /// The token that the timer was set with.
         token: u64,
--- a/src/policy/attempt_timeout.rs
+++ b/src/policy/attempt_timeout.rs
@@ -12,7 +12,8 @@
 /// An early time-out comes earlier by this many ticks, the shortest time between two calls of the library:
 /// one may pass before the time-out is noticed, and one before the response is given.
 const EARLY_TIMEOUT_MARGIN_TICKS: f64 = 2.0;
-/// An attempt that starts with less time than this before its early time-out takes this long, in ms.
+/// The shortest early time-out, in ms. An attempt is sent even if its early time-out would have passed: what
+/// permits attempts (`retry`) doesn't look at the early time-out.
 const MIN_EARLY_TIMEOUT_MS: Millis = 1.0;
 
 /// What the time-out of an attempt rests on. Moments and spans are in ms.
--- a/src/policy/endpoint_comparison.rs
+++ b/src/policy/endpoint_comparison.rs
@@ -9,8 +9,9 @@
 /// Largest random part of a cost, in baseline latencies. Without it, gateways that know equally little of the
 /// endpoints would all choose the same one.
 const COST_JITTER: f64 = 0.05;
-/// Cost of a new connection, in latency objectives times the price of a handshake. Above 1, as a connection
-/// also costs the endpoint work, and a gateway learns more of an endpoint that it uses often.
+/// Factor on the cost of a new connection. That cost, in ms, is this factor times the price of a handshake
+/// (`Prices::handshake`) times the latency objective of the class. It is above 1, as a connection also costs
+/// the endpoint work, and a gateway learns more of an endpoint that it uses often.
 const HANDSHAKE_FACTOR: f64 = 3.0;
 
 /// What endpoints are compared by for one attempt.
@@ -56,8 +57,9 @@
             if !is_in_scope || is_warming && !endpoint.warm_up.has_token() {
                 continue;
             }
-            // A warming endpoint with a token costs nothing: by its latency, or by chance among many
-            // endpoints, it might not be sent the attempts that slow start allots to it.
+            // A warming endpoint with a token costs no latency, only a handshake where it needs one: by its
+            // latency, or by chance among many endpoints, it might not be sent the attempts that slow start
+            // allots to it.
             let latency_ms = if is_warming {
                 0.0
             } else {
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -20,6 +20,8 @@
             replace(cx, endpoint, entry);
             ring.replace(old_node, endpoint.ring_node());
         } else if entry.state != EndpointState::Removed || !is_first {
+            // An endpoint that is removed is recorded as well, so that it warms up if it comes back. Those
+            // that the first update names as removed are not: nothing says how long ago that was.
             let endpoint = new_endpoint(cx, entry);
             ring.replace(None, endpoint.ring_node());
             table.insert(endpoint);
@@ -39,6 +41,7 @@
     let limits = &cx.settings.limits;
     let connections = ConnectionEstimate::new(limits, usable_idle_ms(limits), cx.now);
     let ramp = slow_start::ramp(cx.now, &cx.settings.rules, &entry, false);
+    // It starts with a random part of a token: all gateways would send their first attempt at once otherwise.
     let warm_up = WarmUp::new(ramp, cx.rng.f64(), cx.now);
     TrackedEndpoint::new(entry, connections, warm_up, cx.now)
 }
--- a/src/policy/forwarding.rs
+++ b/src/policy/forwarding.rs
@@ -60,6 +60,8 @@
         customers: &mut Customers,
         open: &mut OpenRequest,
     ) -> Result<(), EndReason> {
+        // Before the decision: the choice draws random numbers, also for an attempt that is then denied,
+        // and a request without an endpoint ends for that reason whatever else denies its attempt.
         let endpoint = self.load_balancer.choose(cx, open);
         let endpoint = endpoint.ok_or(EndReason::NoEndpoint)?;
         match retry::decide_attempt(&attempt_inputs(cx, customers, open)) {
--- a/src/policy/load_balancer.rs
+++ b/src/policy/load_balancer.rs
@@ -20,8 +20,9 @@
 const MAX_SAMPLE_DRAWS: usize = 16;
 /// Time constant over which the rate of first attempts is averaged, in ms.
 const REQUEST_RATE_AVERAGING_MS: Millis = 5000.0;
-/// A removed endpoint is forgotten when its last success was this long ago, in ms.
-const FORGET_REMOVED_MS: Millis = 60_000.0;
+/// A removed endpoint is forgotten once its last success was this long ago, in ms, whenever it was removed.
+/// One that comes back later counts as new: it warms up only if the list says that it has just started.
+const FORGET_AFTER_LAST_SUCCESS_MS: Millis = 60_000.0;
 
 /// The endpoints as this gateway sees them.
 pub(crate) struct LoadBalancer {
@@ -78,7 +79,8 @@
 
     /// Periodic housekeeping; `mean_in_flight` attempts of this gateway are in flight on average.
     pub(crate) fn tick(&mut self, cx: &Context, mean_in_flight: f64) {
-        self.endpoints.forget_removed(cx.now, FORGET_REMOVED_MS);
+        self.endpoints
+            .forget_removed(cx.now, FORGET_AFTER_LAST_SUCCESS_MS);
         self.subset_load.mean_in_flight = mean_in_flight;
         if subset::uses_subsetting(&self.subset) {
             self.update_subset();
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -1,12 +1,15 @@
 //! Outlier detection: which outcomes of attempts are failures of their endpoint. What follows from failures
 //! is decided by `ejection`.
+//!
+//! An invalid response is an error or one that breaks off. Its rate is among these and successes alone; other
+//! outcomes don't count in it.
 
 use crate::api::{AttemptEnd, Millis, Outcome};
 use crate::state::{Context, EndpointHealth, TrackedEndpoint};
 
-/// Weight of one response in the rate of invalid responses of its endpoint.
+/// Weight of one outcome in the rate of invalid responses of its endpoint.
 const ENDPOINT_INVALID_RATE_GAIN: f64 = 0.2;
-/// Weight of one response in the rate of invalid responses of the fleet.
+/// Weight of one outcome in the rate of invalid responses of the fleet.
 const FLEET_INVALID_RATE_GAIN: f64 = 0.02;
 /// An invalid response is a failure if its endpoint's rate of them is above the fleet's by this share of all
 /// responses: a request may be invalid at any endpoint.
@@ -15,7 +18,7 @@
 /// Distinguishes faulty endpoints from a fleet that fails as one.
 #[derive(Default)]
 pub(super) struct OutlierDetector {
-    /// Share of all responses that are errors or break off (EWMA).
+    /// Share of invalid responses (EWMA).
     fleet_invalid_rate: f64,
 }
 
--- a/src/policy/poll_retry.rs
+++ b/src/policy/poll_retry.rs
@@ -1,4 +1,6 @@
-//! When a failed poll of the endpoint list is retried.
+//! When a failed poll of the endpoint list is retried. The housekeeping looks once a second whether a retry
+//! is due, so that it can come up to a second later. A host that watches the list by itself, as the
+//! gateway's program does, ignores `Action::WatchEndpoints`: the retries here then lead to nothing.
 
 use crate::api::Millis;
 use fastrand::Rng;
@@ -12,7 +14,7 @@
 pub(crate) struct PollRetry(Option<Millis>);
 
 impl PollRetry {
-    /// A poll has failed: has it retried.
+    /// A poll has failed: schedules a retry.
     pub(crate) fn poll_failed(&mut self, now: Millis, rng: &mut Rng) {
         self.0 = Some(now + POLL_RETRY_MS * (1.0 + rng.f64()));
     }
--- a/src/policy/request_handler.rs
+++ b/src/policy/request_handler.rs
@@ -144,6 +144,9 @@
         let Some(attempt) = open.end_attempt(ended) else {
             return;
         };
+        // From the decision to send until the end is known here: the load that a request is admitted by
+        // includes the time that actions and events wait in the host. The host's own `elapsed_ms`, without
+        // that time, is what an endpoint is judged by.
         let latency_ms = cx.now - attempt.started_at;
         settle_attempt(cx, &mut self.quota, open, ended.actual_units);
         self.forwarder.attempt_ended(cx, open, ended, latency_ms);
@@ -158,6 +161,7 @@
         let inputs = self.forwarder.retry_inputs(cx, open, outcome);
         match retry::decide_retry(&inputs) {
             RetryDecision::Allowed { uses_budget } => {
+                // Paid also if no endpoint is there or `retry::decide_attempt` denies the attempt below.
                 if uses_budget {
                     self.forwarder.retry_budget.withdraw();
                 }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -17,7 +17,9 @@
 /// What one retry takes from the budget.
 const RETRY_COST: f64 = 1.0;
 /// The program may stall for this long, in ms, between its last look at the clock and the first byte of an
-/// attempt. A retry that relies on an idempotency key must start this long before the key's window ends.
+/// attempt. A retry that relies on an idempotency key must start this long before the key's window ends. The
+/// same stall is `MAX_STALL` in the program's `lifecycle::timeline` and `STALL_TOLERANCE` in its
+/// `driver::rule_checks`: the three change together.
 const MAX_WRITE_DELAY_MS: Millis = 150.0;
 
 /// Limits retries to a share of the first attempts, so that a fleet that fails is not loaded further by them.
@@ -33,7 +35,7 @@
         }
     }
 
-    /// A request's first attempt is sent.
+    /// The action that sends a request's first attempt is queued. The program may still not send it.
     pub(super) fn deposit(&mut self) {
         self.retries.refill(RETRIES_PER_REQUEST, MAX_SAVED_RETRIES);
     }
@@ -140,7 +142,8 @@
     /// Most attempts of one request; the first is always permitted.
     pub(super) max_attempts: u32,
     pub(super) idempotency: Idempotency,
-    /// When the first attempt started that may have been executed; none if there is none.
+    /// When the attempt started that was the first to end with an outcome that doesn't exclude execution;
+    /// none if no attempt has ended so.
     pub(super) first_execution_at: Option<Millis>,
     /// The customer's hard ceiling, if there is one, has the request's units left.
     pub(super) fits_ceiling: bool,
@@ -191,7 +194,7 @@
 }
 
 /// Time in which another attempt may be written, in ms: an endpoint recognises a retry only within the key's
-/// window, which begins with the first attempt that may have been executed. Infinite without one.
+/// window, which begins with the attempt of `first_execution_at`. Infinite without one.
 fn start_timeout(inputs: &AttemptInputs) -> Millis {
     match (inputs.idempotency, inputs.first_execution_at) {
         (Idempotency::WithKey { window_ms, .. }, Some(first_execution_at)) => {
--- a/src/primitives/decay.rs
+++ b/src/primitives/decay.rs
@@ -29,7 +29,7 @@
         self.updated_at = now;
     }
 
-    /// Forgets the samples, but not when the last one came.
+    /// Forgets the samples, but not when the last one came: `updated_at` stays as it is.
     pub(crate) fn reset(&mut self) {
         self.value = 1.0;
     }
--- a/src/state/connections.rs
+++ b/src/state/connections.rs
@@ -2,14 +2,15 @@
 
 use crate::api::{Limits, Millis, Outcome};
 
-/// The estimate.
+/// The estimate, from the attempts that were sent and how they ended. What counts as usable and how many endpoints
+/// are worth a connection is decided by `policy::connections`.
 pub(crate) struct ConnectionEstimate {
     /// Idle time after which connections count as closed, in ms.
     usable_idle_ms: f64,
     /// Most attempts in flight on one connection.
     attempts_per_connection: u32,
     open: u32,
-    /// When the last response came on one of them.
+    /// When an attempt on one of them last ended with a success, an error or a rejection.
     used_at: Millis,
 }
 
--- a/src/state/customer.rs
+++ b/src/state/customer.rs
@@ -5,7 +5,7 @@
 use crate::state::{OpenRequest, SharedQuota};
 use std::collections::BTreeMap;
 
-/// One customer as this gateway sees it.
+/// One customer as this gateway sees it. `policy::customer_quota` has the further methods, which decide on its quota.
 pub(crate) struct Customer {
     pub(crate) last_seen_at: Millis,
     /// The quota, by the counter and this gateway's usage.
--- a/src/state/ejection.rs
+++ b/src/state/ejection.rs
@@ -2,7 +2,7 @@
 
 use crate::api::Millis;
 
-/// What `policy::ejection` remembers of an endpoint.
+/// What is remembered of an endpoint's failures. `policy::ejection` has the further methods, which decide.
 #[derive(Default)]
 pub(crate) struct Ejection {
     pub(crate) consecutive_failures: u32,
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -6,14 +6,16 @@
 use crate::state::{ConnectionEstimate, Ejection, WarmUp};
 use std::ops::Range;
 
-/// One endpoint as this gateway sees it.
+/// One endpoint as this gateway sees it. Further methods: `policy::latency` (the expected latency),
+/// `policy::ejection` (whether it may be sent attempts).
 pub(crate) struct TrackedEndpoint {
     pub(crate) endpoint: Endpoint,
     /// Number of the last endpoint update that named it.
     pub(crate) last_update: u64,
     /// Attempts of this gateway in flight.
     pub(crate) in_flight: u32,
-    /// The last response, or the start of an attempt while no other was in flight, if that was later.
+    /// When an attempt last ended with a success or a rejection, or when one started while no other was in flight, if
+    /// that was later. Errors don't count here.
     pub(crate) last_response_at: Millis,
     /// Its latency as a ratio to the fleet's.
     pub(crate) relative_latency: DecayingRatio,
@@ -57,6 +59,12 @@
         self.is_ready().then_some(Node { id, zone, key })
     }
 
+    /// When an attempt last succeeded; when the endpoint was first seen if none has. A restart of the endpoint doesn't
+    /// change it, as `DecayingRatio::reset` leaves the time of the last sample.
+    pub(crate) fn last_success_at(&self) -> Millis {
+        self.relative_latency.updated_at()
+    }
+
     pub(crate) fn has_free_connection(&self, now: Millis) -> bool {
         self.connections.has_free(now, self.in_flight)
     }
@@ -86,11 +94,11 @@
     }
 }
 
-/// The health of an endpoint by the outcomes of its attempts.
+/// The health of an endpoint by the outcomes of its attempts. `policy::avoidance` has further methods.
 #[derive(Default)]
 pub(crate) struct EndpointHealth {
     pub(crate) ejection: Ejection,
-    /// Share of its responses that are errors or break off (EWMA).
+    /// Share of its attempts that ended with an error or a broken connection, among these and successes (EWMA).
     pub(crate) invalid_rate: f64,
     /// By plan: until when it is likely to reject requests. Plans beyond the end have had no rejection.
     rejecting_until: Vec<Millis>,
--- a/src/state/endpoint_table.rs
+++ b/src/state/endpoint_table.rs
@@ -62,11 +62,12 @@
         })
     }
 
-    /// Forgets removed endpoints without an attempt in flight whose last success was `after_ms` or longer ago.
-    pub(crate) fn forget_removed(&mut self, now: Millis, after_ms: f64) {
+    /// Forgets removed endpoints without an attempt in flight whose last success was `after_success_ms` or longer ago.
+    /// The time of the removal itself doesn't count.
+    pub(crate) fn forget_removed(&mut self, now: Millis, after_success_ms: Millis) {
         self.endpoints.retain(|_, endpoint| {
             let is_removed = endpoint.endpoint.state == EndpointState::Removed;
-            let is_recent = now - endpoint.relative_latency.updated_at() < after_ms;
+            let is_recent = now - endpoint.last_success_at() < after_success_ms;
             !is_removed || endpoint.in_flight > 0 || is_recent
         });
     }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,5 +1,8 @@
-//! The state of the gateway: plain records with their constructors, and the tables that hold them. The rules that
-//! change them are in `policy`.
+//! The state of the gateway: the records, the operations that keep a record consistent in itself, and the tables that
+//! hold them.
+//!
+//! Rules with figures of their own are in `policy`, some as further inherent impls of the records here; each such
+//! record names their modules.
 
 mod charge;
 mod connections;
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -25,8 +25,8 @@
     NoTimeLeft,
 }
 
-/// The first attempt of a request that may have been executed. Retries that rely on an idempotency key are
-/// bound to its endpoint's zone or cell, and to a time after it.
+/// Of the attempts of a request that may have been executed, the first one to end. Retries that rely on an
+/// idempotency key are bound to its endpoint's zone or cell, and to a time after its start.
 #[derive(Clone, Copy)]
 pub(crate) struct FirstExecution {
     pub(crate) started_at: Millis,
@@ -120,7 +120,8 @@
         !self.has_ended_sent_attempt && !self.has_attempt_in_flight()
     }
 
-    /// Whether an endpoint may have executed it.
+    /// Whether an endpoint may have executed it. Any attempt in flight counts, as the library doesn't know which of
+    /// them are written yet. The program does, and counts only those: `RequestRegistry::may_have_executed`.
     pub(crate) fn may_have_executed(&self) -> bool {
         self.first_execution.is_some() || self.has_attempt_in_flight()
     }
--- a/src/state/timer.rs
+++ b/src/state/timer.rs
@@ -29,7 +29,8 @@
         }
     }
 
-    /// The timer that was set with this token. An unknown token counts as housekeeping.
+    /// The timer that was set with this token. Hosts must hand back only tokens that the gateway has set, each once:
+    /// an unknown one counts as housekeeping, which would set its timer again and run twice as often from then on.
     pub(crate) fn from_token(token: u64) -> Self {
         match token & !REQUEST_ID_MASK {
             COUNTER_WAIT_FLAG => Timer::CounterWait(token & REQUEST_ID_MASK),
--- a/src/state/warm_up.rs
+++ b/src/state/warm_up.rs
@@ -4,7 +4,8 @@
 use crate::primitives::ramp::LinearRamp;
 use crate::primitives::token_bucket::TokenBucket;
 
-/// The warm-up. The rate at which attempts are permitted is decided by `policy::slow_start`.
+/// The warm-up. `policy::slow_start` decides on the rate at which attempts are permitted, and has the method that
+/// refills the tokens.
 pub(crate) struct WarmUp {
     /// Boxed to keep the records of warm endpoints, which are nearly all, small.
     ramp: Option<Box<LinearRamp>>,
