--- a/src/policy/connections.rs
+++ b/src/policy/connections.rs
@@ -16,6 +16,6 @@
 /// Whether `request_rate` requests per second are too few to use more endpoints than those `connected`
 /// already.
 pub(super) fn keeps_to_connected(limits: &Limits, request_rate: f64, connected: usize) -> bool {
-    let uses = request_rate * limits.idle_timeout_ms * USABLE_IDLE_SHARE / 1000.0;
+    let uses = request_rate * usable_idle_ms(limits) / 1000.0;
     uses < connected as f64 * MIN_CONNECTION_USES
 }
--- a/src/policy/ejection.rs
+++ b/src/policy/ejection.rs
@@ -16,6 +16,11 @@
 };
 
 impl Ejection {
+    /// A success ends the ejection and forgets the failures.
+    pub(super) fn record_success(&mut self) {
+        *self = Ejection::default();
+    }
+
     pub(super) fn record_failure(&mut self, now: Millis, rng: &mut Rng) {
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         if self.consecutive_failures >= MIN_FAILURES {
--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -14,8 +14,10 @@
 const RELATIVE_LATENCY_DECAY_MS: Millis = 10_000.0;
 /// Largest relative latency of one response; a larger one counts as this.
 const MAX_RELATIVE_SAMPLE: f64 = 10.0;
-/// Least latency, in ms, and least relative latency that are divided by.
-const MIN_DIVISOR: f64 = 0.1;
+/// Shortest latency, in ms; a shorter one, of a response or of the baseline, counts as this.
+const MIN_LATENCY_MS: Millis = 0.1;
+/// Least relative latency that is divided by.
+const MIN_RELATIVE_LATENCY: f64 = 0.1;
 /// Weight of one response in a class's baseline: about the last 100 responses count.
 const BASELINE_WEIGHT: f64 = 0.01;
 /// Baseline before the first response, as a share of the latency objective.
@@ -26,15 +28,17 @@
 /// counts as slower.
 const MAX_BASELINES_WITHOUT_RESPONSE: f64 = 3.0;
 
-/// Factor on the latency at an endpoint at which this gateway has this many attempts in flight: a latency
+/// Factor on the latency of an idle endpoint where this gateway has this many attempts in flight: a latency
 /// rises in proportion to the attempts in flight (Little's law at a constant rate of responses).
 fn load_factor(in_flight: f64) -> f64 {
     (in_flight + ASSUMED_OTHERS_IN_FLIGHT) / (1.0 + ASSUMED_OTHERS_IN_FLIGHT)
 }
 
-/// What a latency would have been without the other attempts that were in flight at the endpoint, in ms.
+/// What a latency would have been at an idle endpoint, in ms, by `in_flight` attempts of this gateway
+/// there, the one that took it included. An idle endpoint has this one attempt of the gateway, and the one
+/// of another gateway that is assumed.
 pub(super) fn at_idle_endpoint(latency_ms: Millis, in_flight: f64) -> Millis {
-    latency_ms.max(MIN_DIVISOR) / load_factor(in_flight)
+    latency_ms.max(MIN_LATENCY_MS) / load_factor(in_flight)
 }
 
 impl TrackedEndpoint {
@@ -45,13 +49,16 @@
         idle_ms: Millis,
         baseline: &mut RunningMean,
     ) {
-        let sample = (idle_ms / baseline.value().max(MIN_DIVISOR)).min(MAX_RELATIVE_SAMPLE);
+        let sample = (idle_ms / baseline.value().max(MIN_LATENCY_MS)).min(MAX_RELATIVE_SAMPLE);
         let relative = self
             .relative_latency
             .current(now, RELATIVE_LATENCY_DECAY_MS);
         self.relative_latency
             .record(now, relative, sample, RELATIVE_LATENCY_WEIGHT);
-        baseline.record(idle_ms / relative.max(MIN_DIVISOR), BASELINE_WEIGHT);
+        baseline.record(
+            idle_ms / relative.max(MIN_RELATIVE_LATENCY),
+            BASELINE_WEIGHT,
+        );
     }
 
     /// Expected latency of one more attempt, in ms.
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -5,6 +5,7 @@
 //! outcomes don't count in it.
 
 use crate::api::{AttemptEnd, Millis, Outcome};
+use crate::primitives::mean::exponential_mean;
 use crate::state::{Context, EndpointHealth, TrackedEndpoint};
 
 /// Weight of one outcome in the rate of invalid responses of its endpoint.
@@ -45,8 +46,10 @@
             Outcome::ErrorResponse | Outcome::ConnectionReset => 1.0,
             _ => return,
         };
-        health.invalid_rate += (invalid - health.invalid_rate) * ENDPOINT_INVALID_RATE_GAIN;
-        self.fleet_invalid_rate += (invalid - self.fleet_invalid_rate) * FLEET_INVALID_RATE_GAIN;
+        health.invalid_rate =
+            exponential_mean(health.invalid_rate, invalid, ENDPOINT_INVALID_RATE_GAIN);
+        self.fleet_invalid_rate =
+            exponential_mean(self.fleet_invalid_rate, invalid, FLEET_INVALID_RATE_GAIN);
     }
 
     fn is_failure(&self, now: Millis, end: &AttemptEnd, endpoint: &TrackedEndpoint) -> bool {
--- a/src/policy/shared_quota.rs
+++ b/src/policy/shared_quota.rs
@@ -13,6 +13,7 @@
 //!   assumed to have continued as before for a moment.
 
 use crate::api::{Millis, Plan, Settings};
+use crate::primitives::decay::remaining_share;
 use crate::primitives::forward_decay::ForwardDecay;
 use crate::primitives::window::Window;
 use crate::state::{Charge, SharedQuota};
@@ -271,7 +272,7 @@
 
     /// Averages the rate of usage at the peers (EWMA over time).
     fn update_peer_rate(&mut self, peer_units: f64, elapsed_ms: Millis) {
-        let remaining = (-elapsed_ms / PEER_RATE_AVERAGING_MS).exp();
+        let remaining = remaining_share(elapsed_ms, PEER_RATE_AVERAGING_MS);
         let rate = peer_units.max(0.0) * 1000.0 / elapsed_ms;
         self.peer_rate = self.peer_rate * remaining + rate * (1.0 - remaining);
     }
--- a/src/primitives/decay.rs
+++ b/src/primitives/decay.rs
@@ -1,7 +1,7 @@
 //! Exponential decay over time. Times are in ms.
 
 /// The share of a value that is left after this time, if it falls by a factor of e in each time constant.
-pub(super) fn remaining_share(elapsed_ms: f64, time_constant_ms: f64) -> f64 {
+pub(crate) fn remaining_share(elapsed_ms: f64, time_constant_ms: f64) -> f64 {
     (-elapsed_ms.max(0.0) / time_constant_ms).exp()
 }
 
--- a/src/primitives/forward_decay.rs
+++ b/src/primitives/forward_decay.rs
@@ -27,6 +27,7 @@
 impl ForwardDecay {
     /// The share of a usage that still counts after this time, in ms.
     pub(crate) fn remaining_share(self, elapsed_ms: f64) -> f64 {
+        // Not `decay::remaining_share` with a time constant: its order of operations rounds differently.
         (-elapsed_ms.max(0.0) * self.rate / (self.capacity * 1000.0)).exp()
     }
 
--- a/src/primitives/mean.rs
+++ b/src/primitives/mean.rs
@@ -2,6 +2,11 @@
 
 use super::decay::remaining_share;
 
+/// An EWMA after one more sample: the mean moves towards it by the share `gain` of the difference.
+pub(crate) fn exponential_mean(mean: f64, sample: f64, gain: f64) -> f64 {
+    mean + (sample - mean) * gain
+}
+
 /// An EWMA by samples: the time between them doesn't count. With a gain of 1/n about the last n samples count.
 pub(crate) struct ExponentialMean {
     value: f64,
@@ -18,7 +23,7 @@
     }
 
     pub(crate) fn update(&mut self, sample: f64) {
-        self.value += (sample - self.value) * self.gain;
+        self.value = exponential_mean(self.value, sample, self.gain);
     }
 
     pub(crate) fn value(&self) -> f64 {
@@ -49,7 +54,8 @@
     /// Adds a sample, with `min_weight` at least.
     pub(crate) fn record(&mut self, sample: f64, min_weight: f64) {
         self.samples += 1.0;
-        self.value += (sample - self.value) * min_weight.max(1.0 / self.samples);
+        let weight = min_weight.max(1.0 / self.samples);
+        self.value = exponential_mean(self.value, sample, weight);
     }
 }
 
--- a/src/state/ejection.rs
+++ b/src/state/ejection.rs
@@ -2,7 +2,7 @@
 
 use crate::api::Millis;
 
-/// What is remembered of an endpoint's failures. `policy::ejection` has the further methods, which decide.
+/// What is remembered of an endpoint's failures. Its methods are in `policy::ejection`.
 #[derive(Default)]
 pub(crate) struct Ejection {
     pub(crate) consecutive_failures: u32,
@@ -11,9 +11,3 @@
     /// End of the ejection time.
     pub(crate) until: Millis,
 }
-
-impl Ejection {
-    pub(crate) fn record_success(&mut self) {
-        *self = Ejection::default();
-    }
-}
