--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -116,6 +116,11 @@
 }
 
 impl Outcome {
+    /// Whether the endpoint responded as one that works does: it served the request, or rejected it because of load.
+    pub(crate) fn is_valid_response(self) -> bool {
+        matches!(self, Outcome::Success | Outcome::Rejected)
+    }
+
     /// Whether the outcome proves that nothing was executed, so that a retry executes nothing twice.
     #[must_use]
     pub fn never_executed(self) -> bool {
--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -67,7 +67,7 @@
             .relative_latency
             .current(now, RELATIVE_LATENCY_DECAY_MS);
         if self.in_flight > 0 {
-            let without_response_ms = now - self.last_response_at;
+            let without_response_ms = now - self.last_valid_response_at;
             relative =
                 relative.max(without_response_ms / (baseline_ms * MAX_BASELINES_WITHOUT_RESPONSE));
         }
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -24,8 +24,8 @@
 }
 
 impl OutlierDetector {
-    /// Has to be called before `TrackedEndpoint::attempt_ended` for the same attempt: `last_response_at`
-    /// says then whether the endpoint has responded to other attempts.
+    /// Has to be called before `TrackedEndpoint::attempt_ended` for the same attempt:
+    /// `last_valid_response_at` says then whether the endpoint has responded to other attempts.
     pub(super) fn record(
         &mut self,
         cx: &mut Context,
@@ -53,7 +53,7 @@
     }
 
     fn is_failure(&self, now: Millis, end: &AttemptEnd, endpoint: &TrackedEndpoint) -> bool {
-        let has_responded_since = endpoint.last_response_at > now - end.elapsed_ms;
+        let has_responded_since = endpoint.last_valid_response_at > now - end.elapsed_ms;
         let is_often_invalid =
             endpoint.health.invalid_rate >= self.fleet_invalid_rate + INVALID_RATE_MARGIN;
         match end.outcome {
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -14,9 +14,9 @@
     pub(crate) last_update: u64,
     /// Attempts of this gateway in flight.
     pub(crate) in_flight: u32,
-    /// When an attempt last ended with a success or a rejection, or when one started while no other was in flight, if
-    /// that was later. Errors don't count here.
-    pub(crate) last_response_at: Millis,
+    /// When an attempt last ended with a valid response, a success or a rejection; or when one started while no other
+    /// was in flight, if that was later.
+    pub(crate) last_valid_response_at: Millis,
     /// Its latency as a ratio to the fleet's.
     pub(crate) relative_latency: DecayingRatio,
     pub(crate) connections: ConnectionEstimate,
@@ -36,7 +36,7 @@
             endpoint,
             last_update: 0,
             in_flight: 0,
-            last_response_at: now,
+            last_valid_response_at: now,
             relative_latency: DecayingRatio::new(now),
             connections,
             warm_up,
@@ -78,7 +78,7 @@
 
     pub(crate) fn attempt_started(&mut self, now: Millis) {
         if self.in_flight == 0 {
-            self.last_response_at = now;
+            self.last_valid_response_at = now;
         }
         self.in_flight += 1;
         self.connections.attempt_started(now, self.in_flight);
@@ -88,8 +88,8 @@
     pub(crate) fn attempt_ended(&mut self, now: Millis, outcome: Outcome) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.connections.attempt_ended(now, outcome);
-        if matches!(outcome, Outcome::Success | Outcome::Rejected) {
-            self.last_response_at = now;
+        if outcome.is_valid_response() {
+            self.last_valid_response_at = now;
         }
     }
 }
--- a/src/wire_settings/validation.rs
+++ b/src/wire_settings/validation.rs
@@ -1,4 +1,5 @@
-//! Checks on settings whose keys have the right types. The first problem found is reported.
+//! Checks on settings whose keys have the right types. The first problem found is reported. The keys here repeat those
+//! of the attributes in `model`, and change together with them.
 
 use super::error::{InvalidSetting, SettingPath, SettingProblem};
 use super::model::{WireClass, WireIdempotency, WirePlan, WireSettings};
