--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -38,7 +38,7 @@
         self.handler.quota.customers.len()
     }
 
-    /// The endpoints that this gateway sends to at present.
+    /// The subset of the endpoints that this gateway chooses from first, brought up to date, sorted by id.
     pub fn subset(&mut self) -> &[EndpointId] {
         self.handler.forwarder.load_balancer.update_subset()
     }
--- a/src/policy/customer_quota.rs
+++ b/src/policy/customer_quota.rs
@@ -79,8 +79,9 @@
 
     /// Attempts in flight at all gateways. Those of this one are counted, and so are its calls to the
     /// counter in flight: a request that waits for one is about to be sent. Calls that only settle units or
-    /// query the total count as well. Those of its peers are estimated by Little's law from their rate of
-    /// usage, the mean units of a request and the duration of an attempt.
+    /// query the total count as well, and a request that is sent before its call has ended counts twice.
+    /// Those of its peers are estimated by Little's law from their rate of usage, the mean units of a
+    /// request and the duration of an attempt.
     pub(super) fn concurrent_attempts(&self, mean_units: f64, duration_ms: Millis) -> f64 {
         let at_peers = self.quota.peer_rate / mean_units * duration_ms / 1000.0;
         f64::from(self.in_flight + self.pending_calls) + at_peers.round()
