--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -28,7 +28,8 @@
         /// The request.
         id: RequestId,
     },
-    /// A timer that was set by [`Action::SetTimer`](crate::Action::SetTimer) has fired.
+    /// A timer that was set by [`Action::SetTimer`](crate::Action::SetTimer) has fired. To be reported once for each
+    /// such action: a token that was not set, or one reported twice, may start a second round of housekeeping.
     TimerFired {
         /// The token that the timer was set with.
         token: u64,
@@ -115,6 +116,11 @@
 }
 
 impl Outcome {
+    /// Whether the endpoint responded as one that works does: it served the request, or rejected it because of load.
+    pub(crate) fn is_valid_response(self) -> bool {
+        matches!(self, Outcome::Success | Outcome::Rejected)
+    }
+
     /// Whether the outcome proves that nothing was executed, so that a retry executes nothing twice.
     #[must_use]
     pub fn never_executed(self) -> bool {
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -38,9 +38,9 @@
         self.handler.quota.customers.len()
     }
 
-    /// The endpoints that this gateway sends to at present.
+    /// The subset of the endpoints that this gateway chooses from first, brought up to date, sorted by id.
     pub fn subset(&mut self) -> &[EndpointId] {
-        self.handler.forwarder.load_balancer.subset()
+        self.handler.forwarder.load_balancer.update_subset()
     }
 
     /// Takes in one event and appends what is to be done.
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -2,8 +2,11 @@
 //!
 //! [`QuotaLedger`] connects the parts that a request meets: the customers' levels (`customer_quota`), the
 //! calls to the counter (`counter_calls`) and the exchange of usage with other gateways (`gossip`). A
-//! request's units are charged before it is forwarded. Units that could not be charged, and differences to
-//! the units that the request really used, are settled with a later charge.
+//! request's units are charged before it is forwarded. Units that were not charged as the counter may not
+//! be called now, and differences to the units that the request really used, are settled with a later
+//! charge. If the call of a charge fails and the counter can't have counted it, the units of its request
+//! are settled with a later one; earlier unsettled units that it carried are lost. If the counter may have
+//! counted it, nothing is settled.
 
 use crate::api::{Millis, RequestId, Settings};
 use crate::gossip::UsageExchange;
@@ -46,8 +49,9 @@
         }
     }
 
-    /// Units left for a request that has just arrived.
-    pub(crate) fn available_units(&mut self, cx: &Context, open: &OpenRequest) -> f64 {
+    /// Records that a request has arrived: its units count in the mean, and its customer is added if it is
+    /// not known, and refilled. Returns the units left for it.
+    pub(crate) fn observe_request(&mut self, cx: &Context, open: &OpenRequest) -> f64 {
         self.mean_units.update(open.request.units);
         let gossip_active = self.gossip.is_active(cx);
         let customer = self.refresh(cx, open.account(), open.request.gateway_set_size);
--- a/src/policy/request_handler.rs
+++ b/src/policy/request_handler.rs
@@ -61,8 +61,9 @@
 
     /// The call to the counter that was made for the request has ended.
     pub(crate) fn counter_replied(&mut self, cx: &mut Context, open: &mut OpenRequest) {
-        // The charge of a request that is not within the quota would keep the other gateways from quota that is
-        // there. While the counter replies it is refunded at once, otherwise with the customer's next charge.
+        // The charge of a request that is not within the quota would keep the other gateways from quota
+        // that is there. While the counter replies it is refunded at once, otherwise with the customer's
+        // next charge.
         if open.awaiting_counter && self.decide_after_wait(cx, open) != Admission::Forward {
             self.quota.settle_now(cx, open);
         }
@@ -143,6 +144,9 @@
         let Some(attempt) = open.end_attempt(ended) else {
             return;
         };
+        // From the decision to send until the end is known here: the load that a request is admitted by
+        // includes the time that actions and events wait in the host. The host's own `elapsed_ms`, without
+        // that time, is what an endpoint is judged by.
         let latency_ms = cx.now - attempt.started_at;
         settle_attempt(cx, &mut self.quota, open, ended.actual_units);
         self.forwarder.attempt_ended(cx, open, ended, latency_ms);
@@ -157,6 +161,7 @@
         let inputs = self.forwarder.retry_inputs(cx, open, outcome);
         match retry::decide_retry(&inputs) {
             RetryDecision::Allowed { uses_budget } => {
+                // Paid also if no endpoint is there or `retry::decide_attempt` denies the attempt below.
                 if uses_budget {
                     self.forwarder.retry_budget.withdraw();
                 }
@@ -195,7 +200,8 @@
     }
 }
 
-/// What the customer uses and may use, where an attempt takes `baseline_ms`. Refills the customer's quota.
+/// What the customer uses and may use, where an attempt takes `baseline_ms`. Records the arrival in the
+/// ledger.
 fn customer_inputs(
     cx: &Context,
     quota: &mut QuotaLedger,
@@ -203,9 +209,9 @@
     baseline_ms: Millis,
 ) -> CustomerInputs {
     let plan = cx.plan(open.account());
-    // In this order: the first adds a customer that is not known yet, and counts the request in the mean
-    // units.
-    let available_units = quota.available_units(cx, open);
+    // In this order: the concurrent attempts depend on the customer and the mean units that the first call
+    // brings up to date.
+    let available_units = quota.observe_request(cx, open);
     let concurrent_attempts = quota.concurrent_attempts(open, baseline_ms);
     CustomerInputs {
         has_quota: plan.rate > 0.0,
@@ -228,8 +234,8 @@
     }
 }
 
-/// An attempt of the customer is no longer in flight. Settles the request's units: the difference to the actual
-/// ones, or all of them if no attempt of it was sent (`Outcome::NotSent` alone counts as that).
+/// An attempt of the customer is no longer in flight. Settles the request's units: the difference to the
+/// actual ones, or all of them if no attempt of it was sent (`Outcome::NotSent` alone counts as that).
 fn settle_attempt(
     cx: &mut Context,
     quota: &mut QuotaLedger,
@@ -254,8 +260,8 @@
     }
 }
 
-/// The request has its response or needs none any more. Releases the units that are reserved while it waits for
-/// the counter, and cancels its attempts in flight where that is permitted.
+/// The request has its response or needs none any more. Releases the units that are reserved while it waits
+/// for the counter, and cancels its attempts in flight where that is permitted.
 fn close(cx: &mut Context, customers: &mut Customers, open: &mut OpenRequest) {
     customers.release(open);
     if !std::mem::replace(&mut open.closed, true) && cx.settings.limits.cancellation {
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -6,15 +6,17 @@
 use crate::state::{ConnectionEstimate, Ejection, WarmUp};
 use std::ops::Range;
 
-/// One endpoint as this gateway sees it.
+/// One endpoint as this gateway sees it. Further methods: `policy::latency` (the expected latency),
+/// `policy::ejection` (whether it may be sent attempts).
 pub(crate) struct TrackedEndpoint {
     pub(crate) endpoint: Endpoint,
     /// Number of the last endpoint update that named it.
     pub(crate) last_update: u64,
     /// Attempts of this gateway in flight.
     pub(crate) in_flight: u32,
-    /// The last response, or the start of an attempt while no other was in flight, if that was later.
-    pub(crate) last_response_at: Millis,
+    /// When an attempt last ended with a valid response, a success or a rejection; or when one started while no other
+    /// was in flight, if that was later.
+    pub(crate) last_valid_response_at: Millis,
     /// Its latency as a ratio to the fleet's.
     pub(crate) relative_latency: DecayingRatio,
     pub(crate) connections: ConnectionEstimate,
@@ -34,7 +36,7 @@
             endpoint,
             last_update: 0,
             in_flight: 0,
-            last_response_at: now,
+            last_valid_response_at: now,
             relative_latency: DecayingRatio::new(now),
             connections,
             warm_up,
@@ -57,6 +59,12 @@
         self.is_ready().then_some(Node { id, zone, key })
     }
 
+    /// When an attempt last succeeded; when the endpoint was first seen if none has. A restart of the endpoint doesn't
+    /// change it, as `DecayingRatio::reset` leaves the time of the last sample.
+    pub(crate) fn last_success_at(&self) -> Millis {
+        self.relative_latency.updated_at()
+    }
+
     pub(crate) fn has_free_connection(&self, now: Millis) -> bool {
         self.connections.has_free(now, self.in_flight)
     }
@@ -70,7 +78,7 @@
 
     pub(crate) fn attempt_started(&mut self, now: Millis) {
         if self.in_flight == 0 {
-            self.last_response_at = now;
+            self.last_valid_response_at = now;
         }
         self.in_flight += 1;
         self.connections.attempt_started(now, self.in_flight);
@@ -80,17 +88,17 @@
     pub(crate) fn attempt_ended(&mut self, now: Millis, outcome: Outcome) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.connections.attempt_ended(now, outcome);
-        if matches!(outcome, Outcome::Success | Outcome::Rejected) {
-            self.last_response_at = now;
+        if outcome.is_valid_response() {
+            self.last_valid_response_at = now;
         }
     }
 }
 
-/// The health of an endpoint by the outcomes of its attempts.
+/// The health of an endpoint by the outcomes of its attempts. `policy::avoidance` has further methods.
 #[derive(Default)]
 pub(crate) struct EndpointHealth {
     pub(crate) ejection: Ejection,
-    /// Share of its responses that are errors or break off (EWMA).
+    /// Share of its attempts that ended with an error or a broken connection, among these and successes (EWMA).
     pub(crate) invalid_rate: f64,
     /// By plan: until when it is likely to reject requests. Plans beyond the end have had no rejection.
     rejecting_until: Vec<Millis>,
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -25,8 +25,8 @@
     NoTimeLeft,
 }
 
-/// The first attempt of a request that may have been executed. Retries that rely on an idempotency key are
-/// bound to its endpoint's zone or cell, and to a time after it.
+/// Of the attempts of a request that may have been executed, the first one to end. Retries that rely on an
+/// idempotency key are bound to its endpoint's zone or cell, and to a time after its start.
 #[derive(Clone, Copy)]
 pub(crate) struct FirstExecution {
     pub(crate) started_at: Millis,
@@ -46,8 +46,8 @@
     pub(crate) awaiting_counter: bool,
     /// Its units are taken from the quota when it is forwarded, and have not been settled or refunded.
     pub(crate) settlement_due: bool,
-    /// An attempt that was sent has ended.
-    pub(crate) was_sent: bool,
+    /// An attempt with another outcome than [`Outcome::NotSent`] has ended.
+    pub(crate) has_ended_sent_attempt: bool,
     /// It has its final response, or its client has disconnected.
     pub(crate) closed: bool,
     /// Part of a response has been passed on to the client.
@@ -85,7 +85,7 @@
             request,
             awaiting_counter: false,
             settlement_due: true,
-            was_sent: false,
+            has_ended_sent_attempt: false,
             closed: false,
             response_started: false,
             attempts: Vec::new(),
@@ -117,10 +117,11 @@
 
     /// Whether no attempt of it was sent or may still be.
     pub(crate) fn was_never_sent(&self) -> bool {
-        !self.was_sent && !self.has_attempt_in_flight()
+        !self.has_ended_sent_attempt && !self.has_attempt_in_flight()
     }
 
-    /// Whether an endpoint may have executed it.
+    /// Whether an endpoint may have executed it. Any attempt in flight counts, as the library doesn't know which of
+    /// them are written yet. The program does, and counts only those: `RequestRegistry::may_have_executed`.
     pub(crate) fn may_have_executed(&self) -> bool {
         self.first_execution.is_some() || self.has_attempt_in_flight()
     }
@@ -139,7 +140,7 @@
             self.first_execution = Some(first);
         }
         if ended.outcome != Outcome::NotSent {
-            self.was_sent = true;
+            self.has_ended_sent_attempt = true;
         }
         Some(attempt)
     }
