--- a/src/bin/quota-gateway/counter/client.rs
+++ b/src/bin/quota-gateway/counter/client.rs
@@ -6,9 +6,9 @@
 /// Connections to the counter. All calls for a key use the same one, so that they stay in order. A connection that
 /// hangs does not delay the calls on the others.
 const CONNECTIONS: usize = 4;
-/// Most calls that wait for one connection, and most requests without a response on it. It bounds the memory that a
-/// silent counter takes.
-pub const QUEUE_CAPACITY: usize = 256;
+/// Most calls that wait for one connection. With more, a call fails at once. It bounds, with the limit on requests of
+/// `connection`, the memory that a silent counter takes.
+const MAX_QUEUED_CALLS: usize = 256;
 
 /// A call that adds an amount to the count of a key.
 #[derive(Clone)]
@@ -34,7 +34,7 @@
 impl CounterClient {
     /// Makes the queues, and returns both of their ends.
     pub fn new() -> (Self, CounterQueues) {
-        let (queues, receivers) = (0..CONNECTIONS).map(|_| channel(QUEUE_CAPACITY)).unzip();
+        let (queues, receivers) = (0..CONNECTIONS).map(|_| channel(MAX_QUEUED_CALLS)).unzip();
         (CounterClient { queues }, receivers)
     }
 
--- a/src/bin/quota-gateway/counter/connection.rs
+++ b/src/bin/quota-gateway/counter/connection.rs
@@ -9,12 +9,13 @@
 //!   a response for two call time-outs is closed, and the next call connects anew.
 //! - The counter closes an idle connection just as a call is written, and nobody knows whether the amount was added. The
 //!   connection is closed earlier by this side.
-//! - A silent counter has calls pile up in memory. Calls are taken from the queue only while fewer than `QUEUE_CAPACITY`
-//!   requests have no response.
+//! - A silent counter has calls pile up in memory. While `MAX_PENDING_REQUESTS` requests have no response, no call is
+//!   taken from the queue. Below that, all calls that are queued are taken at once. So the requests on one connection
+//!   can exceed the limit by those of a full queue (`MAX_QUEUED_CALLS`) and one more call.
 //! - The address changes while bytes are being written. All state is in [`CounterConnection`], so that the future of
 //!   `serve` may be dropped at any point, and `finish` goes on from there.
 
-use super::client::{IncrementCall, QUEUE_CAPACITY};
+use super::client::IncrementCall;
 use super::codec;
 use super::pending::PendingRequests;
 use super::report::CallReporter;
@@ -34,6 +35,8 @@
 
 /// Idle time after which a connection is closed. It is shorter than the counter's own idle time-out.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Number of requests without a response from which on no more calls are taken from the queue.
+const MAX_PENDING_REQUESTS: usize = 256;
 /// Largest body of a response.
 const MAX_RESPONSE_BYTES: usize = 1024;
 
@@ -96,7 +99,7 @@
     /// with the last response that is awaited.
     pub async fn serve(&mut self, mut queue: Option<&mut Receiver<IncrementCall>>) {
         loop {
-            let can_enqueue = self.pending.len() < QUEUE_CAPACITY;
+            let can_enqueue = self.pending.len() < MAX_PENDING_REQUESTS;
             match queue.as_deref_mut() {
                 Some(queue) if can_enqueue => self.enqueue_waiting_calls(queue),
                 None if !self.pending.awaits_response() => return,
--- a/src/bin/quota-gateway/driver/attempts.rs
+++ b/src/bin/quota-gateway/driver/attempts.rs
@@ -172,7 +172,7 @@
 impl OutgoingRequest for AttemptRequest {
     fn prepare(&self) -> Option<Preparation<'_>> {
         let client = self.sender.registry.borrow().client_socket(self.request)?;
-        let peeked = client.peek();
+        let peeked = client.peek_or_closed();
         self.client.set(peeked);
         (peeked == PeekResult::Data).then(|| {
             let wait = async move { self.client.set(wait_until_read(client).await) };
@@ -208,14 +208,14 @@
 
 /// Lets the client's connection read what has arrived. Returns what its socket holds afterwards.
 ///
-/// Guards against a client that sends more and then disconnects. The end of its stream is hidden behind the unread
-/// bytes: a peek shows data only, and the attempt would be executed for nobody. Each turn lets the task of the client's
-/// connection read, and once the buffer is empty, the next peek shows whether the end of the stream is there. A client
-/// that has more to read after the last turn is still sending, so it is still connected.
+/// Guards against a client that sends more and then disconnects: the attempt would be executed for nobody. A close that
+/// the system knows of is seen behind unread bytes, too (`WeakSocket::peek_or_closed`). This is for a close that arrives
+/// after them: each turn lets the task of the client's connection read, and the next peek looks again, until the buffer
+/// is empty. A client that has more to read after the last turn is still sending, so it is still connected.
 async fn wait_until_read(client: WeakSocket) -> PeekResult {
     for _ in 0..MAX_READING_TURNS {
         yield_now().await;
-        let peeked = client.peek();
+        let peeked = client.peek_or_closed();
         if peeked != PeekResult::Data {
             return peeked;
         }
--- a/src/bin/quota-gateway/lifecycle/mod.rs
+++ b/src/bin/quota-gateway/lifecycle/mod.rs
@@ -29,7 +29,8 @@
     Accepting,
     /// No more connections are accepted. Open ones close after their next response; requests on them are served.
     NoNewConnections,
-    /// Requests that arrive are refused and not forwarded. Connections close once no response is due on them.
+    /// Requests that arrive are refused and not forwarded. Connections close once no response is due on them. Requests
+    /// that arrive up to 50 ms earlier are refused as well: `may_forward` is false from `last_forwarding_at` on.
     Refusing,
     /// Nothing more is read; the process exits.
     Ended,
@@ -81,7 +82,7 @@
         self.timeline.get().is_some()
     }
 
-    /// Whether a request may still be forwarded.
+    /// Whether a request may still be forwarded. False from `last_forwarding_at` on, which is before `Refusing`.
     pub fn may_forward(&self) -> bool {
         let Some(timeline) = self.timeline.get() else {
             return true;
--- a/src/bin/quota-gateway/lifecycle/timeline.rs
+++ b/src/bin/quota-gateway/lifecycle/timeline.rs
@@ -1,4 +1,9 @@
-//! When each phase of the shutdown begins. All times derive from one: the earliest moment of SIGKILL.
+//! When each phase of the shutdown begins. All times derive from one: the earliest moment of SIGKILL, counted from the
+//! moment at which the program notices SIGTERM.
+//!
+//! Two delays are not part of the plan: SIGTERM that is noticed late (`signals`, up to 0.1 s if the wake-up was lost),
+//! and the last read after a stall that took the closing time (`LAST_READ_TIME` in `shutdown`, up to 10 ms). Both
+//! are covered by the time that is planned for a stall, so far as a stall does not need it.
 
 use quota_gateway::Settings;
 use std::time::Duration;
@@ -11,14 +16,15 @@
 const GRACE_DEADLINE_CAP: Duration = Duration::from_secs(3);
 /// The part of the termination grace period beyond the longest request deadline.
 const GRACE_MARGIN: Duration = Duration::from_millis(700);
-/// The shutdown is planned so that one stall of the process for this long, at any point, does not delay its end beyond
-/// SIGKILL.
+/// Time planned for one stall of the process, at any point of the shutdown. With it the process ends before SIGKILL,
+/// unless one of the delays that the plan leaves out (see the module) is added to a stall of this length.
 const MAX_STALL: Duration = Duration::from_millis(150);
 /// From the last check of the connections until the process has exited: tasks are dropped and the log is flushed.
 const EXIT_TIME: Duration = Duration::from_millis(70);
 /// The last responses are written and the connections closed within this time.
 pub const CLOSING_TIME: Duration = Duration::from_millis(80);
-/// The library gives open requests their final response this long before the driver ends those that remain.
+/// The library gives open requests their final response this long before the driver ends those that remain. It has to
+/// be longer than `DEADLINE_GRACE` of `server::handler`, after which the handler ends a request by itself.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(10);
 /// A request is forwarded only if at least this much time is left to it: with less, it would most likely be cut off
 /// after its execution has begun.
--- a/src/bin/quota-gateway/main.rs
+++ b/src/bin/quota-gateway/main.rs
@@ -91,6 +91,7 @@
     };
     tokio::select! {
         () = serve_until_end => Ok(()),
+        // `reload` loops for ever; the branch only has it polled.
         () = reload => Ok(()),
     }
 }
--- a/src/bin/quota-gateway/server/client.rs
+++ b/src/bin/quota-gateway/server/client.rs
@@ -85,7 +85,8 @@
         self.head_ends.scan(bytes);
         let arrived_at = self.first_arrival.take().unwrap_or(read_at);
         self.last_arrival.set(arrived_at);
-        // Bytes of the next head that are read with a body don't count as its begin; the bytes after them do.
+        // Where the next head begins in bytes that are read together with a body is not known: it counts from the bytes
+        // that are read after them.
         if self.phase.get() != ClientPhase::Receiving && self.head_begun_at.get().is_none() {
             self.head_begun_at.set(Some(arrived_at));
         }
@@ -97,6 +98,10 @@
     }
 
     /// True if another request may have arrived, completely or in part, behind the one that is being served.
+    ///
+    /// `head_ends` counts the empty lines of bodies as well. After a body with one it stays ahead of the requests, so
+    /// that this is true for the rest of the connection: in the shutdown, no response on it asks to close. It is closed
+    /// without notice from `NoNewConnections` on, once no response is due on it.
     pub fn may_have_sent_more(&self) -> bool {
         self.head_ends.count() > self.requests.get()
             || self.sent_ahead.get() > 0
--- a/src/bin/quota-gateway/server/handler.rs
+++ b/src/bin/quota-gateway/server/handler.rs
@@ -17,7 +17,8 @@
 use tokio::time::{timeout_at, Instant};
 
 /// Time after a request's deadline at which the handler ends it. The library ends it by the deadline; if its timer fires
-/// late, as after a stall of the process, the client would wait on.
+/// late, as after a stall of the process, the client would wait on. It has to be shorter than `DEADLINE_MARGIN` of
+/// `lifecycle::timeline`: a request then has its response before the shutdown ends those that remain.
 const DEADLINE_GRACE: Duration = Duration::from_millis(5);
 
 impl Server {
--- a/src/bin/quota-gateway/shutdown.rs
+++ b/src/bin/quota-gateway/shutdown.rs
@@ -22,7 +22,7 @@
 /// Checks in a row that have to find no busy client before the process exits early.
 const IDLE_CHECKS: u32 = 2;
 /// After a stall that took the time for closing connections, requests that arrived in it are read and answered within
-/// this time.
+/// this time. `lifecycle::timeline` does not plan for it.
 const LAST_READ_TIME: Duration = Duration::from_millis(10);
 
 /// What the shutdown acts on.
@@ -78,7 +78,8 @@
     }
 
     /// Waits until all clients that had connected are accepted, and then until the last connection has closed or, from
-    /// `idle_exit_from` on, no client is busy; at most until requests have to be refused.
+    /// `idle_exit_from` on, no client is busy; at most until requests have to be refused. Before the acceptor has ended,
+    /// free slots and the lack of busy clients say nothing of the connections in the listener's queue.
     async fn wait_for_open_requests(&mut self, timeline: &Timeline) {
         let drained = async {
             self.acceptor.ended().await;
@@ -103,6 +104,8 @@
         }
     }
 
+    /// Returns when the last connection has closed. The acceptor comes first: while it runs, all slots may be free
+    /// though a connection is still in the listener's queue.
     async fn all_connections_ended(&mut self) {
         self.acceptor.ended().await;
         self.client_slots.all_free().await;
--- a/src/bin/quota-gateway/signals.rs
+++ b/src/bin/quota-gateway/signals.rs
@@ -20,7 +20,8 @@
 mod tests;
 
 /// Interval at which the flag is read without a wake-up: a signal whose byte was lost is noticed after this time at the
-/// latest. The shutdown begins that much later, so it has to be less than what the timeline leaves before SIGKILL.
+/// latest. The times of the shutdown count from then, so it has to be less than the time that `lifecycle::timeline`
+/// plans for a stall. There is no time left for such a stall in the same shutdown.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Bytes read from the pipe at once; each signal writes one.
 const PIPE_READ_BYTES: usize = 64;
--- a/src/bin/quota-gateway/socket.rs
+++ b/src/bin/quota-gateway/socket.rs
@@ -172,7 +172,7 @@
 impl WeakSocket {
     /// Like [`Socket::peek`], but the result is `EndOfStream` also if the peer has closed its side behind unread bytes, and
     /// once the socket is closed here.
-    pub fn peek(&self) -> PeekResult {
+    pub fn peek_or_closed(&self) -> PeekResult {
         let Some(stream) = self.stream.upgrade() else {
             return PeekResult::EndOfStream;
         };
@@ -196,7 +196,8 @@
 }
 
 /// Makes a call once the socket is ready for it, and again for as long as its failures may pass. A call that would block
-/// clears the readiness, so that the next `poll_ready` waits.
+/// clears the readiness, so that the next `poll_ready` waits. Calls that fail again and again in another way are bounded
+/// by the runtime: each `poll_ready` takes from the task's cooperative budget, and is pending when that is used up.
 fn poll_transfer<T>(
     mut poll_ready: impl FnMut() -> Poll<io::Result<()>>,
     mut call: impl FnMut() -> io::Result<T>,
