--- a/src/bin/quota-gateway/config/mod.rs
+++ b/src/bin/quota-gateway/config/mod.rs
@@ -49,7 +49,7 @@
     pub kind_names: Vec<String>,
     /// Timeout for a connection to an endpoint.
     pub connect_timeout_ms: f64,
-    /// Idle time after which a connection to an endpoint is closed.
+    /// Idle time after which endpoints close a connection. The pool stops using one earlier.
     pub idle_timeout_ms: f64,
 }
 
--- a/src/bin/quota-gateway/discovery/mod.rs
+++ b/src/bin/quota-gateway/discovery/mod.rs
@@ -81,7 +81,7 @@
         let end = follow(watch, &self.updates).await;
         let delay = self
             .policy
-            .reopen_delay(opened_at.elapsed(), end.is_invalid_response());
+            .on_watch_ended(opened_at.elapsed(), end.is_invalid_response());
         self.warning.warn(WATCH_ENDED, end);
         sleep(delay).await;
     }
--- a/src/bin/quota-gateway/discovery/policy.rs
+++ b/src/bin/quota-gateway/discovery/policy.rs
@@ -62,6 +62,8 @@
 impl WatchPolicy {
     /// The policy for these settings. The seed has to differ between gateways.
     pub fn new(settings: &Settings, seed: u64) -> Self {
+        // The program watches in both cases. The setting says what answers: gateways that poll call the service itself,
+        // all others have an agent on their machine.
         let source = if settings.endpoints_polled {
             Source::SharedService
         } else {
@@ -127,9 +129,10 @@
         now + self.with_backoff_if(invalid_response, delay)
     }
 
-    /// Delay before a watch that was open for this long is reopened. It backs off from invalid events.
+    /// Records that a watch has ended that was open for this long, so that calls are spaced anew. Returns the delay
+    /// before it is reopened, which backs off from invalid events.
     #[must_use]
-    pub fn reopen_delay(&mut self, was_open_for: Duration, invalid_response: bool) -> Duration {
+    pub fn on_watch_ended(&mut self, was_open_for: Duration, invalid_response: bool) -> Duration {
         self.call_schedule.reset();
         let delay = match self.source {
             Source::LocalAgent => AGENT_RETRY_DELAY,
--- a/src/bin/quota-gateway/discovery/policy/tests.rs
+++ b/src/bin/quota-gateway/discovery/policy/tests.rs
@@ -34,7 +34,7 @@
         let delays: Vec<_> = (0..20)
             .map(|_| {
                 if watches {
-                    policy.reopen_delay(Duration::ZERO, true)
+                    policy.on_watch_ended(Duration::ZERO, true)
                 } else {
                     policy.next_call_after_failure(Instant::now(), true) - Instant::now()
                 }
@@ -46,13 +46,13 @@
             delays[8..].iter().sum::<Duration>() > 12 * longest / 4,
             "{delays:?}"
         );
-        let _ = policy.reopen_delay(PROPAGATION_LIMIT, false);
+        let _ = policy.on_watch_ended(PROPAGATION_LIMIT, false);
         let longest_delay = if endpoints_polled {
             MAX_REOPEN_DELAY
         } else {
             AGENT_RETRY_DELAY
         };
-        assert!(policy.reopen_delay(PROPAGATION_LIMIT, false) <= longest_delay);
+        assert!(policy.on_watch_ended(PROPAGATION_LIMIT, false) <= longest_delay);
     }
 }
 
@@ -62,7 +62,7 @@
 fn watches_on_a_shared_service_that_end_together_are_reopened_spread_out() {
     let mut reopened = [0; 20];
     for seed in 0..300 {
-        let delay = policy(300, true, seed).reopen_delay(Duration::from_secs(60), false);
+        let delay = policy(300, true, seed).on_watch_ended(Duration::from_secs(60), false);
         assert!(IDLE_TIMEOUT + delay < Duration::from_secs(5));
         reopened[(delay.as_millis() / 100) as usize] += 1;
     }
--- a/src/bin/quota-gateway/discovery/schedule.rs
+++ b/src/bin/quota-gateway/discovery/schedule.rs
@@ -89,6 +89,9 @@
 
     /// Time from the start of an attempt to the start of another one beside it, if there is no response; `only_one` if no
     /// other attempt is in flight.
+    ///
+    /// The interval is random while the call is the only one and none has failed. A second call in flight uses up the
+    /// random first interval, as a failure does: from then on the interval is the longest, until an attempt succeeds.
     #[must_use]
     pub fn unanswered_interval(&mut self, only_one: bool) -> Duration {
         if !only_one {
--- a/src/bin/quota-gateway/driver/actions.rs
+++ b/src/bin/quota-gateway/driver/actions.rs
@@ -145,7 +145,7 @@
         attempt: unsent.number as u8,
         endpoint,
         outcome: Outcome::NotSent,
-        request_answered: unsent.reason == StartRefusal::RequestAnswered,
+        request_answered: unsent.reason == StartRefusal::RequestClosed,
         actual_units: None,
         elapsed_ms: 0.0,
     })
--- a/src/bin/quota-gateway/driver/enforcement.rs
+++ b/src/bin/quota-gateway/driver/enforcement.rs
@@ -30,8 +30,8 @@
 
 /// An attempt that the library has requested, and the state of its request.
 pub struct AttemptToStart {
-    /// The request has its final response.
-    pub request_answered: bool,
+    /// The request has its final response, or its client has disconnected.
+    pub request_closed: bool,
     /// Attempts made before, those included that were never sent.
     pub earlier_attempts: usize,
     /// One of them is still in flight.
@@ -46,7 +46,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartRefusal {
     /// The request has its final response, or its client disconnected.
-    RequestAnswered,
+    RequestClosed,
     /// The deadline of the attempt has passed.
     DeadlineExceeded,
     /// The request has had as many attempts as the settings allow.
@@ -88,8 +88,8 @@
     limits: &AttemptLimits,
     attempt: &AttemptToStart,
 ) -> Result<SocketAddr, StartRefusal> {
-    if attempt.request_answered {
-        return Err(StartRefusal::RequestAnswered);
+    if attempt.request_closed {
+        return Err(StartRefusal::RequestClosed);
     }
     if attempt.time_left.is_zero() {
         return Err(StartRefusal::DeadlineExceeded);
@@ -112,7 +112,7 @@
 /// because it runs on the thread of all tasks, right before the first byte, and again whenever that write has to wait.
 pub fn enforce_before_write(attempt: &AttemptToWrite) -> Result<(), AttemptRefusal> {
     let record = attempt.record.filter(|record| record.ended_at.is_none());
-    let record = record.ok_or(AttemptRefusal::RequestAnswered)?;
+    let record = record.ok_or(AttemptRefusal::RequestClosed)?;
     if attempt.client == PeekResult::EndOfStream {
         return Err(AttemptRefusal::ClientDisconnected);
     }
@@ -138,7 +138,7 @@
 /// as rejected, as another endpoint may be tried.
 pub fn refusal_outcome(refusal: AttemptRefusal) -> Outcome {
     match refusal {
-        AttemptRefusal::RequestAnswered
+        AttemptRefusal::RequestClosed
         | AttemptRefusal::ClientDisconnected
         | AttemptRefusal::RetryWindowOver
         | AttemptRefusal::MayHaveExecuted
--- a/src/bin/quota-gateway/driver/enforcement/tests.rs
+++ b/src/bin/quota-gateway/driver/enforcement/tests.rs
@@ -23,7 +23,7 @@
 
 fn attempt_to_start() -> AttemptToStart {
     AttemptToStart {
-        request_answered: false,
+        request_closed: false,
         earlier_attempts: 2,
         attempt_in_flight: false,
         time_left: Duration::from_nanos(1),
@@ -46,8 +46,8 @@
     assert_eq!(refusal(&attempt), StartRefusal::AttemptLimitReached);
     attempt.time_left = Duration::ZERO;
     assert_eq!(refusal(&attempt), StartRefusal::DeadlineExceeded);
-    attempt.request_answered = true;
-    assert_eq!(refusal(&attempt), StartRefusal::RequestAnswered);
+    attempt.request_closed = true;
+    assert_eq!(refusal(&attempt), StartRefusal::RequestClosed);
 }
 
 /// While a connection is found, the client, the endpoint and the process may change. An attempt written all the same
@@ -98,7 +98,7 @@
         ended_at: Some(now),
         ..record
     });
-    assert_refused(&attempt, AttemptRefusal::RequestAnswered, Outcome::NotSent);
+    assert_refused(&attempt, AttemptRefusal::RequestClosed, Outcome::NotSent);
     attempt.record = None;
-    assert_refused(&attempt, AttemptRefusal::RequestAnswered, Outcome::NotSent);
+    assert_refused(&attempt, AttemptRefusal::RequestClosed, Outcome::NotSent);
 }
--- a/src/bin/quota-gateway/driver/events.rs
+++ b/src/bin/quota-gateway/driver/events.rs
@@ -15,7 +15,8 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// A final response leaves this long before the client's deadline, in ms, for the way of the request and the response.
+/// A final response is sent this long before the client's deadline, in ms: the network needs that time for the request
+/// and the response.
 const RESPONSE_MARGIN_MS: f64 = 10.0;
 
 /// When a request's final response is due.
@@ -85,50 +86,57 @@
         }
     }
 
-    /// Ends a request whose client has disconnected or whose deadline has passed: nothing more is sent for it.
+    /// Ends a request that nobody waits for any more: nothing more is sent for it. The final response that the registry
+    /// records reaches no one: the server does not read it any more.
     pub fn cancel_request(self: &Rc<Self>, id: RequestId) {
-        if self.registry.borrow().is_answered(id) {
+        if self.registry.borrow().is_closed(id) {
             return;
         }
-        self.registry
-            .borrow_mut()
-            .respond(id, FinalResponse::Failed);
-        self.dispatch(Event::ClientDisconnected { id });
+        self.close_request(id, FinalResponse::Failed);
     }
 
-    /// Ends a request whose deadline has passed. Returns its final response.
-    pub fn give_up(self: &Rc<Self>, id: RequestId) -> FinalResponse {
+    /// Ends a request whose deadline has passed. Returns the response that its client gets from the server: the receiver
+    /// of `start_request` is not read any more.
+    pub fn expire_request(self: &Rc<Self>, id: RequestId) -> FinalResponse {
         let may_have_executed = self.registry.borrow().may_have_executed(id);
         self.cancel_request(id);
-        if may_have_executed {
-            return FinalResponse::Failed;
-        }
-        FinalResponse::Rejected {
+        let rejected = FinalResponse::Rejected {
             retry_after_ms: 0.0,
-        }
+        };
+        failed_if_executed(may_have_executed, rejected)
     }
 
     /// Gives all open requests their final response at the end of the process.
     pub fn end_open_requests(self: &Rc<Self>) {
         let ids = self.registry.borrow().unanswered();
         for id in ids {
-            let mut registry = self.registry.borrow_mut();
-            let may_have_executed = registry.may_have_executed(id);
+            let may_have_executed = self.registry.borrow().may_have_executed(id);
             tracing::debug!(
                 request_id = id,
                 may_have_executed,
                 "request ended by shutdown"
             );
-            let response = if may_have_executed {
-                FinalResponse::Failed
-            } else {
-                FinalResponse::ShuttingDown
-            };
-            registry.respond(id, response);
-            drop(registry);
-            self.dispatch(Event::ClientDisconnected { id });
+            let response = failed_if_executed(may_have_executed, FinalResponse::ShuttingDown);
+            self.close_request(id, response);
         }
     }
+
+    /// Gives an open request its final response, and notifies the library. A disconnect, a deadline and the shutdown are
+    /// one event for it: in each case the request is over, and what is in flight only settles its units.
+    fn close_request(self: &Rc<Self>, id: RequestId, response: FinalResponse) {
+        self.registry.borrow_mut().respond(id, response);
+        self.dispatch(Event::ClientDisconnected { id });
+    }
+}
+
+/// The final response to a request that ends unserved: failed if an endpoint may have executed it, as a retry could
+/// execute it twice, else the response that permits a retry.
+fn failed_if_executed(may_have_executed: bool, unexecuted: FinalResponse) -> FinalResponse {
+    if may_have_executed {
+        FinalResponse::Failed
+    } else {
+        unexecuted
+    }
 }
 
 impl AttemptReportHandler for Driver {
@@ -154,7 +162,7 @@
             attempt: report.number as u8,
             endpoint: report.endpoint,
             outcome: report.outcome,
-            request_answered: finished.request_answered,
+            request_answered: finished.request_closed,
             actual_units: finished.actual_units,
             elapsed_ms: report.elapsed_ms,
         }));
--- a/src/bin/quota-gateway/driver/registered_request.rs
+++ b/src/bin/quota-gateway/driver/registered_request.rs
@@ -76,8 +76,8 @@
 
 /// The effect of an attempt's end on its request.
 pub struct FinishedAttempt {
-    /// The request has its final response.
-    pub request_answered: bool,
+    /// The request has its final response, or its client has disconnected.
+    pub request_closed: bool,
     /// The request's actual units, if this attempt served it and reported them.
     pub actual_units: Option<f64>,
 }
@@ -135,7 +135,7 @@
     }
 
     /// True once it has its final response, or its client has disconnected.
-    pub fn is_answered(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         self.client.is_none()
     }
 
@@ -228,7 +228,7 @@
         self.attempts[number] = None;
         self.may_have_executed |= !outcome.never_executed();
         let mut actual_units = None;
-        if let Some(served) = served.filter(|_| !self.is_answered()) {
+        if let Some(served) = served.filter(|_| !self.is_closed()) {
             actual_units = served.units.filter(|units| *units <= max_units);
             self.respond(FinalResponse::Success {
                 content_type: served.content_type,
@@ -236,7 +236,7 @@
             });
         }
         FinishedAttempt {
-            request_answered: self.is_answered(),
+            request_closed: self.is_closed(),
             actual_units,
         }
     }
--- a/src/bin/quota-gateway/driver/registry.rs
+++ b/src/bin/quota-gateway/driver/registry.rs
@@ -57,7 +57,7 @@
     pub fn unanswered(&self) -> Vec<RequestId> {
         self.open
             .iter()
-            .filter(|(_, request)| !request.is_answered())
+            .filter(|(_, request)| !request.is_closed())
             .map(|(id, _)| *id)
             .collect()
     }
@@ -79,11 +79,9 @@
         Some(self.open.get(&id)?.client_socket.clone())
     }
 
-    /// True once a request has its final response or is no longer open.
-    pub fn is_answered(&self, id: RequestId) -> bool {
-        self.open
-            .get(&id)
-            .is_none_or(RegisteredRequest::is_answered)
+    /// True once a request has its final response, its client has disconnected, or it is not in the registry any more.
+    pub fn is_closed(&self, id: RequestId) -> bool {
+        self.open.get(&id).is_none_or(RegisteredRequest::is_closed)
     }
 
     /// Gives a request its final response, unless it has one, and cancels its attempts that are not written.
@@ -105,14 +103,14 @@
         let Some(request) = self.open.get_mut(&id) else {
             return Err(UnsentAttempt {
                 number: 0,
-                reason: StartRefusal::RequestAnswered,
+                reason: StartRefusal::RequestClosed,
             });
         };
         let number = request.attempt_count();
         let now = Instant::now();
         let deadline = request.deadline.min(now + timeout);
         let attempt = AttemptToStart {
-            request_answered: request.is_answered(),
+            request_closed: request.is_closed(),
             earlier_attempts: number,
             attempt_in_flight: request.has_attempt_in_flight(),
             time_left: deadline.saturating_duration_since(now),
@@ -159,7 +157,7 @@
         let Some(request) = self.open.get(&id) else {
             return;
         };
-        if request.is_answered() && !request.has_attempt_in_flight() {
+        if request.is_closed() && !request.has_attempt_in_flight() {
             self.open.remove(&id);
         }
     }
--- a/src/bin/quota-gateway/driver/registry/tests.rs
+++ b/src/bin/quota-gateway/driver/registry/tests.rs
@@ -106,7 +106,7 @@
     let first = registry
         .finish_attempt(id, 1, Outcome::Success, Some(served(MAX_UNITS, "first")))
         .unwrap();
-    assert!(first.request_answered);
+    assert!(first.request_closed);
     assert_eq!(first.actual_units, Some(MAX_UNITS));
     let second = registry
         .finish_attempt(id, 0, Outcome::Success, Some(served(1.0, "second")))
@@ -128,7 +128,7 @@
     let finished = registry
         .finish_attempt(id, 0, Outcome::Success, Some(served(MAX_UNITS + 1.0, "")))
         .unwrap();
-    assert!(finished.request_answered);
+    assert!(finished.request_closed);
     assert_eq!(finished.actual_units, None);
 }
 
@@ -159,14 +159,14 @@
     let (id, _response) = insert(&mut registry);
     start(&mut registry, id).unwrap();
     registry.respond(id, FinalResponse::Failed);
-    assert!(registry.is_answered(id));
+    assert!(registry.is_closed(id));
     assert!(registry.record(id).is_some());
     assert!(registry.unanswered().is_empty());
     assert!(
         registry
             .finish_attempt(id, 0, Outcome::NotSent, None)
             .unwrap()
-            .request_answered
+            .request_closed
     );
     assert!(registry.record(id).is_none());
     assert!(registry
--- a/src/bin/quota-gateway/driver/rule_checks.rs
+++ b/src/bin/quota-gateway/driver/rule_checks.rs
@@ -65,7 +65,8 @@
 
     /// Checks an attempt whose last byte has just been written, and reports the rules that it broke.
     pub fn check_after_write(&self, attempt: &WrittenAttempt<'_>) {
-        for rule in self.broken_rules(attempt) {
+        let is_within_share = self.record_for_slow_start(attempt);
+        for rule in self.broken_rules(attempt, is_within_share) {
             let what = format_args!(
                 "txn {:016x} to endpoint {} at {}",
                 attempt.record.transaction_id, attempt.target.endpoint, attempt.target.addr
@@ -74,19 +75,24 @@
         }
     }
 
-    /// The rules that an attempt broke in being written.
-    fn broken_rules(&self, attempt: &WrittenAttempt<'_>) -> Vec<Rule> {
+    /// Counts an attempt for the check of slow start. False if its endpoint has now got more than it may.
+    fn record_for_slow_start(&self, attempt: &WrittenAttempt<'_>) -> bool {
+        self.slow_start.borrow_mut().record(
+            attempt.target.endpoint,
+            attempt.endpoint_age_ms,
+            attempt.ready_endpoints,
+            attempt.written_at,
+        )
+    }
+
+    /// The rules that an attempt broke in being written. `is_within_share` says that its endpoint has got no more than
+    /// slow start allows.
+    fn broken_rules(&self, attempt: &WrittenAttempt<'_>, is_within_share: bool) -> Vec<Rule> {
         let since = |at: Option<Instant>| at.map_or(Duration::ZERO, |at| attempt.written_at - at);
         let record = attempt.record;
         let time_left = record
             .client_deadline
             .saturating_duration_since(attempt.written_at);
-        let is_within_share = self.slow_start.borrow_mut().record(
-            attempt.target.endpoint,
-            attempt.endpoint_age_ms,
-            attempt.ready_endpoints,
-            attempt.written_at,
-        );
         let checks = [
             (
                 Rule::SendForClosedRequest,
--- a/src/bin/quota-gateway/driver/rule_checks/tests.rs
+++ b/src/bin/quota-gateway/driver/rule_checks/tests.rs
@@ -59,7 +59,9 @@
             written_at: self.now,
             refusing_since: self.refusing_since,
         };
-        RuleChecker::new(&rules, Metrics::new()).broken_rules(&written)
+        let checker = RuleChecker::new(&rules, Metrics::new());
+        let is_within_share = checker.record_for_slow_start(&written);
+        checker.broken_rules(&written, is_within_share)
     }
 }
 
--- a/src/bin/quota-gateway/metrics/labels.rs
+++ b/src/bin/quota-gateway/metrics/labels.rs
@@ -1,4 +1,7 @@
 //! The labels of the metrics and their values.
+//!
+//! Operators' dashboards and alerts use the texts, so they stay when a name in the code changes: `client_gone`, `repeat`,
+//! `repeat_window_over`, `may_have_run` and `request_answered` are older than the names beside them.
 
 use super::family::Label;
 use quota_gateway::Outcome;
@@ -80,8 +83,8 @@
 label! {
     /// Why an attempt was refused right before its first byte.
     AttemptRefusal, "reason", {
-        /// The request has its response.
-        RequestAnswered => "request_answered",
+        /// The request has its response, or its client has disconnected.
+        RequestClosed => "request_answered",
         /// The client has closed its side, or its connection broke.
         ClientDisconnected => "client_gone",
         /// The endpoint is draining or was removed.
--- a/src/bin/quota-gateway/server/handler.rs
+++ b/src/bin/quota-gateway/server/handler.rs
@@ -29,7 +29,7 @@
         client: &Client,
         client_socket: WeakSocket,
     ) -> Response {
-        let mut in_progress = RequestInProgress::new(self, client);
+        let mut in_progress = RequestInProgress::begin(self, client);
         let complete_by = client.request_deadline();
         let has_body = !request.body().is_end_stream();
         let mut response = match self
@@ -108,7 +108,7 @@
         in_progress.client.request_complete();
         let response = timeout_at(started.deadline + DEADLINE_GRACE, started.response).await;
         let Ok(response) = response else {
-            return self.driver.give_up(started.id);
+            return self.driver.expire_request(started.id);
         };
         response.unwrap_or(FinalResponse::Failed)
     }
--- a/src/bin/quota-gateway/server/in_progress.rs
+++ b/src/bin/quota-gateway/server/in_progress.rs
@@ -20,8 +20,8 @@
 }
 
 impl<'a> RequestInProgress<'a> {
-    /// The head of a request is complete.
-    pub fn new(server: &'a Server, client: &'a Client) -> Self {
+    /// Begins a request whose head is complete, and notifies its client's state of that.
+    pub fn begin(server: &'a Server, client: &'a Client) -> Self {
         client.request_started();
         RequestInProgress {
             server,
@@ -56,15 +56,19 @@
 
 impl Drop for RequestInProgress<'_> {
     fn drop(&mut self) {
+        // The client's connection is idle again, but for the response that is yet to be written.
         self.client.request_ended();
+        // Without a response the request was dropped by a connection that ended.
         let end = self.end.unwrap_or(RequestEnd::Disconnected);
         self.server.driver.metrics().requests.increment(end);
+        // From here on a retry with the same id is a new request.
         if let Some(transaction_id) = self.transaction_id {
             self.server
                 .open_transactions
                 .borrow_mut()
                 .remove(&transaction_id);
         }
+        // The driver still holds it open: nobody waits for it any more.
         if let Some(id) = self.driver_id {
             self.server.driver.cancel_request(id);
         }
--- a/src/bin/quota-gateway/upstream/pool.rs
+++ b/src/bin/quota-gateway/upstream/pool.rs
@@ -20,6 +20,10 @@
 /// arrived, `Connection::is_usable` sees it.
 const REUSE_DELAY: Duration = Duration::from_millis(10);
 
+/// An idle connection is used for this share of the idle time-out of endpoints: after that its endpoint may be about to
+/// close it, and a request on it could be lost.
+const USABLE_IDLE_SHARE: f64 = 0.5;
+
 /// Why a connection could not be established.
 #[derive(Clone, Copy, Debug, Error)]
 pub enum ConnectError {
@@ -56,15 +60,15 @@
 }
 
 impl ConnectionPool {
-    /// At most `max_open` connections, each established within `connect_ms`. One that was idle for half of `idle_ms` is
-    /// not used again, as its endpoint may be about to close it.
+    /// At most `max_open` connections, each established within `connect_ms`. `idle_ms` is the idle time after which
+    /// endpoints close a connection; one that was idle for `USABLE_IDLE_SHARE` of it is not used again.
     pub fn new(max_open: usize, connect_ms: f64, idle_ms: f64) -> Self {
         ConnectionPool {
             endpoints: RefCell::default(),
             open: OpenConnections::default(),
             max_open,
             connect_timeout: Duration::from_secs_f64(connect_ms / 1000.0),
-            idle_timeout: Duration::from_secs_f64(idle_ms / 2000.0),
+            idle_timeout: Duration::from_secs_f64(idle_ms * USABLE_IDLE_SHARE / 1000.0),
         }
     }
 
