--- a/src/bin/quota-gateway/server/accept.rs
+++ b/src/bin/quota-gateway/server/accept.rs
@@ -23,7 +23,7 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::OwnedSemaphorePermit;
-use tokio::task::yield_now;
+use tokio::task::{yield_now, JoinHandle};
 use tokio::time::{sleep, Instant};
 
 /// Delay after an error that concerns all connections, such as a lack of descriptors in the system.
@@ -31,6 +31,29 @@
 /// Most consecutive errors that are taken for errors of one connection each. With more, the error concerns all.
 const MAX_ERRORS_WITHOUT_DELAY: u32 = 64;
 
+/// The task that accepts clients. It ends by itself in `NoNewConnections`, once it has accepted all that had connected
+/// before.
+pub struct Acceptor {
+    task: Option<JoinHandle<()>>,
+}
+
+impl Acceptor {
+    /// Starts the task.
+    pub fn spawn(server: Rc<Server>, listener: TcpListener) -> Self {
+        Acceptor {
+            task: Some(tokio::task::spawn_local(server.accept(listener))),
+        }
+    }
+
+    /// Returns when the task has ended.
+    pub async fn ended(&mut self) {
+        if let Some(task) = &mut self.task {
+            let _ = task.await;
+            self.task = None;
+        }
+    }
+}
+
 /// The listener's queue of connections.
 struct AcceptQueue {
     listener: TcpListener,
@@ -84,7 +107,7 @@
 impl Server {
     /// Accepts clients until the shutdown reaches `NoNewConnections`, at most as many as there are slots. Those that
     /// have connected by then are still accepted, whatever errors come between.
-    pub async fn accept(self: Rc<Self>, listener: TcpListener) {
+    async fn accept(self: Rc<Self>, listener: TcpListener) {
         let warning = RateLimitedWarning::default();
         let mut phase = self.lifecycle.subscribe();
         let mut consecutive_errors = 0;
--- a/src/bin/quota-gateway/server/mod.rs
+++ b/src/bin/quota-gateway/server/mod.rs
@@ -28,6 +28,9 @@
 mod response;
 mod slots;
 
+pub use accept::Acceptor;
+pub use slots::ClientSlots;
+
 use crate::driver::Driver;
 use crate::lifecycle::Lifecycle;
 use client::Client;
--- a/src/bin/quota-gateway/server/slots.rs
+++ b/src/bin/quota-gateway/server/slots.rs
@@ -4,8 +4,9 @@
 //! and new clients are rejected. With all slots taken, the client that has been longest without a request is evicted.
 
 use super::Server;
+use std::sync::Arc;
 use std::time::Duration;
-use tokio::sync::OwnedSemaphorePermit;
+use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::timeout;
 
 /// A new connection is not evicted for this long: its request may be on the way.
@@ -13,6 +14,32 @@
 /// Longest wait for an evicted client's slot. A client that has sent a request meanwhile keeps it.
 const EVICTION_TIMEOUT: Duration = Duration::from_millis(5);
 
+/// The slots for clients' connections.
+pub struct ClientSlots {
+    semaphore: Arc<Semaphore>,
+    total: u32,
+}
+
+impl ClientSlots {
+    /// This many slots, all free.
+    pub fn new(total: u32) -> Self {
+        ClientSlots {
+            semaphore: Arc::new(Semaphore::new(total as usize)),
+            total,
+        }
+    }
+
+    /// The semaphore, with a permit for each slot.
+    pub fn semaphore(&self) -> Arc<Semaphore> {
+        self.semaphore.clone()
+    }
+
+    /// Returns when the last connection has closed.
+    pub async fn all_free(&self) {
+        let _ = self.semaphore.acquire_many(self.total).await;
+    }
+}
+
 impl Server {
     /// A slot for one more client; `None` if all clients have requests open or are new.
     pub(super) async fn acquire_slot(&self) -> Option<OwnedSemaphorePermit> {
--- a/src/bin/quota-gateway/shutdown.rs
+++ b/src/bin/quota-gateway/shutdown.rs
@@ -8,13 +8,10 @@
 use crate::driver::Driver;
 use crate::lifecycle::{Lifecycle, Phase, Timeline, CLOSING_TIME};
 use crate::metrics::Rule;
-use crate::server::Server;
+use crate::server::{Acceptor, ClientSlots, Server};
 use std::rc::Rc;
-use std::sync::Arc;
 use std::time::Duration;
-use tokio::net::TcpListener;
-use tokio::sync::Semaphore;
-use tokio::task::{yield_now, JoinHandle};
+use tokio::task::yield_now;
 use tokio::time::{sleep, sleep_until, timeout, timeout_at, Instant};
 
 /// Interval at which open requests are checked for.
@@ -138,48 +135,3 @@
         };
     }
 }
-
-/// The task that accepts clients. It ends by itself in `NoNewConnections`, once it has accepted all that had connected
-/// before.
-pub struct Acceptor {
-    task: Option<JoinHandle<()>>,
-}
-
-impl Acceptor {
-    pub fn spawn(server: Rc<Server>, listener: TcpListener) -> Self {
-        Acceptor {
-            task: Some(tokio::task::spawn_local(server.accept(listener))),
-        }
-    }
-
-    async fn ended(&mut self) {
-        if let Some(task) = &mut self.task {
-            let _ = task.await;
-            self.task = None;
-        }
-    }
-}
-
-/// The slots for clients' connections.
-pub struct ClientSlots {
-    semaphore: Arc<Semaphore>,
-    total: u32,
-}
-
-impl ClientSlots {
-    pub fn new(total: u32) -> Self {
-        ClientSlots {
-            semaphore: Arc::new(Semaphore::new(total as usize)),
-            total,
-        }
-    }
-
-    pub fn semaphore(&self) -> Arc<Semaphore> {
-        self.semaphore.clone()
-    }
-
-    /// Returns when the last connection has closed.
-    async fn all_free(&self) {
-        let _ = self.semaphore.acquire_many(self.total).await;
-    }
-}
