--- a/src/bin/quota-gateway/config/validate.rs
+++ b/src/bin/quota-gateway/config/validate.rs
@@ -12,7 +12,7 @@
 
 /// Checks all that the types of the fields leave open, and returns the decision library's settings.
 pub fn validate(file: &ProgramFile, wire: &WireSettings) -> Result<Settings, ConfigError> {
-    check_program_durations(file)?;
+    check_program_numbers(file)?;
     wire.check_values().map_err(invalid_setting)?;
     wire.check_complete().map_err(invalid_setting)?;
     if file.limits.sockets < MIN_SOCKETS {
@@ -31,16 +31,18 @@
     ConfigError::invalid(format!("settings.{}", setting.path), setting.problem.into())
 }
 
-fn check_program_durations(file: &ProgramFile) -> Result<(), ConfigError> {
+/// Checks the numbers that the program reads by itself: a time-out in ms, and a rate in messages a second, which has the
+/// same range.
+fn check_program_numbers(file: &ProgramFile) -> Result<(), ConfigError> {
     let settings = &file.settings;
-    let durations = [
+    let numbers = [
         (
             "settings.limits.connect-timeout-ms",
             settings.limits.connect_timeout_ms,
         ),
         ("settings.domain.peer-intake", settings.domain.peer_intake),
     ];
-    for (field, value) in durations {
+    for (field, value) in numbers {
         if !is_valid_duration(value) {
             return Err(ConfigError::invalid(
                 field,
--- a/src/bin/quota-gateway/discovery/mod.rs
+++ b/src/bin/quota-gateway/discovery/mod.rs
@@ -22,7 +22,7 @@
 mod watch;
 
 pub use handler::EndpointListHandler;
-pub use policy::WatchPolicy;
+pub use policy::{WatchPolicy, PROPAGATION_LIMIT};
 
 use crate::rate_limited_warning::RateLimitedWarning;
 use call::WatchRequest;
--- a/src/bin/quota-gateway/driver/endpoint_ids.rs
+++ b/src/bin/quota-gateway/driver/endpoint_ids.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The id of a removed endpoint is kept for this long: longer than the library remembers the endpoint.
+/// The id of a removed endpoint is kept for this long: longer than the library remembers the endpoint, which is
+/// `FORGET_REMOVED_MS` (60 s) of `policy::load_balancer`.
 pub const REMOVED_ID_RETENTION: Duration = Duration::from_secs(90);
 
 /// Assigns ids. No id is assigned twice. That of a removed endpoint is kept while the library may remember it and then
--- a/src/bin/quota-gateway/driver/messages.rs
+++ b/src/bin/quota-gateway/driver/messages.rs
@@ -1,5 +1,6 @@
 //! What the server hands to the driver for each request, and what it gets back.
 
+use crate::http::header_names::REMAINING_MS;
 use bytes::Bytes;
 use quota_gateway::RequestId;
 use std::io::Write;
@@ -44,13 +45,13 @@
 }
 
 impl ForwardedRequest {
-    /// The bytes of an attempt that propagates this remaining time.
+    /// The bytes of an attempt that propagates this remaining time, on the wire as whole milliseconds.
     pub fn encode(&self, remaining: Duration) -> Vec<u8> {
         let mut message =
             Vec::with_capacity(self.head.len() + self.body.len() + REMAINING_LINE_BYTES);
         message.extend_from_slice(&self.head);
         // Writing to a Vec can't fail.
-        let _ = write!(message, "X-Remaining-Ms: {}\r\n", remaining.as_millis());
+        let _ = write!(message, "{REMAINING_MS}: {}\r\n", remaining.as_millis());
         message.extend_from_slice(&self.body);
         message
     }
--- a/src/bin/quota-gateway/driver/slow_start_check.rs
+++ b/src/bin/quota-gateway/driver/slow_start_check.rs
@@ -4,6 +4,10 @@
 //! capacity: the mean number of attempts is this gateway's share of the load of one of those. An endpoint in slow start
 //! has a part of the full capacity, which grows with its age. It may get that part of the mean, times the multiple of
 //! the settings at which an endpoint is overloaded.
+//!
+//! The check repeats none of the code that decides (`policy::slow_start`), and the soak has one of its own
+//! (`soak/src/rules/slow_start.rs`, which sees what endpoints get of all gateways). They are independent on purpose: a
+//! fault in one of them is found by the others.
 
 use quota_gateway::{EndpointId, Rules};
 use std::collections::{HashMap, VecDeque};
@@ -19,8 +23,8 @@
 const MAX_COUNTED: usize = 8192;
 /// Below this number of allowed attempts the wider tolerance applies, as chance weighs more.
 const FEW_ATTEMPTS: f64 = 30.0;
-/// Tolerance above the allowed number of attempts, in standard deviations of a Poisson count, and the same number of
-/// attempts more.
+/// Tolerance above the allowed number of attempts. It is this many standard deviations of a Poisson count, plus this many
+/// attempts.
 const TOLERANCE: f64 = 2.0;
 /// The tolerance where few attempts are allowed, in the same units.
 const TOLERANCE_OF_FEW: f64 = 3.0;
--- a/src/bin/quota-gateway/driver/start_times.rs
+++ b/src/bin/quota-gateway/driver/start_times.rs
@@ -5,14 +5,14 @@
 //! start and is overloaded. But discovery reports a change soon after it happens: a start that was not known at its last
 //! report can't be much older than that.
 
+use crate::discovery::PROPAGATION_LIMIT;
 use tokio::time::Instant;
 
 #[cfg(test)]
 mod tests;
 
-/// Longest time, in ms, from a change of the list until a gateway is notified of it: the propagation limit of the
-/// protocol.
-const PROPAGATION_LIMIT_MS: f64 = 6000.0;
+/// Longest time, in ms, from a change of the list until a gateway is notified of it.
+const PROPAGATION_LIMIT_MS: f64 = PROPAGATION_LIMIT.as_millis() as f64;
 
 /// Estimates the start times of endpoints from those that lists state.
 #[derive(Default)]
--- a/src/bin/quota-gateway/http/mod.rs
+++ b/src/bin/quota-gateway/http/mod.rs
@@ -1,13 +1,15 @@
-//! Reads HTTP/1.1 responses of endpoints, the counter and discovery.
+//! Reads HTTP/1.1 responses of endpoints, the counter and discovery, and names the headers of the protocol.
 //!
 //! - `head`: the status line and headers, by httparse
 //! - `body`: the framing of bodies: by length, chunked, or up to the connection's end
 //! - `reader`: both on a socket
+//! - `header_names`: the protocol's headers, for requests as well
 //! - `error`: what can be wrong with a response
 
 mod body;
 mod error;
 mod head;
+pub mod header_names;
 mod reader;
 #[cfg(test)]
 mod tests;
--- a/src/bin/quota-gateway/retry.rs
+++ b/src/bin/quota-gateway/retry.rs
@@ -4,7 +4,7 @@
 //! interrupted, the former process still has the address. Without a retry the process would end at its start, or keep
 //! addresses that are no longer served.
 
-use crate::transient_errors::is_transient;
+use crate::transient_errors::is_transient_for_opening;
 use std::future::Future;
 use std::io;
 use std::thread;
@@ -48,7 +48,8 @@
     let deadline = std::time::Instant::now() + RUNTIME_TIMEOUT;
     loop {
         match open() {
-            Err(error) if is_transient(&error) && std::time::Instant::now() < deadline => {}
+            Err(error)
+                if is_transient_for_opening(&error) && std::time::Instant::now() < deadline => {}
             result => return result,
         }
         thread::sleep(RETRY_DELAY);
--- a/src/bin/quota-gateway/server/forward.rs
+++ b/src/bin/quota-gateway/server/forward.rs
@@ -1,14 +1,18 @@
 //! The request as endpoints get it.
 
-use super::request::{header_names, ClassRoute};
+use super::request::ClassRoute;
 use crate::driver::ForwardedRequest;
-use hyper::header::{HeaderValue, CONTENT_LENGTH, CONTENT_TYPE, HOST};
+use crate::http::header_names;
+use hyper::header::{HeaderValue, CONTENT_LENGTH, HOST};
 use hyper::{HeaderMap, Method, Uri};
 use std::io::Write;
 
 /// Initial capacity for a head.
 const HEAD_BYTES: usize = 256;
 
+/// `Content-Type` as it is written on the wire.
+const CONTENT_TYPE_NAME: &str = "Content-Type";
+
 /// Makes the request for endpoints out of a client's. Only the headers that are named here are forwarded.
 pub fn forwarded_request(
     class: &ClassRoute,
@@ -25,17 +29,14 @@
         .get(HOST)
         .map_or(&b"localhost"[..], HeaderValue::as_bytes);
     push_header(&mut head, "Host", host);
-    for (name, value) in [
-        ("X-Txn", headers.get(header_names::TRANSACTION_ID)),
-        (
-            "Idempotency-Key",
-            headers.get(header_names::IDEMPOTENCY_KEY),
-        ),
-        ("X-Lane", headers.get(header_names::CLASS)),
-        ("X-Plan", headers.get(header_names::PLAN)),
-        ("Content-Type", headers.get(CONTENT_TYPE)),
+    for name in [
+        header_names::TRANSACTION_ID,
+        header_names::IDEMPOTENCY_KEY,
+        header_names::CLASS,
+        header_names::PLAN,
+        CONTENT_TYPE_NAME,
     ] {
-        if let Some(value) = value {
+        if let Some(value) = headers.get(name) {
             push_header(&mut head, name, value.as_bytes());
         }
     }
--- a/src/bin/quota-gateway/server/read_ahead.rs
+++ b/src/bin/quota-gateway/server/read_ahead.rs
@@ -7,9 +7,10 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Most bytes of one client. A client sends one request at a time, so more than one complete message is never due.
+/// Number of bytes from which on no more is kept of one client: what it sends beyond is discarded (`client_stream`). That
+/// is far more than the largest request, so that only a client that sends many ahead of their responses loses any.
 const MAX_BYTES: usize = 1 << 20;
-/// Most bytes of all clients together.
+/// Number of bytes of all clients together from which on no more is read ahead: what follows stays in the sockets.
 pub const MAX_TOTAL_BYTES: usize = 4 << 20;
 /// Bytes that are read within this time of one another count as having arrived together, with the first of them.
 const ARRIVAL_RESOLUTION: Duration = Duration::from_millis(5);
--- a/src/bin/quota-gateway/server/request.rs
+++ b/src/bin/quota-gateway/server/request.rs
@@ -1,13 +1,11 @@
 //! Reads what the head of a request says, and checks it against the settings.
 //!
 //! - `route`: the classes of requests, as clients address them
-//! - `header_names`: the names of the protocol's headers
 //! - `fields`: the single fields of a head
 //! - `error`: what can be wrong with a request
 
 mod error;
 mod fields;
-pub mod header_names;
 mod route;
 
 #[cfg(test)]
@@ -17,6 +15,7 @@
 pub use route::ClassRoute;
 
 use crate::driver::IncomingRequest;
+use crate::http::header_names;
 use fields::{
     check_idempotency_key, parse_customer, parse_decimal, parse_hex_id, parse_integer,
     parse_remaining_ms, quota_field, single_header,
--- a/src/bin/quota-gateway/server/request/fields.rs
+++ b/src/bin/quota-gateway/server/request/fields.rs
@@ -1,8 +1,9 @@
 //! The fields of a request's head, one function each. What is malformed, missing or there twice is an error.
 
 use super::error::RequestError;
-use super::header_names;
+
 use super::route::ClassRoute;
+use crate::http::header_names;
 use hyper::{HeaderMap, Uri};
 
 /// Longest remaining time that a client may state.
