--- a/src/bin/quota-gateway/driver/attempts.rs
+++ b/src/bin/quota-gateway/driver/attempts.rs
@@ -2,13 +2,13 @@
 
 use super::clock::Clock;
 use super::endpoints::Endpoints;
-use super::enforcement::{enforce_before_write, refusal_outcome, AttemptToWrite};
+use super::enforcement::{enforce_before_write, refusal_outcome, AttemptToWrite, WriteRefusal};
 use super::messages::ForwardedRequest;
 use super::registered_request::{AttemptTimes, EndpointResponse, StartedAttempt};
 use super::registry::RequestRegistry;
 use super::rule_checks::{RuleChecker, WrittenAttempt};
 use crate::lifecycle::Lifecycle;
-use crate::metrics::Metrics;
+use crate::metrics::{AttemptRefusal, Metrics};
 use crate::socket::{PeekResult, WeakSocket};
 use crate::upstream::{
     AttemptResult, CompleteResponse, ConnectionPool, OutgoingRequest, Preparation, Target,
@@ -182,11 +182,12 @@
 
     fn refusal(&self) -> Option<Outcome> {
         let refusal = enforce_before_write(&self.to_write()).err()?;
-        self.sender.metrics.attempt_refusals.increment(refusal);
+        let label = AttemptRefusal::from(refusal);
+        self.sender.metrics.attempt_refusals.increment(label);
         tracing::debug!(
             request_id = self.request,
             endpoint = self.target.endpoint,
-            reason = %refusal,
+            reason = %label,
             "attempt refused"
         );
         Some(refusal_outcome(refusal))
@@ -206,6 +207,21 @@
     }
 }
 
+/// The label by which metrics and log name a refusal.
+impl From<WriteRefusal> for AttemptRefusal {
+    fn from(refusal: WriteRefusal) -> Self {
+        match refusal {
+            WriteRefusal::RequestClosed => AttemptRefusal::RequestClosed,
+            WriteRefusal::ClientDisconnected => AttemptRefusal::ClientDisconnected,
+            WriteRefusal::MayHaveExecuted => AttemptRefusal::MayHaveExecuted,
+            WriteRefusal::ShuttingDown => AttemptRefusal::ShuttingDown,
+            WriteRefusal::RetryWindowOver => AttemptRefusal::RetryWindowOver,
+            WriteRefusal::EndpointNotReady => AttemptRefusal::EndpointNotReady,
+            WriteRefusal::EndpointMoved => AttemptRefusal::EndpointMoved,
+        }
+    }
+}
+
 /// Lets the client's connection read what has arrived. Returns what its socket holds afterwards.
 ///
 /// Guards against a client that sends more and then disconnects: the attempt would be executed for nobody. A close that
--- a/src/bin/quota-gateway/driver/enforcement.rs
+++ b/src/bin/quota-gateway/driver/enforcement.rs
@@ -10,7 +10,6 @@
 //! `rule_checks` verifies afterwards that both did their work.
 
 use super::registered_request::RequestRecord;
-use crate::metrics::AttemptRefusal;
 use crate::socket::PeekResult;
 use quota_gateway::Outcome;
 use std::net::SocketAddr;
@@ -57,6 +56,26 @@
     EndpointRemoved,
 }
 
+/// Why an attempt is not written.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum WriteRefusal {
+    /// The request has its final response, or its client has disconnected.
+    RequestClosed,
+    /// The client has closed its side, or its connection broke.
+    ClientDisconnected,
+    /// The request may have been executed and must not be executed twice.
+    MayHaveExecuted,
+    /// The process ends before a response could arrive.
+    ShuttingDown,
+    /// The deadline for the first byte has passed: the endpoint may no longer know the idempotency key, and could execute
+    /// the request a second time.
+    RetryWindowOver,
+    /// The endpoint is draining or was removed.
+    EndpointNotReady,
+    /// The endpoint has another address.
+    EndpointMoved,
+}
+
 /// What is known of an attempt right before its first byte.
 pub struct AttemptToWrite {
     /// Its request; none if that is no longer open.
@@ -110,39 +129,39 @@
 /// idempotency key closes, or the endpoint drains, is removed or moves. Each would show as a request that is executed
 /// without a reader, executed twice, cut off at the exit, or sent to an endpoint that must get no more. The check holds
 /// because it runs on the thread of all tasks, right before the first byte, and again whenever that write has to wait.
-pub fn enforce_before_write(attempt: &AttemptToWrite) -> Result<(), AttemptRefusal> {
+pub fn enforce_before_write(attempt: &AttemptToWrite) -> Result<(), WriteRefusal> {
     let record = attempt.record.filter(|record| record.ended_at.is_none());
-    let record = record.ok_or(AttemptRefusal::RequestClosed)?;
+    let record = record.ok_or(WriteRefusal::RequestClosed)?;
     if attempt.client == PeekResult::EndOfStream {
-        return Err(AttemptRefusal::ClientDisconnected);
+        return Err(WriteRefusal::ClientDisconnected);
     }
     if record.must_not_retry {
-        return Err(AttemptRefusal::MayHaveExecuted);
+        return Err(WriteRefusal::MayHaveExecuted);
     }
     if !attempt.process_may_forward {
-        return Err(AttemptRefusal::ShuttingDown);
+        return Err(WriteRefusal::ShuttingDown);
     }
     if attempt.now >= attempt.start_deadline {
-        return Err(AttemptRefusal::RetryWindowOver);
+        return Err(WriteRefusal::RetryWindowOver);
     }
     if !attempt.endpoint_is_ready {
-        return Err(AttemptRefusal::EndpointNotReady);
+        return Err(WriteRefusal::EndpointNotReady);
     }
     if attempt.endpoint_addr != Some(attempt.connected_addr) {
-        return Err(AttemptRefusal::EndpointMoved);
+        return Err(WriteRefusal::EndpointMoved);
     }
     Ok(())
 }
 
 /// The outcome of an attempt that was refused, in the library's terms. One that only its endpoint stood against counts
 /// as rejected, as another endpoint may be tried.
-pub fn refusal_outcome(refusal: AttemptRefusal) -> Outcome {
+pub fn refusal_outcome(refusal: WriteRefusal) -> Outcome {
     match refusal {
-        AttemptRefusal::RequestClosed
-        | AttemptRefusal::ClientDisconnected
-        | AttemptRefusal::RetryWindowOver
-        | AttemptRefusal::MayHaveExecuted
-        | AttemptRefusal::ShuttingDown => Outcome::NotSent,
-        AttemptRefusal::EndpointNotReady | AttemptRefusal::EndpointMoved => Outcome::Rejected,
+        WriteRefusal::RequestClosed
+        | WriteRefusal::ClientDisconnected
+        | WriteRefusal::RetryWindowOver
+        | WriteRefusal::MayHaveExecuted
+        | WriteRefusal::ShuttingDown => Outcome::NotSent,
+        WriteRefusal::EndpointNotReady | WriteRefusal::EndpointMoved => Outcome::Rejected,
     }
 }
--- a/src/bin/quota-gateway/driver/enforcement/tests.rs
+++ b/src/bin/quota-gateway/driver/enforcement/tests.rs
@@ -2,10 +2,9 @@
 
 use super::{
     enforce_before_start, enforce_before_write, refusal_outcome, AttemptLimits, AttemptToStart,
-    AttemptToWrite, StartRefusal,
+    AttemptToWrite, StartRefusal, WriteRefusal,
 };
 use crate::driver::registered_request::RequestRecord;
-use crate::metrics::AttemptRefusal;
 use crate::socket::PeekResult;
 use quota_gateway::Outcome;
 use std::net::SocketAddr;
@@ -72,33 +71,33 @@
         connected_addr: addr(9),
     };
     assert_eq!(enforce_before_write(&attempt), Ok(()));
-    let assert_refused = |attempt: &AttemptToWrite, refusal: AttemptRefusal, outcome: Outcome| {
+    let assert_refused = |attempt: &AttemptToWrite, refusal: WriteRefusal, outcome: Outcome| {
         assert_eq!(enforce_before_write(attempt), Err(refusal));
         assert_eq!(refusal_outcome(refusal), outcome, "{refusal:?}");
     };
     attempt.endpoint_addr = Some(addr(10));
-    assert_refused(&attempt, AttemptRefusal::EndpointMoved, Outcome::Rejected);
+    assert_refused(&attempt, WriteRefusal::EndpointMoved, Outcome::Rejected);
     attempt.endpoint_is_ready = false;
-    let not_ready = AttemptRefusal::EndpointNotReady;
+    let not_ready = WriteRefusal::EndpointNotReady;
     assert_refused(&attempt, not_ready, Outcome::Rejected);
     attempt.start_deadline = now;
-    let window_over = AttemptRefusal::RetryWindowOver;
+    let window_over = WriteRefusal::RetryWindowOver;
     assert_refused(&attempt, window_over, Outcome::NotSent);
     attempt.process_may_forward = false;
-    assert_refused(&attempt, AttemptRefusal::ShuttingDown, Outcome::NotSent);
+    assert_refused(&attempt, WriteRefusal::ShuttingDown, Outcome::NotSent);
     attempt.record = attempt.record.map(|record| RequestRecord {
         must_not_retry: true,
         ..record
     });
-    assert_refused(&attempt, AttemptRefusal::MayHaveExecuted, Outcome::NotSent);
+    assert_refused(&attempt, WriteRefusal::MayHaveExecuted, Outcome::NotSent);
     attempt.client = PeekResult::EndOfStream;
-    let disconnected = AttemptRefusal::ClientDisconnected;
+    let disconnected = WriteRefusal::ClientDisconnected;
     assert_refused(&attempt, disconnected, Outcome::NotSent);
     attempt.record = attempt.record.map(|record| RequestRecord {
         ended_at: Some(now),
         ..record
     });
-    assert_refused(&attempt, AttemptRefusal::RequestClosed, Outcome::NotSent);
+    assert_refused(&attempt, WriteRefusal::RequestClosed, Outcome::NotSent);
     attempt.record = None;
-    assert_refused(&attempt, AttemptRefusal::RequestClosed, Outcome::NotSent);
+    assert_refused(&attempt, WriteRefusal::RequestClosed, Outcome::NotSent);
 }
