--- a/soak/src/clients/idle.rs
+++ b/soak/src/clients/idle.rs
@@ -17,7 +17,7 @@
 
 /// One idle client of a gateway, until the load ends.
 pub async fn run(context: ClientContext, gateway: usize, number: u64) {
-    let mut rng = crate::stream(context.settings.seed, STREAM, number);
+    let mut rng = crate::seeded_rng(context.settings.seed, STREAM, number);
     while !context.settings.has_load_ended() {
         sleep(Duration::from_millis(rng.random_range(PAUSE_MS))).await;
         let state = context.directory.state(gateway);
--- a/soak/src/clients/misbehaving.rs
+++ b/soak/src/clients/misbehaving.rs
@@ -31,7 +31,7 @@
 
 /// Misbehaves until the load ends.
 pub async fn run(context: ClientContext, number: u64) {
-    let mut rng = crate::stream(context.settings.seed, "misbehaving client", number);
+    let mut rng = crate::seeded_rng(context.settings.seed, "misbehaving client", number);
     while !context.settings.has_load_ended() {
         sleep(Duration::from_millis(rng.random_range(PAUSE_MS))).await;
         let gateway = rng.random_range(0..context.directory.count());
--- a/soak/src/clients/request.rs
+++ b/soak/src/clients/request.rs
@@ -44,7 +44,7 @@
 impl RequestSource {
     /// Those of the client of this number, which no other client has.
     pub fn new(context: ClientContext, number: u64) -> Self {
-        let rng = crate::stream(context.settings.seed, "requests", number);
+        let rng = crate::seeded_rng(context.settings.seed, "requests", number);
         RequestSource {
             context,
             number,
--- a/soak/src/clients/shutdown.rs
+++ b/soak/src/clients/shutdown.rs
@@ -4,7 +4,7 @@
 use super::context::ClientContext;
 use super::outcome::{receive, Close, Outcome};
 use super::request::{Request, RequestSource};
-use crate::gateway_directory::FRONT_DELAY;
+use crate::gateway_directory::LOAD_BALANCER_DELAY;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use stand_ins::connection::Connection;
@@ -47,7 +47,7 @@
     let terminated_at = Instant::now() + LEAD_TIME;
     let mut clients = JoinSet::new();
     for number in 0..CLIENTS {
-        let rng = crate::stream(rng.random(), "shutdown client", number);
+        let rng = crate::seeded_rng(rng.random(), "shutdown client", number);
         let number = FIRST_NUMBER + gateway as u64 * CLIENTS + number;
         let client = ShutdownClient {
             context: context.clone(),
@@ -66,7 +66,7 @@
         let started_at = Instant::now();
         let connect_after = self
             .rng
-            .random_range(Duration::ZERO..LEAD_TIME + FRONT_DELAY);
+            .random_range(Duration::ZERO..LEAD_TIME + LOAD_BALANCER_DELAY);
         let send_at = terminated_at
             + self
                 .rng
--- a/soak/src/clients/steady.rs
+++ b/soak/src/clients/steady.rs
@@ -3,7 +3,7 @@
 use super::context::ClientContext;
 use super::outcome::{receive, Close, Outcome};
 use super::request::{Request, RequestSource};
-use crate::gateway_directory::FRONT_DELAY;
+use crate::gateway_directory::LOAD_BALANCER_DELAY;
 use rand::seq::IndexedRandom;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -61,7 +61,7 @@
 impl Client {
     /// The client of this number. It leaves before the answer to `leaving_percent` of its requests.
     pub fn new(context: ClientContext, number: u64, leaving_percent: u32) -> Self {
-        let rng = crate::stream(context.settings.seed, "client", number);
+        let rng = crate::seeded_rng(context.settings.seed, "client", number);
         let requests = RequestSource::new(context.clone(), number);
         Client {
             context,
@@ -188,7 +188,7 @@
             .is_some_and(|killed| killed >= open.generation)
     }
 
-    /// A request whose connection ended without an answer is lost, unless its gateway was killed, or the front should
+    /// A request whose connection ended without an answer is lost, unless its gateway was killed, or the load balancer should
     /// not have opened the connection any more.
     fn check_closed(&self, open: &GatewayConnection, request: &Request, close: Close) {
         let observations = &self.context.observations;
@@ -220,7 +220,7 @@
             && open.opened_at.elapsed() > longest_deadline;
         let was_terminated = state
             .terminated_at
-            .is_some_and(|at| open.opened_at > at + 2 * FRONT_DELAY);
+            .is_some_and(|at| open.opened_at > at + 2 * LOAD_BALANCER_DELAY);
         was_replaced || was_terminated
     }
 
--- a/soak/src/endpoint.rs
+++ b/soak/src/endpoint.rs
@@ -47,16 +47,19 @@
 
 impl RunningEndpoint {
     /// Starts an endpoint and puts it into the list. Returns its number, too.
-    pub async fn start(context: &Rc<EndpointContext>, is_cold: bool) -> io::Result<(usize, Self)> {
+    pub async fn start(
+        context: &Rc<EndpointContext>,
+        is_warming_up: bool,
+    ) -> io::Result<(usize, Self)> {
         let listener = TcpListener::bind(any_port()).await?;
-        let number = context.fleet.add(listener.local_addr()?, is_cold);
-        let mut rng = crate::stream(context.settings.seed, "endpoint", number as u64);
+        let number = context.fleet.add(listener.local_addr()?, is_warming_up);
+        let mut rng = crate::seeded_rng(context.settings.seed, "endpoint", number as u64);
         let context = context.clone();
         let server = Server::start(listener, move |connection| {
             let session = Session {
                 context: context.clone(),
                 number,
-                rng: crate::stream(rng.random(), "service", 0),
+                rng: crate::seeded_rng(rng.random(), "service", 0),
                 connection,
             };
             session.serve()
--- a/soak/src/faults/gateway_faults.rs
+++ b/soak/src/faults/gateway_faults.rs
@@ -29,7 +29,7 @@
                 continue;
             };
             let call_faults = draw_call_faults(&mut self.rng);
-            let mut rng = crate::stream(self.rng.random(), "shutdown", 0);
+            let mut rng = crate::seeded_rng(self.rng.random(), "shutdown", 0);
             let context = self.context.clone();
             restarts.spawn_local(async move {
                 let addresses = if kills {
--- a/soak/src/faults/schedule.rs
+++ b/soak/src/faults/schedule.rs
@@ -47,7 +47,7 @@
 
 /// Injects faults until the load ends, and waits for the last of them.
 pub async fn run(context: Rc<FaultContext>) {
-    let mut rng = crate::stream(context.settings.seed, "faults", 0);
+    let mut rng = crate::seeded_rng(context.settings.seed, "faults", 0);
     let mut running = JoinSet::new();
     while !context.settings.has_load_ended() {
         sleep(Duration::from_millis(rng.random_range(PAUSE_MS))).await;
@@ -57,7 +57,7 @@
         context.observations.count(&format!("fault {fault:?}"));
         let injector = Injector {
             context: context.clone(),
-            rng: crate::stream(rng.random(), "", 0),
+            rng: crate::seeded_rng(rng.random(), "", 0),
         };
         running.spawn_local(inject(injector, fault));
         while let Some(ended) = running.try_join_next() {
--- a/soak/src/fleet.rs
+++ b/soak/src/fleet.rs
@@ -40,18 +40,18 @@
         }
     }
 
-    /// Adds an endpoint that has started just now (cold) or long ago. Returns its number.
-    pub fn add(&self, address: SocketAddr, is_cold: bool) -> usize {
+    /// Adds an endpoint that has started just now (it is warming up) or long ago. Returns its number.
+    pub fn add(&self, address: SocketAddr, is_warming_up: bool) -> usize {
         let mut endpoints = self.endpoints.borrow_mut();
         let number = endpoints.len();
         endpoints.push(EndpointState {
             listed_state: EntryState::Ready,
             unavailable_since: None,
             behaviour: Behaviour::Serves,
-            started_at: is_cold.then(Instant::now),
+            started_at: is_warming_up.then(Instant::now),
         });
         self.publisher.edit(|list| {
-            if is_cold {
+            if is_warming_up {
                 list.add(entry(number, address, unix_time_ms()));
             } else {
                 list.add_initial(entry(number, address, 0));
--- a/soak/src/gateway/health.rs
+++ b/soak/src/gateway/health.rs
@@ -21,7 +21,7 @@
 const MAX_MEMORY_KB: f64 = 96.0 * 1024.0;
 
 impl Gateway {
-    /// Waits until the gateway is ready, and lets the front send it clients. One that ends or takes too long is reported.
+    /// Waits until the gateway is ready, and lets the load balancer send it clients. One that ends or takes too long is reported.
     pub async fn wait_until_ready(&mut self) {
         let started_at = Instant::now();
         while started_at.elapsed() < READY_TIMEOUT {
--- a/soak/src/gateway/processor.rs
+++ b/soak/src/gateway/processor.rs
@@ -3,7 +3,8 @@
 use nix::sched::{sched_getaffinity, sched_setaffinity, CpuSet};
 use nix::unistd::Pid;
 
-/// Lets a process run on one of this machine's processors alone, the one of this number, counted round.
+/// Binds a process to one of the processors that this process may use. `number` is an index into them, modulo their
+/// count.
 pub fn bind_to_processor(pid: Pid, number: usize) -> std::io::Result<()> {
     let available = sched_getaffinity(Pid::from_raw(0))?;
     let allowed: Vec<_> = (0..CpuSet::count())
--- a/soak/src/gateway/shutdown.rs
+++ b/soak/src/gateway/shutdown.rs
@@ -4,14 +4,14 @@
 use super::process::Gateway;
 use super::shutdown_plan::ShutdownPlan;
 use super::thread_states::thread_states;
-use crate::gateway_directory::{GatewayDirectory, FRONT_DELAY};
+use crate::gateway_directory::{GatewayDirectory, LOAD_BALANCER_DELAY};
 use nix::sys::signal::Signal;
 use std::rc::Rc;
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep, timeout_at, Instant};
 
 impl Gateway {
-    /// Ends the process by SIGTERM; the front notices a moment later, and SIGKILL comes as early as it may.
+    /// Ends the process by SIGTERM; the load balancer notices a moment later, and SIGKILL comes as early as it may.
     pub async fn terminate(mut self, plan: ShutdownPlan) -> Addresses {
         let terminated_at = Instant::now();
         let directory = self.launcher.directory.clone();
@@ -20,7 +20,7 @@
         let disturbing = self
             .pid()
             .map(|pid| spawn_local(plan.carry_out(pid, terminated_at)));
-        let front = spawn_local(withdraw_from_front(directory, self.index));
+        let withdrawal = spawn_local(withdraw_from_load_balancer(directory, self.index));
         let kill_at = terminated_at + self.launcher.settings.scenario.kill_after();
         let ended = timeout_at(kill_at, self.child.wait()).await;
         // No signal is sent to a process that has ended: its id may be another one's soon.
@@ -30,7 +30,7 @@
             Ok(status) => self.report_process(&format!("ended with {status:?}")),
             Err(_) => self.kill_late(plan).await,
         }
-        let _ = front.await;
+        let _ = withdrawal.await;
         self.launcher.observations.count("planned restarts");
         self.addresses
     }
@@ -45,20 +45,20 @@
         let _ = self.child.wait().await;
     }
 
-    /// Kills the process; the front notices a moment later.
+    /// Kills the process; the load balancer notices a moment later.
     pub async fn kill(mut self) -> Addresses {
         let directory = self.launcher.directory.clone();
         directory.record_kill(self.index);
         self.signal(Signal::SIGKILL);
         let _ = self.child.wait().await;
-        withdraw_from_front(directory, self.index).await;
+        withdraw_from_load_balancer(directory, self.index).await;
         self.launcher.observations.count("kills");
         self.addresses
     }
 }
 
-/// The front sends no more clients after a moment.
-async fn withdraw_from_front(directory: Rc<GatewayDirectory>, index: usize) {
-    sleep(FRONT_DELAY).await;
+/// The load balancer sends no more clients after a moment.
+async fn withdraw_from_load_balancer(directory: Rc<GatewayDirectory>, index: usize) {
+    sleep(LOAD_BALANCER_DELAY).await;
     directory.withdraw(index);
 }
--- a/soak/src/gateway_directory.rs
+++ b/soak/src/gateway_directory.rs
@@ -1,19 +1,20 @@
-//! What clients know of the gateways: the view of a front that spreads connections over them.
+//! What clients know of the gateways: the view of a load balancer that spreads connections over them.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// New clients keep coming for this long after the end of a gateway has begun.
-pub const FRONT_DELAY: Duration = Duration::from_millis(300);
+/// The load balancer sends a gateway new clients for this long after SIGTERM. The program expects them for up to 0.4 s
+/// (`MIN_ACCEPTING_TIME` in `src/bin/quota-gateway/lifecycle/timeline.rs`).
+pub const LOAD_BALANCER_DELAY: Duration = Duration::from_millis(300);
 
 /// The state of one gateway.
 #[derive(Clone, Copy)]
 pub struct GatewayState {
     /// Where it listens.
     pub address: SocketAddr,
-    /// True once the front sends it clients.
+    /// True once the load balancer sends it clients.
     pub is_admitted: bool,
     /// Counts its processes.
     pub generation: u32,
@@ -67,12 +68,12 @@
         state.generation
     }
 
-    /// The front sends the gateway clients.
+    /// The load balancer sends the gateway clients.
     pub fn admit(&self, index: usize) {
         self.gateways.borrow_mut()[index].is_admitted = true;
     }
 
-    /// The front sends the gateway no more clients.
+    /// The load balancer sends the gateway no more clients.
     pub fn withdraw(&self, index: usize) {
         self.gateways.borrow_mut()[index].is_admitted = false;
     }
--- a/soak/src/rules/checker.rs
+++ b/soak/src/rules/checker.rs
@@ -44,7 +44,7 @@
     pub propagated_deadline: Duration,
     /// When the gateway was notified that the endpoint takes nothing new, if it was.
     pub drain_notified_at: Option<Instant>,
-    /// When the endpoint started, if it may still be cold.
+    /// When the endpoint started, if it may still be warming up.
     pub started_at: Option<Instant>,
     /// How late the stand-ins may run at present, which is not the gateway's fault.
     pub allowance: Duration,
--- a/soak/src/rules/checker/tests.rs
+++ b/soak/src/rules/checker/tests.rs
@@ -136,7 +136,7 @@
 
 /// A gateway sends an endpoint that has just started more than it can serve, which would overload it. At first 4 * 0.2 * 10 = 8 a second are the limit, with a margin of 3 standard deviations and 3.
 #[tokio::test(start_paused = true)]
-async fn a_cold_endpoint_may_get_only_so_many_attempts() {
+async fn an_endpoint_that_warms_up_may_get_only_so_many_attempts() {
     let mut checker = checker();
     checker.request_sent(1, RequestClass::Idempotent, 0, MS(1000));
     let started_at = Some(Instant::now());
--- a/soak/src/rules/limits.rs
+++ b/soak/src/rules/limits.rs
@@ -9,7 +9,7 @@
     pub drain_grace: Duration,
     /// How long endpoints know an idempotency key.
     pub key_window: Duration,
-    /// The span of time in which the attempts at a cold endpoint are counted.
+    /// The span of time in which the attempts at an endpoint that is warming up are counted.
     pub overload_window: Duration,
     /// Requests a second of a warm endpoint.
     pub capacity_per_s: f64,
--- a/soak/src/rules/mod.rs
+++ b/soak/src/rules/mod.rs
@@ -3,7 +3,7 @@
 //! - `limits`: the figures of the rules, as the gateways get them
 //! - `observation_log`: broken rules and counts
 //! - `checker`: what was seen of each request, checked as it comes in
-//! - `slow_start`: how many attempts a cold endpoint may get
+//! - `slow_start`: how many attempts an endpoint that is warming up may get
 
 mod checker;
 mod limits;
--- a/soak/src/rules/observation_log.rs
+++ b/soak/src/rules/observation_log.rs
@@ -21,7 +21,7 @@
     Deadline,
     /// A success that no endpoint made for this request.
     WrongAnswer,
-    /// A cold endpoint got more attempts than it can serve.
+    /// An endpoint that is warming up got more attempts than it can serve.
     SlowStart,
     /// A process crashed, was not ready or did not end in time.
     Process,
--- a/soak/src/rules/slow_start.rs
+++ b/soak/src/rules/slow_start.rs
@@ -1,26 +1,30 @@
-//! How many attempts a cold endpoint may get.
+//! How many attempts an endpoint that is warming up may get.
+//!
+//! The program has a check of its own (`driver/slow_start_check.rs`), which sees the attempts of one gateway and
+//! estimates the capacity. This one sees the attempts of all gateways, and knows the capacity. It shares no code with
+//! the other on purpose: a fault in one of them is found by the other.
 
 use super::limits::RuleLimits;
 use std::collections::{HashMap, VecDeque};
 use tokio::time::Instant;
 
-/// Below this number of attempts in a window the wider margin applies, as small counts vary more by chance.
+/// Below this number of attempts in a window the wider tolerance applies, as small counts vary more by chance.
 const FEW_ATTEMPTS: f64 = 30.0;
-/// Margin above the limit, in standard deviations of a Poisson count; as many attempts are added.
-const MARGIN: f64 = 2.0;
-/// The margin where the limit is less than `FEW_ATTEMPTS`, in the same unit.
-const MARGIN_FOR_FEW: f64 = 3.0;
+/// Tolerance above the limit, in standard deviations of a Poisson count; as many attempts are added.
+const TOLERANCE: f64 = 2.0;
+/// The tolerance where the limit is less than `FEW_ATTEMPTS`, in the same unit.
+const TOLERANCE_OF_FEW: f64 = 3.0;
 
-/// More attempts in a window than a cold endpoint can serve.
+/// More attempts in a window than an endpoint that is warming up can serve.
 #[derive(Clone, Copy, Debug)]
 pub struct Overload {
     /// Attempts in the window.
     pub attempts: f64,
-    /// Attempts that overload it, without the margin.
+    /// Attempts that overload it, without the tolerance.
     pub limit: f64,
 }
 
-/// Counts the attempts at cold endpoints.
+/// Counts the attempts at endpoints that are warming up.
 pub struct SlowStartCheck {
     limits: RuleLimits,
     /// The attempts of the last window, by endpoint.
@@ -62,12 +66,12 @@
         let progress = age.as_secs_f64() / limits.warm_up.as_secs_f64();
         let share = limits.initial_share + (1.0 - limits.initial_share) * progress;
         let limit = limits.overload_multiple * share * limits.capacity_per_s * window.as_secs_f64();
-        let margin = if limit < FEW_ATTEMPTS {
-            MARGIN_FOR_FEW
+        let tolerance = if limit < FEW_ATTEMPTS {
+            TOLERANCE_OF_FEW
         } else {
-            MARGIN
+            TOLERANCE
         };
-        let is_overloaded = attempts > limit + margin * limit.sqrt() + margin;
+        let is_overloaded = attempts > limit + tolerance * limit.sqrt() + tolerance;
         is_overloaded.then_some(Overload { attempts, limit })
     }
 }
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -45,10 +45,10 @@
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()?;
-        LocalSet::new().block_on(&runtime, self.play())
+        LocalSet::new().block_on(&runtime, self.run_scenario())
     }
 
-    async fn play(&self) -> Result<SoakReport, SoakError> {
+    async fn run_scenario(&self) -> Result<SoakReport, SoakError> {
         let context = self.start().await?;
         let mut load = start_load(&context.clients, &self.size);
         if self.calm {
@@ -193,7 +193,7 @@
     launcher: &Rc<Launcher>,
     services: Services,
 ) -> Result<HashMap<usize, Gateway>, SoakError> {
-    let mut rng = crate::stream(launcher.settings.seed, "call faults", 0);
+    let mut rng = crate::seeded_rng(launcher.settings.seed, "call faults", 0);
     let mut gateways = HashMap::new();
     for index in 0..launcher.site.gateways {
         let addresses = Addresses {
@@ -244,7 +244,7 @@
 }
 
 async fn finish_gateway(context: Rc<FaultContext>, index: usize, mut gateway: Gateway) {
-    let mut rng = crate::stream(context.settings.seed, "last shutdown", index as u64);
+    let mut rng = crate::seeded_rng(context.settings.seed, "last shutdown", index as u64);
     gateway.check_process();
     let observations = &context.observations;
     match gateway.own_violations().await {
--- a/soak/src/scenario.rs
+++ b/soak/src/scenario.rs
@@ -57,7 +57,7 @@
     /// The scenario of a run with faults.
     #[must_use]
     pub fn draw(seed: u64) -> Self {
-        let mut rng = crate::stream(seed, "conditions", 0);
+        let mut rng = crate::seeded_rng(seed, "conditions", 0);
         let (shortest, longest) = (LONGEST_DEADLINE_S.start.ln(), LONGEST_DEADLINE_S.end.ln());
         let longest_s = rng.random_range(shortest..longest).exp();
         let mut other = || {
--- a/src/bin/quota-gateway/lifecycle/timeline.rs
+++ b/src/bin/quota-gateway/lifecycle/timeline.rs
@@ -30,7 +30,7 @@
 /// after its execution has begun.
 const MIN_FORWARDING_TIME: Duration = Duration::from_millis(40);
 /// Connections are accepted for at least this long after SIGTERM: the load balancer in front may still make new ones for
-/// up to 0.4 s.
+/// up to 0.4 s. The soak's load balancer does so for 0.3 s (`LOAD_BALANCER_DELAY` in `soak/src/gateway_directory.rs`).
 const MIN_ACCEPTING_TIME: Duration = Duration::from_millis(420);
 /// Connections are accepted for this long if the timeline has room for it: the load balancer in front may be slow.
 const PREFERRED_ACCEPTING_TIME: Duration = Duration::from_millis(600);
--- a/stand-ins/src/counter_totals.rs
+++ b/stand-ins/src/counter_totals.rs
@@ -12,7 +12,7 @@
 }
 
 impl CounterCall {
-    /// Reads a request's target, such as `/count/k7?by=2&expire_ms=900`; none without an amount.
+    /// Reads a request's target, such as `/counters/000000000000002a?by=2&expire_ms=900`; none without an amount.
     #[must_use]
     pub fn parse(target: &str) -> Option<Self> {
         let (key, query) = target.split_once('?')?;
--- a/stand-ins/src/endpoint.rs
+++ b/stand-ins/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! How an endpoint treats a request that it has executed.
+//! How an endpoint answers requests: by serving them, or with one of the faults that tests need.
 
 use crate::connection::Connection;
 use std::io;
--- a/stand-ins/src/server.rs
+++ b/stand-ins/src/server.rs
@@ -12,7 +12,8 @@
 /// The tasks of a server's connections.
 type ConnectionTasks = Rc<RefCell<JoinSet<()>>>;
 
-/// A running server. It runs on when this handle is dropped.
+/// A running server. It runs on when this handle is dropped, unless it has stopped accepting: then the open connections
+/// are closed with the handle.
 pub struct Server {
     address: SocketAddr,
     accepting: AbortHandle,
@@ -46,7 +47,7 @@
         self.address
     }
 
-    /// Closes the listener. Connections stay open until the handle is dropped.
+    /// Closes the listener. Open connections are served until the handle is dropped.
     pub fn stop_accepting(&self) {
         self.accepting.abort();
     }
@@ -66,7 +67,7 @@
     while let Ok((stream, _)) = listener.accept().await {
         let serving = serve(Connection::new(stream));
         let mut connections = connections.borrow_mut();
-        // The tasks that have ended are let go of.
+        // The set keeps tasks that have ended until they are joined.
         while connections.try_join_next().is_some() {}
         connections.spawn_local(async move {
             // Connections break as part of the test.
