--- a/tests/gateway/attempts.rs
+++ b/tests/gateway/attempts.rs
@@ -211,11 +211,9 @@
         .write_all(get_request(1, 1, 3000).as_bytes())
         .unwrap();
     begun.recv_timeout(TEST_TIMEOUT).unwrap();
-    let bad = serde_json::json!({"id": 7});
-    let moved = serde_json::json!({"version": 8, "full": false, "servers": [bad, list_entry(0, new, "Ready")]});
+    let moved = serde_json::json!({"version": 8, "full": false, "servers": [invalid_entry(), list_entry(0, new, "Ready")]});
     push_update(&mut watch, &moved.to_string());
-    // The update has been applied once the warning of its invalid entry is logged.
-    gateway.wait_for_log("an entry of the list");
+    gateway.wait_until_list_is_applied();
     go_on.send(()).unwrap();
     assert_eq!(read_message(&mut connection).unwrap().body, b"old");
     for customer in 2..6 {
--- a/tests/gateway/counter.rs
+++ b/tests/gateway/counter.rs
@@ -10,10 +10,10 @@
 /// enough, and small enough for the counter to accept.
 #[test]
 fn amounts_are_large_enough_not_to_be_rounded_away_by_the_counter() {
-    let (backend, _) = healthy_endpoint();
+    let (endpoint, _) = healthy_endpoint();
     let amounts = Arc::new(Mutex::new(Vec::new()));
     let silent = start_server(|_| Reply::StaySilent(channel().0));
-    let gateway = Gateway::new(&config(&[backend], start_counter(amounts.clone()), silent));
+    let gateway = Gateway::new(&config(&[endpoint], start_counter(amounts.clone()), silent));
     // Customers' windows begin at different times, so these are at any point of theirs.
     let mut open = gateway.connect();
     for customer in 0..8 {
@@ -35,13 +35,13 @@
 /// All are served.
 #[test]
 fn requests_are_served_while_the_counter_is_silent_invalid_or_unreachable() {
-    let (backend, _) = healthy_endpoint();
+    let (endpoint, _) = healthy_endpoint();
     let silent = start_server(|_| Reply::StaySilent(channel().0));
     let invalid_total = start_server(|_| Reply::Send(response(200, "", "many")));
     let invalid_http = start_server(|_| Reply::SendAndClose("no HTTP\r\n\r\n".to_owned()));
     for counter in [silent, invalid_total, invalid_http, unused_address()] {
         let gateway = Gateway::new(&config(
-            &[backend],
+            &[endpoint],
             counter,
             start_server(|_| Reply::StaySilent(channel().0)),
         ));
--- a/tests/gateway/crossings.rs
+++ b/tests/gateway/crossings.rs
@@ -119,9 +119,8 @@
     begun.recv_timeout(TEST_TIMEOUT).unwrap();
     // The window is 2.5 s long.
     let first_began = Instant::now();
-    let bad = serde_json::json!({"id": 7});
     let servers = serde_json::json!([
-        bad,
+        invalid_entry(),
         list_entry(0, breaks, "Terminating"),
         list_entry(1, late.addr, "Ready")
     ]);
@@ -129,7 +128,7 @@
         &mut watch,
         &serde_json::json!({"version": 8, "full": false, "servers": servers}).to_string(),
     );
-    gateway.wait_for_log("an entry of the list");
+    gateway.wait_until_list_is_applied();
     sleep(Duration::from_secs(2).saturating_sub(first_began.elapsed()));
     go_on.send(()).unwrap();
     late.wait_for_pending(1);
--- a/tests/gateway/discovery.rs
+++ b/tests/gateway/discovery.rs
@@ -21,11 +21,6 @@
     serde_json::json!({"version": version, "full": false, "servers": servers})
 }
 
-/// An entry that can't be read. The gateway logs a warning once it has handled the list.
-fn invalid_entry() -> serde_json::Value {
-    serde_json::json!({"id": 7})
-}
-
 /// A watch reports a draining endpoint, and then an event that can't be read. If requests still went to the draining
 /// endpoint they would be cut off; if the invalid event were ignored, the change in it would be missed for good. The
 /// endpoint gets nothing more, and the gateway fetches the complete list.
@@ -79,7 +74,6 @@
     let servers = serde_json::json!([invalid, list_entry(0, one, "Terminating")]);
     let change = update(8, &servers);
     push_update(&mut watch, &change.to_string());
-    // The event has been handled once its warning is logged.
     gateway.wait_for_log("an entry of the list");
     let start = Instant::now();
     let mut before = usize::MAX;
@@ -110,8 +104,8 @@
             .write_all(&[b'1', b'\r', b'\n', byte, b'\r', b'\n'])
             .unwrap();
     }
-    // The list applies once the warning about its other entry is logged; no other watch was opened meanwhile.
-    gateway.wait_for_log("an entry of the list");
+    // The list applies, and no other watch was opened meanwhile.
+    gateway.wait_until_list_is_applied();
     assert!(
         discovery.watches.try_recv().is_err(),
         "the first watch stays open"
@@ -284,13 +278,13 @@
             list_entry(1, two, "Ready")
         ]);
         push_update(&mut watch, &update(8, &servers).to_string());
-        gateway.wait_for_log("an entry of the list");
+        gateway.wait_until_list_is_applied();
         let before = got_one.lock().unwrap().len();
         (50..100).for_each(|customer| served(&mut idle, customer));
         assert_eq!(
             got_one.lock().unwrap().len(),
             before,
-            "sent to a draining backend"
+            "sent to a draining endpoint"
         );
         let open = std::fs::read_dir(format!("/proc/{}/fd", gateway.child.id()))
             .unwrap()
--- a/tests/gateway/peers.rs
+++ b/tests/gateway/peers.rs
@@ -9,14 +9,14 @@
 /// that a gateway reported is rejected.
 #[test]
 fn gossip_from_strangers_and_oversized_messages_are_dropped() {
-    let (backend, _) = healthy_endpoint();
+    let (endpoint, _) = healthy_endpoint();
     let peer = UdpSocket::bind("127.0.0.1:0").unwrap();
     let at = {
         // A port that was free a moment ago.
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         socket.local_addr().unwrap()
     };
-    let mut config = config_with_silent_discovery(&[backend]);
+    let mut config = config_with_silent_discovery(&[endpoint]);
     config["settings"]["balancers"] = 2.into();
     config["peer_listen"] = at.to_string().into();
     config["peers"] = serde_json::json!([at, peer.local_addr().unwrap()]);
--- a/tests/gateway/races.rs
+++ b/tests/gateway/races.rs
@@ -44,9 +44,8 @@
     ));
     let (_, mut watch) = discovery.next_watch();
     let mut client = start_request(&gateway, &stalled);
-    let bad = serde_json::json!({"id": 7});
     let servers = serde_json::json!([
-        bad,
+        invalid_entry(),
         list_entry(0, stalled.addr, "Terminating"),
         list_entry(1, two, "Ready")
     ]);
@@ -54,7 +53,7 @@
         &mut watch,
         &serde_json::json!({"version": 8, "full": false, "servers": servers}).to_string(),
     );
-    gateway.wait_for_log("an entry of the list");
+    gateway.wait_until_list_is_applied();
     let mut late = stalled.accept_next();
     assert_eq!(read_message(&mut client).unwrap().body, b"stock: 12");
     late.set_nonblocking(true).unwrap();
--- a/tests/gateway/service.rs
+++ b/tests/gateway/service.rs
@@ -45,8 +45,8 @@
 /// that insists on them would not start. It must start, and serve all classes.
 #[test]
 fn optional_settings_may_be_absent() {
-    let (backend, _) = healthy_endpoint();
-    let mut config = config_with_silent_discovery(&[backend]);
+    let (endpoint, _) = healthy_endpoint();
+    let mut config = config_with_silent_discovery(&[endpoint]);
     for class in [0, 2] {
         let class = config["settings"]["categories"][class]
             .as_object_mut()
@@ -144,8 +144,8 @@
 /// stops serving because of a typing error. The old configuration must stay in use, and the log must say so.
 #[test]
 fn sighup_with_an_invalid_file_changes_nothing() {
-    let (backend, _) = healthy_endpoint();
-    let valid = config_with_silent_discovery(&[backend]);
+    let (endpoint, _) = healthy_endpoint();
+    let valid = config_with_silent_discovery(&[endpoint]);
     let gateway = Gateway::new(&valid);
     let mut invalid = valid.clone();
     invalid["settings"]["position"] = 9.into();
@@ -207,8 +207,8 @@
 /// closes the listener when it goes on, they are reset with their requests. They must be accepted and served.
 #[test]
 fn sigterm_serves_clients_that_have_connected() {
-    let (backend, _) = healthy_endpoint();
-    let mut gateway = Gateway::new(&config_with_silent_discovery(&[backend]));
+    let (endpoint, _) = healthy_endpoint();
+    let mut gateway = Gateway::new(&config_with_silent_discovery(&[endpoint]));
     let mut busy = gateway.connect();
     busy.get_mut().write_all(b"GET /look").unwrap();
     gateway.signal("-TERM");
@@ -240,8 +240,8 @@
 #[test]
 fn sigterm_and_sighup_together_exit_successfully() {
     for order in [["-HUP", "-TERM"], ["-TERM", "-HUP"]] {
-        let (backend, _) = healthy_endpoint();
-        let mut gateway = Gateway::new(&config_with_silent_discovery(&[backend]));
+        let (endpoint, _) = healthy_endpoint();
+        let mut gateway = Gateway::new(&config_with_silent_discovery(&[endpoint]));
         // Suspended, the program finds both at once.
         for name in ["-STOP", order[0], order[1], "-CONT"] {
             gateway.signal(name);
@@ -255,8 +255,8 @@
 /// happened.
 #[test]
 fn metrics_are_served_as_text() {
-    let (backend, _) = healthy_endpoint();
-    let gateway = Gateway::new(&config_with_silent_discovery(&[backend]));
+    let (endpoint, _) = healthy_endpoint();
+    let gateway = Gateway::new(&config_with_silent_discovery(&[endpoint]));
     assert_eq!(gateway.get(1, 1).status(), 200);
     assert_eq!(
         gateway
@@ -288,9 +288,9 @@
 /// and how its attempt ended.
 #[test]
 fn the_debug_log_follows_a_request_by_its_id() {
-    let (backend, _) = healthy_endpoint();
+    let (endpoint, _) = healthy_endpoint();
     let gateway = Gateway::with_environment(
-        &config_with_silent_discovery(&[backend]),
+        &config_with_silent_discovery(&[endpoint]),
         &[("RELAY_LOG", "debug".to_owned())],
     );
     assert_eq!(gateway.get(0xabc, 1).status(), 200);
--- a/tests/gateway/shutdown.rs
+++ b/tests/gateway/shutdown.rs
@@ -56,7 +56,7 @@
 
 impl ShutdownRun {
     /// Requests that the endpoint has got and whose clients got no response.
-    fn lost(&self) -> Vec<&str> {
+    fn lost_requests(&self) -> Vec<&str> {
         let seen: HashSet<_> = self
             .attempts
             .iter()
@@ -126,7 +126,7 @@
 
 /// Ends a process under requests that arrive at any time until SIGKILL. With `stalled_at` it stalls once, this long
 /// after SIGTERM.
-fn end_under_requests(
+fn terminate_under_requests(
     deadline_ms: u32,
     sending: Sending,
     stalled_at: Option<Duration>,
@@ -150,23 +150,23 @@
     let termination_grace =
         Duration::from_millis(deadline_ms.into()).min(GRACE_DEADLINE_CAP) + GRACE_MARGIN;
     // All connections are up before SIGTERM, and accepted by then or a moment later.
-    let started_at = Instant::now();
-    let planned_end = started_at + PIECE_INTERVAL;
+    let first_pieces_from = Instant::now();
+    let sigterm_at = first_pieces_from + PIECE_INTERVAL;
     let client = |number: u32| {
         let texts =
             [number, number + CLIENTS].map(|customer| get_request(customer.into(), 1, deadline_ms));
-        let after = termination_grace * number / CLIENTS;
+        let offset = termination_grace * number / CLIENTS;
         // The first piece is sent at PIECE_INTERVAL before the second.
         start_client(
             gateway.addr,
             sending,
             texts,
-            planned_end + after,
-            started_at + after,
+            sigterm_at + offset,
+            first_pieces_from + offset,
         )
     };
     let clients: Vec<_> = (1..=CLIENTS).map(client).collect();
-    sleep(planned_end.saturating_duration_since(Instant::now()));
+    sleep(sigterm_at.saturating_duration_since(Instant::now()));
     let terminated_at = Instant::now();
     gateway.signal("-TERM");
     if let Some(stalled_at) = stalled_at {
@@ -194,9 +194,13 @@
 }
 
 /// The fault of such a shutdown; none if it has none.
-fn fault_of(deadline_ms: u32, sending: Sending, stalled_at: Option<Duration>) -> Option<String> {
-    let run = end_under_requests(deadline_ms, sending, stalled_at);
-    let lost = run.lost();
+fn shutdown_fault(
+    deadline_ms: u32,
+    sending: Sending,
+    stalled_at: Option<Duration>,
+) -> Option<String> {
+    let run = terminate_under_requests(deadline_ms, sending, stalled_at);
+    let lost = run.lost_requests();
     let answered = run
         .requests
         .iter()
@@ -225,7 +229,7 @@
         .into_iter()
         .flat_map(|ms| sendings.map(|sending| (ms, sending)));
     let faults: Vec<_> = cases
-        .filter_map(|(ms, sending)| fault_of(ms, sending, None))
+        .filter_map(|(ms, sending)| shutdown_fault(ms, sending, None))
         .collect();
     assert!(faults.is_empty(), "{}", faults.join("\n"));
 }
@@ -237,7 +241,7 @@
 fn a_process_that_stalls_at_its_end_loses_no_request() {
     let moments = (1..=8).map(|tenths| Duration::from_millis(100 * tenths));
     let faults: Vec<_> = moments
-        .filter_map(|at| fault_of(300, Sending::Complete, Some(at)))
+        .filter_map(|at| shutdown_fault(300, Sending::Complete, Some(at)))
         .collect();
     assert!(faults.is_empty(), "{}", faults.join("\n"));
 }
@@ -247,7 +251,7 @@
 /// process.
 #[test]
 fn attempts_of_a_process_that_ends_propagate_no_time_beyond_its_end() {
-    let run = end_under_requests(1000, Sending::Complete, None);
+    let run = terminate_under_requests(1000, Sending::Complete, None);
     let mut late = run
         .attempts
         .iter()
--- a/tests/gateway/stand_ins/config.rs
+++ b/tests/gateway/stand_ins/config.rs
@@ -52,3 +52,9 @@
         start_server(|_| Reply::StaySilent(channel().0)),
     )
 }
+
+/// An entry of an endpoint list that can't be read, for a list whose application a test waits for: see
+/// [`Gateway::wait_until_list_is_applied`](super::Gateway::wait_until_list_is_applied).
+pub fn invalid_entry() -> serde_json::Value {
+    serde_json::json!({"id": 7})
+}
--- a/tests/gateway/stand_ins/gateway.rs
+++ b/tests/gateway/stand_ins/gateway.rs
@@ -178,6 +178,12 @@
             .expect("a line")
     }
 
+    /// Waits until the program has applied a list that has an [`invalid_entry`](super::invalid_entry): it warns of the
+    /// entry in the same step. Without that a test would not know when its change of the list counts.
+    pub fn wait_until_list_is_applied(&self) {
+        self.wait_for_log("an entry of the list");
+    }
+
     /// Waits until the program has logged a line with these words.
     pub fn wait_for_log(&self, words: &str) {
         let start = Instant::now();
--- a/tests/gateway/system_faults.rs
+++ b/tests/gateway/system_faults.rs
@@ -199,10 +199,10 @@
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
         let mut started = list_entry(1, cold, "Ready");
         started["started_ms"] = (now.as_millis() as u64).into();
-        let bad = serde_json::json!({"id": 7});
-        let change = serde_json::json!({"version": 8, "full": false, "servers": [bad, started]});
+        let change =
+            serde_json::json!({"version": 8, "full": false, "servers": [invalid_entry(), started]});
         push_update(&mut watch, &change.to_string());
-        gateway.wait_for_log("an entry of the list");
+        gateway.wait_until_list_is_applied();
         let mut clients: Vec<_> = (0..CONCURRENT_REQUESTS)
             .map(|_| gateway.connect())
             .collect();
