--- a/soak/src/rules/checker.rs
+++ b/soak/src/rules/checker.rs
@@ -40,7 +40,7 @@
     pub endpoint: usize,
     /// When its first byte came.
     pub began_at: Instant,
-    /// The remaining time that the gateway states.
+    /// The time that is left until its deadline, as the gateway propagated it (`X-Remaining-Ms`).
     pub propagated_deadline: Duration,
     /// When the gateway was notified that the endpoint takes nothing new, if it was.
     pub drain_notified_at: Option<Instant>,
--- a/src/bin/quota-gateway/discovery/schedule.rs
+++ b/src/bin/quota-gateway/discovery/schedule.rs
@@ -62,7 +62,7 @@
     rng: fastrand::Rng,
     interval: Duration,
     max_interval: Duration,
-    /// The first, random interval has been used.
+    /// The first, random interval has been used, by a failure or by a second call beside an unanswered one.
     has_jittered: bool,
 }
 
--- a/src/bin/quota-gateway/driver/attempts.rs
+++ b/src/bin/quota-gateway/driver/attempts.rs
@@ -122,7 +122,7 @@
     times: AttemptTimes,
     /// The last peek into the client's socket.
     client: Cell<PeekResult>,
-    /// The remaining time that is propagated to the endpoint.
+    /// The time that is left until its deadline, as it is propagated to the endpoint (`X-Remaining-Ms`).
     propagated_deadline: Cell<Duration>,
     /// Set once the last byte is written.
     written: Rc<Cell<bool>>,
--- a/src/bin/quota-gateway/driver/rule_checks.rs
+++ b/src/bin/quota-gateway/driver/rule_checks.rs
@@ -38,7 +38,7 @@
     pub ready_endpoints: usize,
     /// Its first byte must not be written after this.
     pub start_deadline: Instant,
-    /// The remaining time that it propagated to its endpoint.
+    /// The time that was left until its deadline, as it propagated it to its endpoint (`X-Remaining-Ms`).
     pub propagated_deadline: Duration,
     /// When its last byte was written.
     pub written_at: Instant,
--- a/tests/gateway/shutdown.rs
+++ b/tests/gateway/shutdown.rs
@@ -33,6 +33,7 @@
 /// An attempt as the endpoint saw it.
 struct SeenAttempt {
     transaction: String,
+    /// The time that was left until its deadline, as the gateway propagated it (`X-Remaining-Ms`).
     propagated_deadline: Duration,
     at: Instant,
 }
