--- a/src/bin/quota-gateway/discovery/mod.rs
+++ b/src/bin/quota-gateway/discovery/mod.rs
@@ -22,7 +22,7 @@
 mod watch;
 
 pub use handler::EndpointListHandler;
-pub use policy::WatchPolicy;
+pub use policy::{WatchPolicy, PROPAGATION_LIMIT};
 
 use crate::rate_limited_warning::RateLimitedWarning;
 use call::WatchRequest;
@@ -81,7 +81,7 @@
         let end = follow(watch, &self.updates).await;
         let delay = self
             .policy
-            .reopen_delay(opened_at.elapsed(), end.is_invalid_response());
+            .on_watch_ended(opened_at.elapsed(), end.is_invalid_response());
         self.warning.warn(WATCH_ENDED, end);
         sleep(delay).await;
     }
--- a/src/bin/quota-gateway/driver/attempts.rs
+++ b/src/bin/quota-gateway/driver/attempts.rs
@@ -2,13 +2,13 @@
 
 use super::clock::Clock;
 use super::endpoints::Endpoints;
-use super::enforcement::{enforce_before_write, refusal_outcome, AttemptToWrite};
+use super::enforcement::{enforce_before_write, refusal_outcome, AttemptToWrite, WriteRefusal};
 use super::messages::ForwardedRequest;
 use super::registered_request::{AttemptTimes, EndpointResponse, StartedAttempt};
 use super::registry::RequestRegistry;
 use super::rule_checks::{RuleChecker, WrittenAttempt};
 use crate::lifecycle::Lifecycle;
-use crate::metrics::Metrics;
+use crate::metrics::{AttemptRefusal, Metrics};
 use crate::socket::{PeekResult, WeakSocket};
 use crate::upstream::{
     AttemptResult, CompleteResponse, ConnectionPool, OutgoingRequest, Preparation, Target,
@@ -122,7 +122,7 @@
     times: AttemptTimes,
     /// The last peek into the client's socket.
     client: Cell<PeekResult>,
-    /// The remaining time that is propagated to the endpoint.
+    /// The time that is left until its deadline, as it is propagated to the endpoint (`X-Remaining-Ms`).
     propagated_deadline: Cell<Duration>,
     /// Set once the last byte is written.
     written: Rc<Cell<bool>>,
@@ -172,7 +172,7 @@
 impl OutgoingRequest for AttemptRequest {
     fn prepare(&self) -> Option<Preparation<'_>> {
         let client = self.sender.registry.borrow().client_socket(self.request)?;
-        let peeked = client.peek();
+        let peeked = client.peek_or_closed();
         self.client.set(peeked);
         (peeked == PeekResult::Data).then(|| {
             let wait = async move { self.client.set(wait_until_read(client).await) };
@@ -182,11 +182,12 @@
 
     fn refusal(&self) -> Option<Outcome> {
         let refusal = enforce_before_write(&self.to_write()).err()?;
-        self.sender.metrics.attempt_refusals.increment(refusal);
+        let label = AttemptRefusal::from(refusal);
+        self.sender.metrics.attempt_refusals.increment(label);
         tracing::debug!(
             request_id = self.request,
             endpoint = self.target.endpoint,
-            reason = %refusal,
+            reason = %label,
             "attempt refused"
         );
         Some(refusal_outcome(refusal))
@@ -206,16 +207,31 @@
     }
 }
 
+/// The label by which metrics and log name a refusal.
+impl From<WriteRefusal> for AttemptRefusal {
+    fn from(refusal: WriteRefusal) -> Self {
+        match refusal {
+            WriteRefusal::RequestClosed => AttemptRefusal::RequestClosed,
+            WriteRefusal::ClientDisconnected => AttemptRefusal::ClientDisconnected,
+            WriteRefusal::MayHaveExecuted => AttemptRefusal::MayHaveExecuted,
+            WriteRefusal::ShuttingDown => AttemptRefusal::ShuttingDown,
+            WriteRefusal::RetryWindowOver => AttemptRefusal::RetryWindowOver,
+            WriteRefusal::EndpointNotReady => AttemptRefusal::EndpointNotReady,
+            WriteRefusal::EndpointMoved => AttemptRefusal::EndpointMoved,
+        }
+    }
+}
+
 /// Lets the client's connection read what has arrived. Returns what its socket holds afterwards.
 ///
-/// Guards against a client that sends more and then disconnects. The end of its stream is hidden behind the unread
-/// bytes: a peek shows data only, and the attempt would be executed for nobody. Each turn lets the task of the client's
-/// connection read, and once the buffer is empty, the next peek shows whether the end of the stream is there. A client
-/// that has more to read after the last turn is still sending, so it is still connected.
+/// Guards against a client that sends more and then disconnects: the attempt would be executed for nobody. A close that
+/// the system knows of is seen behind unread bytes, too (`WeakSocket::peek_or_closed`). This is for a close that arrives
+/// after them: each turn lets the task of the client's connection read, and the next peek looks again, until the buffer
+/// is empty. A client that has more to read after the last turn is still sending, so it is still connected.
 async fn wait_until_read(client: WeakSocket) -> PeekResult {
     for _ in 0..MAX_READING_TURNS {
         yield_now().await;
-        let peeked = client.peek();
+        let peeked = client.peek_or_closed();
         if peeked != PeekResult::Data {
             return peeked;
         }
--- a/src/bin/quota-gateway/server/handler.rs
+++ b/src/bin/quota-gateway/server/handler.rs
@@ -17,7 +17,8 @@
 use tokio::time::{timeout_at, Instant};
 
 /// Time after a request's deadline at which the handler ends it. The library ends it by the deadline; if its timer fires
-/// late, as after a stall of the process, the client would wait on.
+/// late, as after a stall of the process, the client would wait on. It has to be shorter than `DEADLINE_MARGIN` of
+/// `lifecycle::timeline`: a request then has its response before the shutdown ends those that remain.
 const DEADLINE_GRACE: Duration = Duration::from_millis(5);
 
 impl Server {
@@ -28,7 +29,7 @@
         client: &Client,
         client_socket: WeakSocket,
     ) -> Response {
-        let mut in_progress = RequestInProgress::new(self, client);
+        let mut in_progress = RequestInProgress::begin(self, client);
         let complete_by = client.request_deadline();
         let has_body = !request.body().is_end_stream();
         let mut response = match self
@@ -107,7 +108,7 @@
         in_progress.client.request_complete();
         let response = timeout_at(started.deadline + DEADLINE_GRACE, started.response).await;
         let Ok(response) = response else {
-            return self.driver.give_up(started.id);
+            return self.driver.expire_request(started.id);
         };
         response.unwrap_or(FinalResponse::Failed)
     }
--- a/src/bin/quota-gateway/shutdown.rs
+++ b/src/bin/quota-gateway/shutdown.rs
@@ -8,13 +8,10 @@
 use crate::driver::Driver;
 use crate::lifecycle::{Lifecycle, Phase, Timeline, CLOSING_TIME};
 use crate::metrics::Rule;
-use crate::server::Server;
+use crate::server::{Acceptor, ClientSlots, Server};
 use std::rc::Rc;
-use std::sync::Arc;
 use std::time::Duration;
-use tokio::net::TcpListener;
-use tokio::sync::Semaphore;
-use tokio::task::{yield_now, JoinHandle};
+use tokio::task::yield_now;
 use tokio::time::{sleep, sleep_until, timeout, timeout_at, Instant};
 
 /// Interval at which open requests are checked for.
@@ -22,7 +19,7 @@
 /// Checks in a row that have to find no busy client before the process exits early.
 const IDLE_CHECKS: u32 = 2;
 /// After a stall that took the time for closing connections, requests that arrived in it are read and answered within
-/// this time.
+/// this time. `lifecycle::timeline` does not plan for it.
 const LAST_READ_TIME: Duration = Duration::from_millis(10);
 
 /// What the shutdown acts on.
@@ -78,7 +75,8 @@
     }
 
     /// Waits until all clients that had connected are accepted, and then until the last connection has closed or, from
-    /// `idle_exit_from` on, no client is busy; at most until requests have to be refused.
+    /// `idle_exit_from` on, no client is busy; at most until requests have to be refused. Before the acceptor has ended,
+    /// free slots and the lack of busy clients say nothing of the connections in the listener's queue.
     async fn wait_for_open_requests(&mut self, timeline: &Timeline) {
         let drained = async {
             self.acceptor.ended().await;
@@ -103,6 +101,8 @@
         }
     }
 
+    /// Returns when the last connection has closed. The acceptor comes first: while it runs, all slots may be free
+    /// though a connection is still in the listener's queue.
     async fn all_connections_ended(&mut self) {
         self.acceptor.ended().await;
         self.client_slots.all_free().await;
@@ -135,48 +135,3 @@
         };
     }
 }
-
-/// The task that accepts clients. It ends by itself in `NoNewConnections`, once it has accepted all that had connected
-/// before.
-pub struct Acceptor {
-    task: Option<JoinHandle<()>>,
-}
-
-impl Acceptor {
-    pub fn spawn(server: Rc<Server>, listener: TcpListener) -> Self {
-        Acceptor {
-            task: Some(tokio::task::spawn_local(server.accept(listener))),
-        }
-    }
-
-    async fn ended(&mut self) {
-        if let Some(task) = &mut self.task {
-            let _ = task.await;
-            self.task = None;
-        }
-    }
-}
-
-/// The slots for clients' connections.
-pub struct ClientSlots {
-    semaphore: Arc<Semaphore>,
-    total: u32,
-}
-
-impl ClientSlots {
-    pub fn new(total: u32) -> Self {
-        ClientSlots {
-            semaphore: Arc::new(Semaphore::new(total as usize)),
-            total,
-        }
-    }
-
-    pub fn semaphore(&self) -> Arc<Semaphore> {
-        self.semaphore.clone()
-    }
-
-    /// Returns when the last connection has closed.
-    async fn all_free(&self) {
-        let _ = self.semaphore.acquire_many(self.total).await;
-    }
-}
--- a/src/bin/quota-gateway/socket.rs
+++ b/src/bin/quota-gateway/socket.rs
@@ -11,7 +11,7 @@
 //! - After a stall of the process the runtime does not know yet what the sockets have received. `peek` and
 //!   `peer_has_closed` ask the system itself.
 
-use crate::transient_errors::{is_transient, is_transient_for_transfer};
+use crate::transient_errors::{is_transient_for_opening, is_transient_for_transfer};
 use nix::poll::{poll, PollFd, PollFlags, PollTimeout};
 use socket2::SockRef;
 use std::io::{self, ErrorKind, IoSlice};
@@ -59,7 +59,8 @@
         loop {
             match TcpStream::connect(addr).await {
                 Ok(stream) => return Ok(Socket::new(stream)),
-                Err(error) if attempts < MAX_CONNECT_ATTEMPTS && is_transient(&error) => {}
+                Err(error)
+                    if attempts < MAX_CONNECT_ATTEMPTS && is_transient_for_opening(&error) => {}
                 Err(error) => return Err(error),
             }
             attempts += 1;
@@ -172,7 +173,7 @@
 impl WeakSocket {
     /// Like [`Socket::peek`], but the result is `EndOfStream` also if the peer has closed its side behind unread bytes, and
     /// once the socket is closed here.
-    pub fn peek(&self) -> PeekResult {
+    pub fn peek_or_closed(&self) -> PeekResult {
         let Some(stream) = self.stream.upgrade() else {
             return PeekResult::EndOfStream;
         };
@@ -196,7 +197,8 @@
 }
 
 /// Makes a call once the socket is ready for it, and again for as long as its failures may pass. A call that would block
-/// clears the readiness, so that the next `poll_ready` waits.
+/// clears the readiness, so that the next `poll_ready` waits. Calls that fail again and again in another way are bounded
+/// by the runtime: each `poll_ready` takes from the task's cooperative budget, and is pending when that is used up.
 fn poll_transfer<T>(
     mut poll_ready: impl FnMut() -> Poll<io::Result<()>>,
     mut call: impl FnMut() -> io::Result<T>,
