--- a/src/policy/shared_quota.rs
+++ b/src/policy/shared_quota.rs
@@ -257,7 +257,7 @@
         let elapsed_ms = (now - self.last_total_at).max(MIN_TOTAL_INTERVAL_MS);
         let remaining = decay.remaining_share(elapsed_ms);
         let added = usage.total - last_usage * remaining - usage.charged;
-        let peer_units = decay.evenly_spread_usage(added, elapsed_ms);
+        let peer_units = decay.evenly_spread_usage(added, elapsed_ms, remaining);
         self.level += std::mem::take(&mut self.extrapolated_units) - peer_units;
         // At least as much is left as if all usage that still counts had been taken from a full quota.
         let min_level = limits.burst - usage.before_request;
--- a/src/primitives/forward_decay.rs
+++ b/src/primitives/forward_decay.rs
@@ -31,9 +31,9 @@
         (-elapsed_ms.max(0.0) * self.rate / (self.capacity * 1000.0)).exp()
     }
 
-    /// The units used evenly over the last `elapsed_ms`, if `decayed` units of them still count.
-    pub(crate) fn evenly_spread_usage(self, decayed: f64, elapsed_ms: f64) -> f64 {
-        let remaining = self.remaining_share(elapsed_ms);
+    /// The units used evenly over the last `elapsed_ms`, if `decayed` units of them still count. `remaining` is the
+    /// share of a usage that still counts after that time.
+    pub(crate) fn evenly_spread_usage(self, decayed: f64, elapsed_ms: f64, remaining: f64) -> f64 {
         decayed * (1.0 - remaining).recip() * elapsed_ms * self.rate / (self.capacity * 1000.0)
     }
 }
--- a/src/primitives/forward_decay/tests.rs
+++ b/src/primitives/forward_decay/tests.rs
@@ -35,5 +35,6 @@
     let decayed: f64 = (0..steps)
         .map(|step| 0.001 * DECAY.remaining_share(f64::from(step) + 0.5))
         .sum();
-    assert!((DECAY.evenly_spread_usage(decayed, 10_000.0) - 10.0).abs() < 1e-6);
+    let remaining = DECAY.remaining_share(10_000.0);
+    assert!((DECAY.evenly_spread_usage(decayed, 10_000.0, remaining) - 10.0).abs() < 1e-6);
 }
