--- a/src/bin/quota-gateway/config/validate.rs
+++ b/src/bin/quota-gateway/config/validate.rs
@@ -14,7 +14,6 @@
 pub fn validate(file: &ProgramFile, wire: &WireSettings) -> Result<Settings, ConfigError> {
     check_program_numbers(file)?;
     wire.check_values().map_err(invalid_setting)?;
-    wire.check_complete().map_err(invalid_setting)?;
     if file.limits.sockets < MIN_SOCKETS {
         let problem = FieldProblem::TooFewSockets {
             minimum: MIN_SOCKETS,
--- a/src/wire_settings/validation.rs
+++ b/src/wire_settings/validation.rs
@@ -34,7 +34,7 @@
         Ok(())
     }
 
-    /// Checks durations, indexes, classes and plans, as a file may hold any number.
+    /// Checks durations, indexes, classes and plans, as a file may hold any number, and that the settings are complete.
     ///
     /// # Errors
     ///
@@ -47,8 +47,8 @@
         }
         for (index, class) in self.classes.iter().enumerate() {
             check_class_durations(index, class)?;
-            check_class_complete(index, class)?;
         }
+        self.check_complete()?;
         for (index, plan) in self.plans.iter().enumerate() {
             check_plan(index, plan)?;
         }
