--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,21 +1,24 @@
-//! Every decision: what is admitted, where it is sent, what is retried, and when the counter is called.
+//! The gateway's decisions: admission, load balancing, retries, and calls to the shared counter.
 //!
-//! [`request_handler`] sees a request through. It asks the modules that decide, each by a function of named
-//! inputs that returns a value with its reason, and carries the decision out:
+//! [`request_handler`] takes each request from its arrival to its end. The decisions themselves are functions
+//! in the modules below: each takes named inputs and returns a value that states its reason.
+//! [`request_handler`] carries them out:
 //!
-//! - [`admission`]: whether the request is forwarded or rejected, by its customer's [`quota`] and by the load
-//!   of the fleet ([`overload`], [`load_estimate`]);
-//! - [`retry`]: whether it may be sent, or sent again, and until when;
-//! - [`attempt_timeout`]: how long an attempt may take;
-//! - [`final_response`]: what the client gets if no endpoint has served it.
+//! - [`admission`] decides whether a request is forwarded or rejected, by its customer's [`quota`] and by the
+//!   load of the fleet ([`overload`], [`load_estimate`]);
+//! - [`retry`] decides whether an attempt may be sent or repeated, and until when it may start;
+//! - [`attempt_timeout`] decides how long an attempt may take;
+//! - [`final_response`] decides on the response to a request that no endpoint has served.
 //!
-//! [`forwarding`] sends the attempts to the endpoints that [`load_balancer`] chooses.
+//! [`forwarding`] sends attempts to the endpoints that [`load_balancer`] chooses.
 //!
-//! The quota rests on [`customer_quota`] (one customer's levels), [`shared_quota`] (what the counter's
-//! totals mean), [`ceiling`], and [`counter_calls`] with [`call_limiter`] and [`counter_wait`]. The choice
-//! of endpoint rests on [`endpoint_comparison`] with [`candidate`], [`latency`] and [`connections`], on
-//! [`outlier`] with [`ejection`], on [`avoidance`], [`slow_start`] and [`subset`]; [`endpoints`] updates
-//! what it chooses from, and [`poll_retry`] says when a failed poll of the list is repeated.
+//! The quota uses [`customer_quota`] (the levels of one customer), [`shared_quota`] (the correction of a
+//! level by the counter's totals), [`ceiling`] (the hard ceiling), and [`counter_calls`] with
+//! [`call_limiter`] and [`counter_wait`] (the calls to the counter).
+//!
+//! The choice of endpoint uses [`endpoint_comparison`] with [`candidate`], [`latency`] and [`connections`];
+//! [`outlier`] with [`ejection`]; [`avoidance`], [`slow_start`] and [`subset`]. [`endpoints`] applies updates
+//! of the endpoint list, and [`poll_retry`] schedules the retry of a failed poll of that list.
 
 mod admission;
 mod attempt_timeout;
