--- a/src/policy/request_handler.rs
+++ b/src/policy/request_handler.rs
@@ -1,7 +1,8 @@
-//! The way of a request: what becomes of it at each event, from its arrival to its end.
+//! The life cycle of a request, from its arrival to its end, event by event.
 //!
-//! It gathers the inputs of a decision, asks the module that makes it, and carries the decision out: charges,
-//! timers, attempts and responses. What follows from a decision for the customer's units is settled here.
+//! For each event the handler gathers the inputs of a decision, calls the module that makes it, and carries
+//! the decision out: charges, timers, attempts and responses. It also settles the customer's units according
+//! to the decision.
 
 use crate::api::{Action, AttemptEnd, Millis, Outcome, Request, Settings};
 use crate::policy::admission::{self, Admission, CustomerInputs, LoadInputs};
@@ -11,7 +12,7 @@
 use crate::policy::retry::{self, RetryDecision};
 use crate::state::{Context, Customers, OpenRequest, Timer};
 
-/// The two sides that a request meets: its customer's quota, and the fleet.
+/// Handles the events of requests, by means of the customers' quotas and the forwarder to the fleet.
 pub(crate) struct RequestHandler {
     pub(crate) quota: QuotaLedger,
     pub(crate) forwarder: Forwarder,
@@ -25,13 +26,14 @@
         }
     }
 
-    /// Periodic housekeeping.
+    /// Runs the periodic housekeeping of the forwarder and of the quotas.
     pub(crate) fn tick(&mut self, cx: &Context) {
         self.forwarder.tick(cx);
         self.quota.forget_idle(cx.now, cx.settings);
     }
 
-    /// A request has arrived. It is returned unless it is invalid, when it is rejected at once.
+    /// Handles the arrival of a request. Returns the open request, or none if the request is invalid and was
+    /// rejected at once.
     pub(crate) fn request_arrived(
         &mut self,
         cx: &mut Context,
@@ -52,32 +54,31 @@
         let load = load_inputs(cx, &open, expected_ms);
         let admission = admission::decide_on_arrival(&customer, &load);
         if admission.is_over_limit() {
-            // Nothing is charged, so that no reply would say when the quota has units again.
+            // An over-limit request is not charged, so no reply to a charge would report that quota is
+            // available again.
             self.quota.query_total(cx, &open);
         }
-        self.carry_out(cx, &mut open, admission);
+        self.apply_admission(cx, &mut open, admission);
         Some(open)
     }
 
-    /// The call to the counter that was made for the request has ended.
+    /// Handles the end of the call to the counter that was made for the request.
     pub(crate) fn counter_replied(&mut self, cx: &mut Context, open: &mut OpenRequest) {
-        // The charge of a request that is not within the quota would keep the other gateways from quota
-        // that is there. While the counter replies it is refunded at once, otherwise with the customer's
-        // next charge.
+        // The charge of an over-quota request would keep available quota from the other gateways. It is
+        // refunded now if the limiter permits the call, and with the customer's next charge otherwise.
         if open.awaiting_counter && self.decide_after_wait(cx, open) != Admission::Forward {
             self.quota.settle_now(cx, open);
         }
     }
 
-    /// The request has waited for the counter for as long as it may: what this gateway knows of the usage
-    /// decides.
+    /// Handles the expiry of the request's wait for the counter: the usage known to this gateway decides.
     pub(crate) fn counter_wait_expired(&mut self, cx: &mut Context, open: &mut OpenRequest) {
         if open.awaiting_counter {
             self.decide_after_wait(cx, open);
         }
     }
 
-    /// Decides on a request that waited for the counter, and carries the decision out.
+    /// Decides on a request that has waited for the counter, and carries the decision out.
     fn decide_after_wait(&mut self, cx: &mut Context, open: &mut OpenRequest) -> Admission {
         self.quota.customers.release(open);
         let counted_units = self.quota.counted_units(cx, open);
@@ -89,16 +90,16 @@
             let refund = -open.request.units;
             self.quota.settle_later(cx, open.account(), refund);
         }
-        self.carry_out(cx, open, admission);
+        self.apply_admission(cx, open, admission);
         admission
     }
 
-    fn carry_out(&mut self, cx: &mut Context, open: &mut OpenRequest, admission: Admission) {
+    fn apply_admission(&mut self, cx: &mut Context, open: &mut OpenRequest, admission: Admission) {
         match admission {
             Admission::Charge => self.charge(cx, open),
             Admission::Forward => self.forward_within_quota(cx, open),
             Admission::ForwardOverLimit(_) => {
-                // Nothing is charged for it, or that is refunded already: nothing is left to settle.
+                // The request was not charged, or its charge is refunded already: nothing is left to settle.
                 open.settlement_due = false;
                 self.forward(cx, open);
             }
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Charges the request at the counter. It waits for the reply, if there is one to wait for.
+    /// Charges the request at the counter, and forwards it at once if there is no reply to wait for.
     fn charge(&mut self, cx: &mut Context, open: &mut OpenRequest) {
         let awaits_reply = self.quota.charge(cx, open);
         if !awaits_reply {
@@ -134,7 +135,8 @@
         }
     }
 
-    /// An attempt has ended: its request is settled, and retried unless it has its response.
+    /// Handles the end of an attempt: settles the request's units, and retries the request unless it has its
+    /// response.
     pub(crate) fn attempt_ended(
         &mut self,
         cx: &mut Context,
@@ -144,9 +146,9 @@
         let Some(attempt) = open.end_attempt(ended) else {
             return;
         };
-        // From the decision to send until the end is known here: the load that a request is admitted by
-        // includes the time that actions and events wait in the host. The host's own `elapsed_ms`, without
-        // that time, is what an endpoint is judged by.
+        // The latency from the decision to send until this event. The load estimate for admission includes
+        // the time that actions and events spend in the host; endpoints are judged by the host's own
+        // `elapsed_ms`, which excludes that time.
         let latency_ms = cx.now - attempt.started_at;
         settle_attempt(cx, &mut self.quota, open, ended.actual_units);
         self.forwarder.attempt_ended(cx, open, ended, latency_ms);
@@ -161,7 +163,8 @@
         let inputs = self.forwarder.retry_inputs(cx, open, outcome);
         match retry::decide_retry(&inputs) {
             RetryDecision::Allowed { uses_budget } => {
-                // Paid also if no endpoint is there or `retry::decide_attempt` denies the attempt below.
+                // The retry is withdrawn from the budget even if no endpoint is available or
+                // `retry::decide_attempt` denies the attempt below.
                 if uses_budget {
                     self.forwarder.retry_budget.withdraw();
                 }
@@ -173,8 +176,8 @@
         }
     }
 
-    /// The client has disconnected. If its request awaited the counter, the charge is refunded with the
-    /// next one.
+    /// Handles the disconnection of the client. If the request was waiting for the counter, its charge is
+    /// refunded with the customer's next charge.
     pub(crate) fn client_disconnected(&mut self, cx: &mut Context, open: &mut OpenRequest) {
         if open.awaiting_counter {
             let refund = -open.request.units;
@@ -200,8 +203,8 @@
     }
 }
 
-/// What the customer uses and may use, where an attempt takes `baseline_ms`. Records the arrival in the
-/// ledger.
+/// Returns the customer's usage and limits, given that an attempt takes `baseline_ms`. Records the arrival of
+/// the request in the ledger.
 fn customer_inputs(
     cx: &Context,
     quota: &mut QuotaLedger,
@@ -209,8 +212,8 @@
     baseline_ms: Millis,
 ) -> CustomerInputs {
     let plan = cx.plan(open.account());
-    // In this order: the concurrent attempts depend on the customer and the mean units that the first call
-    // brings up to date.
+    // The order of the two calls matters: the first one updates the customer and the mean units, which the
+    // concurrent attempts are computed from.
     let available_units = quota.observe_request(cx, open);
     let concurrent_attempts = quota.concurrent_attempts(open, baseline_ms);
     CustomerInputs {
@@ -222,7 +225,7 @@
     }
 }
 
-/// The load of the fleet, by the latency that is expected of the request, and what the request is worth.
+/// Returns the expected latency of the request and the values that it is compared to.
 fn load_inputs(cx: &Context, open: &OpenRequest, expected_latency_ms: Millis) -> LoadInputs {
     let plan = cx.plan(open.account());
     LoadInputs {
@@ -234,8 +237,9 @@
     }
 }
 
-/// An attempt of the customer is no longer in flight. Settles the request's units: the difference to the
-/// actual ones, or all of them if no attempt of it was sent (`Outcome::NotSent` alone counts as that).
+/// Settles the request's units after one of its attempts has ended: the difference to the actual units if
+/// they are known, or all units if no attempt was ever sent. Only an attempt that ended with
+/// `Outcome::NotSent` counts as not sent.
 fn settle_attempt(
     cx: &mut Context,
     quota: &mut QuotaLedger,
@@ -253,15 +257,15 @@
     }
 }
 
-/// Refunds the request's units, unless they are settled: it was never sent, so it used nothing.
+/// Refunds the units of a request that was never sent, unless they are settled already.
 fn refund(cx: &mut Context, quota: &mut QuotaLedger, open: &mut OpenRequest) {
     if std::mem::take(&mut open.settlement_due) {
         quota.settle(cx, open.account(), -open.request.units);
     }
 }
 
-/// The request has its response or needs none any more. Releases the units that are reserved while it waits
-/// for the counter, and cancels its attempts in flight where that is permitted.
+/// Closes a request that has its response or no longer needs one. Releases the units that are reserved while
+/// the request waits for the counter, and cancels its attempts in flight if cancellation is permitted.
 fn close(cx: &mut Context, customers: &mut Customers, open: &mut OpenRequest) {
     customers.release(open);
     if !std::mem::replace(&mut open.closed, true) && cx.settings.limits.cancellation {
