--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,55 +1,56 @@
-//! Whether a request is admitted: the limits of its customer come first, then the load of the fleet.
+//! Admission control: the limits of the customer are checked first, then the load of the fleet.
 //!
-//! A request within its customer's quota is charged at the shared counter before it is forwarded. If it has
-//! to wait for the reply, there is a second decision after the wait. A request over a limit is rejected at
-//! once, unless it is worth more than it costs and the fleet has capacity for it.
+//! A request within its customer's quota is charged at the shared counter before it is forwarded. If the
+//! request has to wait for the counter's reply, a second decision follows the wait. A request over a limit is
+//! rejected at once, unless serving it is worth more than it costs and the fleet has capacity for it.
 //!
-//! The functions only decide; `policy::request_handler` gathers their inputs and carries their decisions out.
+//! The functions here only decide. `policy::request_handler` gathers their inputs and carries their decisions
+//! out.
 
 use crate::api::Millis;
 
-/// A request is rejected if its expected latency is above this share of the time that it has: up to its
-/// latency objective or its client's time-out, whichever is first.
-const MAX_EXPECTED_SHARE: f64 = 0.4;
-/// A request over a limit is forwarded, where that pays, only if its expected latency is below this share of
-/// the latency objective of its class.
-const MAX_EXPECTED_SHARE_OVER_LIMIT: f64 = 0.35;
+/// Largest expected latency at which a request is admitted, as a share of its usable time: the time to its
+/// latency objective or to its client's time-out, whichever is shorter.
+const MAX_EXPECTED_LATENCY_SHARE: f64 = 0.4;
+/// Expected latency below which a request over a limit may be forwarded, as a share of the latency objective
+/// of its class.
+const MAX_EXPECTED_LATENCY_SHARE_OVER_LIMIT: f64 = 0.35;
 
-/// What becomes of a request.
+/// The decision on the admission of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Admission {
-    /// It is charged at the shared counter. It waits for the reply, or is forwarded at once where there is
-    /// none to wait for.
+    /// The request is charged at the shared counter. It then waits for the reply, or is forwarded at once if
+    /// there is no reply to wait for.
     Charge,
-    /// It is forwarded within its quota.
+    /// The request is forwarded within its customer's quota.
     Forward,
-    /// It is forwarded though its customer is over this limit. Its units stay out of the customer's count:
-    /// they are not charged, or what was charged before the wait is refunded.
+    /// The request is forwarded although its customer is over this limit. Its units stay out of the
+    /// customer's count: they are not charged, or the charge made before the wait is refunded.
     ForwardOverLimit(Limit),
-    /// It is rejected.
+    /// The request is rejected.
     Reject(RejectReason),
 }
 
 /// A limit of a customer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Limit {
-    /// The units that it may use.
+    /// The units that the customer may use.
     Quota,
-    /// Its attempts in flight.
+    /// The number of the customer's attempts in flight.
     Concurrency,
 }
 
-/// Why a request is rejected when it arrives or has waited for the counter.
+/// Reason for which a request is rejected on arrival or after its wait for the counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RejectReason {
-    /// Its customer is over this limit.
+    /// The customer is over this limit.
     OverLimit(Limit),
-    /// Its expected latency is too long.
+    /// The expected latency of the request is too long.
     Overloaded,
 }
 
 impl Admission {
-    /// Whether the customer is over a limit.
+    /// Returns whether the customer is over a limit.
     pub(super) fn is_over_limit(self) -> bool {
         matches!(
             self,
@@ -58,31 +59,32 @@
     }
 }
 
-/// What a customer uses, and may use.
+/// The usage and the limits of a customer.
 pub(super) struct CustomerInputs {
-    /// The customer's plan has a quota.
+    /// True if the customer's plan has a quota.
     pub(super) has_quota: bool,
-    /// Units that the request takes.
+    /// Units that the request states.
     pub(super) units: f64,
     /// Units left of the quota.
     pub(super) available_units: f64,
-    /// Attempts in flight at all gateways.
+    /// The customer's attempts in flight at all gateways.
     pub(super) concurrent_attempts: f64,
-    /// Most attempts in flight; 0 for no limit.
+    /// Maximum number of the customer's attempts in flight; 0 for no limit.
     pub(super) max_concurrency: u32,
 }
 
-/// The load of the fleet, and what the request is worth. Spans are in ms.
+/// The load of the fleet and the value of the request. Durations are in ms.
 pub(super) struct LoadInputs {
-    /// Time to the response if the request is forwarded now.
+    /// Expected time to the response if the request is forwarded now.
     pub(super) expected_latency_ms: Millis,
     /// Latency objective of the request's class.
     pub(super) latency_objective_ms: Millis,
-    /// Time from the request's arrival to its latency objective or its client's time-out, whichever is first.
+    /// Time from the request's arrival to its latency objective or its client's time-out, whichever is
+    /// shorter.
     pub(super) usable_time_ms: Millis,
-    /// Share of its value that a request served over a limit has.
+    /// Share of its value that a request keeps when it is served over a limit.
     pub(super) over_quota_weight: f64,
-    /// Share of its value that a request forwarded over a limit costs.
+    /// Cost of forwarding a request over a limit, as a share of the request's value.
     pub(super) over_quota_cost: f64,
 }
 
@@ -91,14 +93,14 @@
     if let Some(limit) = exceeded_limit(customer) {
         return decide_over_limit(limit, load);
     }
-    if load.expected_latency_ms > MAX_EXPECTED_SHARE * load.usable_time_ms.max(0.0) {
+    if load.expected_latency_ms > MAX_EXPECTED_LATENCY_SHARE * load.usable_time_ms.max(0.0) {
         return Admission::Reject(RejectReason::Overloaded);
     }
     Admission::Charge
 }
 
-/// Decides on a request that has waited for the counter, until the reply or for as long as it may. The load
-/// is asked only if the customer is over its quota.
+/// Decides on a request that has waited for the counter's reply or until the end of its wait. `load` is
+/// called only if the customer is over its quota.
 pub(super) fn decide_after_wait(
     units: f64,
     counted_units: f64,
@@ -110,7 +112,7 @@
     decide_over_limit(Limit::Quota, &load())
 }
 
-/// The limit that the customer would exceed with the request, if any.
+/// Returns the limit that the customer would exceed with the request, if any.
 fn exceeded_limit(customer: &CustomerInputs) -> Option<Limit> {
     if customer.has_quota && customer.available_units < customer.units {
         return Some(Limit::Quota);
@@ -124,9 +126,9 @@
 
 /// Decides on a request over a limit.
 fn decide_over_limit(limit: Limit, load: &LoadInputs) -> Admission {
-    let pays = load.over_quota_weight > load.over_quota_cost;
-    let max_expected_ms = MAX_EXPECTED_SHARE_OVER_LIMIT * load.latency_objective_ms;
-    if pays && load.expected_latency_ms < max_expected_ms {
+    let is_worthwhile = load.over_quota_weight > load.over_quota_cost;
+    let max_expected_ms = MAX_EXPECTED_LATENCY_SHARE_OVER_LIMIT * load.latency_objective_ms;
+    if is_worthwhile && load.expected_latency_ms < max_expected_ms {
         Admission::ForwardOverLimit(limit)
     } else {
         Admission::Reject(RejectReason::OverLimit(limit))
