--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,28 +1,28 @@
-//! Whether a request may be sent, and sent again, and until when.
+//! Rules for retries and for the start of each attempt.
 //!
-//! There are two questions. After an attempt without a response, [`decide_retry`] says whether another one is
-//! safe and worth while. Then, as before a first attempt, [`decide_attempt`] says whether the limits of the
-//! request permit an attempt now, and until when its first byte may be written.
+//! After an attempt without a response, [`decide_retry`] decides whether another attempt is safe and
+//! worthwhile. Before any attempt, the first one included, [`decide_attempt`] decides whether the limits of
+//! the request permit an attempt now, and until when its first byte may be written.
 //!
-//! This is the rule. The program's `driver::enforcement` enforces it when an attempt starts and right
-//! before its first byte, as time passes and endpoints change after the decision.
+//! Time passes and endpoints change between a decision and the attempt. The program's `driver::enforcement`
+//! therefore enforces the same rules again when an attempt starts and right before its first byte.
 
 use crate::api::{Idempotency, Millis, Outcome};
 use crate::primitives::token_bucket::TokenBucket;
 
-/// Retries allowed for each first attempt.
+/// Retries added to the budget by each first attempt.
 const RETRIES_PER_REQUEST: f64 = 0.1;
-/// Unused retries saved up at most.
+/// Maximum number of unused retries in the budget.
 const MAX_SAVED_RETRIES: f64 = 10.0;
-/// What one retry takes from the budget.
+/// Tokens that one retry takes from the budget.
 const RETRY_COST: f64 = 1.0;
-/// The program may stall for this long, in ms, between its last look at the clock and the first byte of an
-/// attempt. A retry that relies on an idempotency key must start this long before the key's window ends. The
-/// same stall is `MAX_STALL` in the program's `lifecycle::timeline` and `STALL_TOLERANCE` in its
-/// `driver::rule_checks`: the three change together.
+/// Longest assumed stall of the program between its last reading of the clock and the first byte of an
+/// attempt, in ms. A retry that relies on an idempotency key must start this long before the key's window
+/// ends. The same stall is `MAX_STALL` in the program's `lifecycle::timeline` and `STALL_TOLERANCE` in its
+/// `driver::rule_checks`: change all three together.
 const MAX_WRITE_DELAY_MS: Millis = 150.0;
 
-/// Limits retries to a share of the first attempts, so that a fleet that fails is not loaded further by them.
+/// Limits retries to a share of the first attempts, so that retries don't add much load to a failing fleet.
 pub(super) struct RetryBudget {
     retries: TokenBucket,
 }
@@ -35,69 +35,70 @@
         }
     }
 
-    /// The action that sends a request's first attempt is queued. The program may still not send it.
+    /// Adds the share of one first attempt to the budget. The caller has queued the action that sends the
+    /// attempt; the program may still not send it.
     pub(super) fn deposit(&mut self) {
         self.retries.refill(RETRIES_PER_REQUEST, MAX_SAVED_RETRIES);
     }
 
-    /// Whether a retry is left.
+    /// Returns whether a retry is left.
     pub(super) fn has_retry(&self) -> bool {
         self.retries.has(RETRY_COST)
     }
 
-    /// Pays for a retry.
+    /// Takes one retry from the budget.
     pub(super) fn withdraw(&mut self) {
         self.retries.take(RETRY_COST);
     }
 }
 
-/// What the decision on a retry rests on. Moments and spans are in ms.
+/// Inputs of the decision on a retry. Times and durations are in ms.
 pub(super) struct RetryInputs {
     pub(super) now: Millis,
-    /// How the request's last attempt ended; no other one is in flight.
+    /// Outcome of the request's last attempt; no other attempt is in flight.
     pub(super) outcome: Outcome,
-    /// Part of a response has been passed on to the client.
+    /// True if part of a response has been passed on to the client.
     pub(super) response_started: bool,
-    /// When the client gives up.
+    /// Time at which the client gives up.
     pub(super) deadline: Millis,
-    /// A response after this misses the latency objective.
+    /// Time after which a response misses the latency objective.
     pub(super) objective_deadline: Millis,
-    /// Latency of the request's class at an idle endpoint: the least that a retry takes.
+    /// Latency of the request's class at an idle endpoint: the shortest expected duration of a retry.
     pub(super) baseline_latency_ms: Millis,
-    /// Share of its value that a response after the latency objective still has.
+    /// Share of its value that a response keeps after the latency objective.
     pub(super) late_weight: f64,
     pub(super) idempotency: Idempotency,
-    /// The retry budget has a retry left.
+    /// True if the retry budget has a retry left.
     pub(super) budget_has_retry: bool,
 }
 
-/// Whether a request is retried.
+/// The decision on a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RetryDecision {
-    /// It is retried, if an endpoint is there and [`decide_attempt`] permits it.
+    /// The request is retried if an endpoint is available and [`decide_attempt`] permits the attempt.
     Allowed {
-        /// The retry is paid for from the budget.
+        /// True if the retry is taken from the retry budget.
         uses_budget: bool,
     },
-    /// It is not.
+    /// The request is not retried.
     Denied(RetryDenial),
 }
 
-/// Why a request is not retried.
+/// Reason for which a request is not retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RetryDenial {
-    /// The attempt was not sent. In most cases the program refused it, as the request had ended, the client
-    /// had disconnected or the process shuts down, and would refuse another one as well.
+    /// The attempt was not sent. In most cases the program refused it because the request had ended, the
+    /// client had disconnected or the process was shutting down; it would refuse another attempt as well.
     NotSent,
-    /// The client has part of a response already.
+    /// Part of a response has been passed on to the client already.
     ResponseStarted,
-    /// The client no longer waits.
+    /// The client's deadline has passed.
     DeadlinePassed,
-    /// Even an idle endpoint would respond after the latency objective, when a response has no value.
+    /// Even an idle endpoint would respond after the latency objective, and a late response has no value.
     PastObjective,
-    /// The attempt may have been executed, and the request must be executed once at most.
+    /// The attempt may have been executed, and the request must be executed at most once.
     MayHaveExecuted,
-    /// Too many requests were retried lately.
+    /// The retry budget is used up: too many requests were retried recently.
     BudgetExhausted,
 }
 
@@ -125,51 +126,52 @@
     if !inputs.budget_has_retry {
         return RetryDecision::Denied(RetryDenial::BudgetExhausted);
     }
-    // An attempt that the gateway cancelled itself is no failure of the fleet. The program only cancels
-    // attempts of requests that have ended, so that none of them comes here.
+    // An attempt cancelled by the gateway itself is no failure of the fleet. The program only cancels
+    // attempts of requests that have ended, so this function never receives one from it.
     RetryDecision::Allowed {
         uses_budget: inputs.outcome != Outcome::Cancelled,
     }
 }
 
-/// What the decision on an attempt rests on. Moments are in ms.
+/// Inputs of the decision on an attempt. Times are in ms.
 pub(super) struct AttemptInputs {
     pub(super) now: Millis,
-    /// When the client gives up.
+    /// Time at which the client gives up.
     pub(super) deadline: Millis,
-    /// Attempts of the request so far.
+    /// Number of the request's attempts so far.
     pub(super) attempts: u32,
-    /// Most attempts of one request; the first is always permitted.
+    /// Maximum number of attempts of one request; the first attempt is always permitted.
     pub(super) max_attempts: u32,
     pub(super) idempotency: Idempotency,
-    /// When the attempt started that was the first to end with an outcome that doesn't exclude execution;
-    /// none if no attempt has ended so.
+    /// Start time of the attempt that was the first to end with an outcome that doesn't exclude execution;
+    /// none if no attempt has ended in this way.
     pub(super) first_execution_at: Option<Millis>,
-    /// The customer's hard ceiling, if there is one, has the request's units left.
+    /// True if the customer has no hard ceiling or the ceiling has the request's units left.
     pub(super) fits_ceiling: bool,
 }
 
-/// Whether an attempt, the first one or a retry, may be sent now.
+/// The decision on an attempt, either the first one or a retry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum AttemptDecision {
-    /// It may.
+    /// The attempt may be sent.
     Allowed {
-        /// Time within which its first byte has to be written, in ms; infinite if it executes nothing twice.
+        /// Time within which the first byte of the attempt has to be written, in ms; infinite if no key's
+        /// window limits the start.
         start_timeout_ms: Millis,
     },
-    /// It may not.
+    /// The attempt must not be sent.
     Denied(AttemptDenial),
 }
 
-/// Why an attempt may not be sent.
+/// Reason for which an attempt must not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptDenial {
-    /// The client no longer waits.
+    /// The client's deadline has passed.
     DeadlinePassed,
-    /// The request has had as many attempts as it may have.
+    /// The request has had its maximum number of attempts.
     AttemptsExhausted,
     /// The endpoints no longer recognise the idempotency key, so the request could be executed twice.
-    KeyWindowOver,
+    KeyWindowExpired,
     /// The first attempt would exceed the customer's hard ceiling.
     CeilingReached,
 }
@@ -184,17 +186,18 @@
     }
     let start_timeout_ms = start_timeout(inputs);
     if start_timeout_ms <= 0.0 {
-        return AttemptDecision::Denied(AttemptDenial::KeyWindowOver);
+        return AttemptDecision::Denied(AttemptDenial::KeyWindowExpired);
     }
-    // The first attempt took the units for all of them.
+    // The first attempt took the units from the ceiling for all attempts of the request.
     if inputs.attempts == 0 && !inputs.fits_ceiling {
         return AttemptDecision::Denied(AttemptDenial::CeilingReached);
     }
     AttemptDecision::Allowed { start_timeout_ms }
 }
 
-/// Time in which another attempt may be written, in ms: an endpoint recognises a retry only within the key's
-/// window, which begins with the attempt of `first_execution_at`. Infinite without one.
+/// Returns the time within which the attempt has to be written, in ms. An endpoint recognises a retry only
+/// within the key's window, which begins with the attempt of `first_execution_at`; the time is infinite
+/// without such an attempt.
 fn start_timeout(inputs: &AttemptInputs) -> Millis {
     match (inputs.idempotency, inputs.first_execution_at) {
         (Idempotency::WithKey { window_ms, .. }, Some(first_execution_at)) => {
--- a/src/policy/retry/tests.rs
+++ b/src/policy/retry/tests.rs
@@ -118,7 +118,7 @@
     let cases: [(AttemptDenial, Change<AttemptInputs>); 4] = [
         (AttemptDenial::DeadlinePassed, |i| i.deadline = NOW),
         (AttemptDenial::AttemptsExhausted, |i| i.attempts = 3),
-        (AttemptDenial::KeyWindowOver, |i| {
+        (AttemptDenial::KeyWindowExpired, |i| {
             i.first_execution_at = Some(NOW - WINDOW_MS + MAX_WRITE_DELAY_MS);
         }),
         (AttemptDenial::CeilingReached, |i| {
