--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -1,12 +1,15 @@
 //! The customers' quotas, which all gateways enforce together by means of a shared counter.
 //!
-//! [`QuotaLedger`] connects the parts that a request meets: the customers' levels (`customer_quota`), the
-//! calls to the counter (`counter_calls`) and the exchange of usage with other gateways (`gossip`). A
-//! request's units are charged before it is forwarded. Units that were not charged as the counter may not
-//! be called now, and differences to the units that the request really used, are settled with a later
-//! charge. If the call of a charge fails and the counter can't have counted it, the units of its request
-//! are settled with a later one; earlier unsettled units that it carried are lost. If the counter may have
-//! counted it, nothing is settled.
+//! [`QuotaLedger`] connects the customers' levels (`customer_quota`), the calls to the counter
+//! (`counter_calls`) and the exchange of usage with other gateways (`gossip`).
+//!
+//! A request's units are charged before the request is forwarded. Units are settled with a later charge in
+//! two cases: the counter may not be called now, so the units were not charged, or the request used other
+//! units than it was charged for.
+//!
+//! If the call of a charge fails and the counter can't have counted it, the units of its request are settled
+//! with a later charge; earlier unsettled units that the failed call carried are lost. If the counter may
+//! have counted the failed call, nothing is settled.
 
 use crate::api::{Millis, RequestId, Settings};
 use crate::gossip::UsageExchange;
@@ -19,22 +22,22 @@
 use crate::state::{Account, ChargeReply, ChargeResult, Context, PendingCharge};
 use crate::state::{Customer, Customers, OpenRequest, SharedQuota};
 
-/// Least time between two calls that only ask for a customer's total, in ms.
+/// Minimum time between two calls that only query a customer's total, in ms.
 const MIN_TOTAL_QUERY_INTERVAL_MS: Millis = 100.0;
 /// Weight of one request in the mean units: about the last 100 requests count.
 const MEAN_UNITS_GAIN: f64 = 0.01;
-/// The mean units before any request.
+/// Mean units before the first request.
 const INITIAL_MEAN_UNITS: f64 = 1.0;
-/// The least mean units to divide by.
+/// Lower bound of the mean units as a divisor.
 const MIN_MEAN_UNITS: f64 = 0.1;
 
-/// The quotas of all customers, as this gateway knows them.
+/// The quotas of all customers as known to this gateway.
 pub(crate) struct QuotaLedger {
     started_at: Millis,
     pub(crate) customers: Customers,
     counter: CounterCalls,
     pub(crate) gossip: UsageExchange,
-    /// Units of one request, averaged over all customers.
+    /// Mean units of one request, over all customers.
     mean_units: ExponentialMean,
 }
 
@@ -49,8 +52,8 @@
         }
     }
 
-    /// Records that a request has arrived: its units count in the mean, and its customer is added if it is
-    /// not known, and refilled. Returns the units left for it.
+    /// Records the arrival of a request: updates the mean units, adds the customer if it is unknown, and
+    /// refills its levels. Returns the units left for the request.
     pub(crate) fn observe_request(&mut self, cx: &Context, open: &OpenRequest) -> f64 {
         self.mean_units.update(open.request.units);
         let gossip_active = self.gossip.is_active(cx);
@@ -58,14 +61,14 @@
         customer.available_units(cx.plan(open.account()).burst, gossip_active)
     }
 
-    /// Units left for a request that has waited for the counter.
+    /// Returns the units left for a request that has waited for the counter.
     pub(crate) fn counted_units(&mut self, cx: &Context, open: &OpenRequest) -> f64 {
         let gossip_active = self.gossip.is_active(cx);
         let customer = self.refresh(cx, open.account(), open.request.gateway_set_size);
         customer.counted_units(gossip_active)
     }
 
-    /// The customer's attempts in flight at all gateways, where one takes `baseline_ms`.
+    /// Returns the customer's attempts in flight at all gateways, given that an attempt takes `baseline_ms`.
     pub(crate) fn concurrent_attempts(&self, open: &OpenRequest, baseline_ms: Millis) -> f64 {
         let mean_units = self.mean_units.value().max(MIN_MEAN_UNITS);
         let customer = self.customers.get(open.request.customer);
@@ -74,8 +77,8 @@
         })
     }
 
-    /// Refills what the customer may use, up to now; a customer that is not known yet is added. Its requests
-    /// come through `gateway_set_size` gateways.
+    /// Refills the customer's levels and ceiling up to now, and adds the customer if it is unknown. The
+    /// customer's requests arrive through `gateway_set_size` gateways.
     fn refresh(&mut self, cx: &Context, account: Account, gateway_set_size: f64) -> &mut Customer {
         let plan = cx.plan(account);
         let ceiling_share = CeilingShare::new(cx.settings, plan, gateway_set_size);
@@ -95,7 +98,7 @@
         customer
     }
 
-    /// Records units that the customer used here, or a refund if negative.
+    /// Records units that the customer used at this gateway, or a refund if negative.
     pub(crate) fn record_usage(&mut self, cx: &mut Context, account: Account, units: f64) {
         self.customers.record_usage(account.customer, units);
         self.gossip.record_usage(cx, account, units);
@@ -110,13 +113,13 @@
         }
     }
 
-    /// Settles the difference between the units that a request was charged and those that it used.
+    /// Settles the difference between the units that a request used and those that it was charged.
     pub(crate) fn settle(&mut self, cx: &mut Context, account: Account, units: f64) {
         self.settle_later(cx, account, units);
         self.record_usage(cx, account, units);
     }
 
-    /// Time after which the client may retry a request that is over its quota, in ms.
+    /// Returns the time after which the client may retry a request that is over its quota, in ms.
     pub(crate) fn retry_after(&self, cx: &Context, open: &OpenRequest) -> Millis {
         let plan = cx.plan(open.account());
         if plan.rate <= 0.0 {
@@ -127,13 +130,13 @@
         retry_after_ms(plan, open.request.units, level)
     }
 
-    /// Charges a request at the counter, if there is one. Returns whether it waits for the reply.
+    /// Charges a request at the counter, if there is one. Returns whether the request waits for the reply.
     pub(crate) fn charge(&mut self, cx: &mut Context, open: &OpenRequest) -> bool {
         if !is_counted(cx, open) {
             return false;
         }
-        // A counter that is short of capacity, or down, is called less often. The request is admitted by
-        // what this gateway knows, and its units are charged with the next call.
+        // A counter that is short of capacity or down is called less often. The request is then admitted by
+        // the usage known to this gateway, and its units are charged with a later call.
         if !self
             .counter
             .limiter
@@ -147,12 +150,12 @@
         !self.counter.limiter.is_down()
     }
 
-    /// Longest time that the request waits for the counter, in ms.
+    /// Returns the longest time that the request waits for the counter, in ms.
     pub(crate) fn max_wait(&self, open: &OpenRequest) -> Millis {
         self.counter.max_wait_ms(open.usable_time_ms)
     }
 
-    /// Queries the customer's total at the counter now and then, while requests are rejected without a
+    /// Queries the customer's total at the counter at intervals while its requests are rejected without a
     /// charge: the level would not be corrected otherwise.
     pub(crate) fn query_total(&mut self, cx: &mut Context, open: &OpenRequest) {
         let customer = self.customers.get(open.request.customer);
@@ -163,7 +166,7 @@
         }
     }
 
-    /// Charges the units not settled yet, if the pace of calls permits an optional one.
+    /// Charges the customer's unsettled units, if the limiter permits an optional call.
     pub(crate) fn settle_now(&mut self, cx: &mut Context, open: &OpenRequest) {
         if self
             .counter
@@ -174,7 +177,7 @@
         }
     }
 
-    /// Adds the units, and those not settled yet, to the customer's count.
+    /// Adds the units and the customer's unsettled units to the customer's count.
     fn call_counter(&mut self, cx: &mut Context, open: &OpenRequest, units: f64) {
         let account = open.account();
         let Some(customer) = self.customers.get_mut(account.customer) else {
@@ -193,7 +196,8 @@
         self.counter.start(cx, pending);
     }
 
-    /// The counter has replied to a call, or the call has failed. Returns the request that it was made for.
+    /// Handles the reply to a call or the failure of the call. Returns the request that the call was made
+    /// for.
     pub(crate) fn counter_replied(
         &mut self,
         cx: &Context,
@@ -217,7 +221,7 @@
         customer.apply_result(cx.now, pending.charge, result, limits, gossip_active);
     }
 
-    /// Subtracts what customers used at another gateway, by its message.
+    /// Subtracts the units that customers used at another gateway, as stated in its gossip message.
     pub(crate) fn receive_gossip(&mut self, cx: &Context, from: u32, body: &[u8]) {
         for usage in self.gossip.receive(cx, from, body) {
             let account = Account {
@@ -227,14 +231,15 @@
             let Some(plan) = cx.settings.plans.get(account.plan) else {
                 continue;
             };
-            // The message doesn't state through how many gateways the customer's requests come. The least
-            // share of the ceiling is safe, as none of them comes through this one now.
+            // The message doesn't state how many gateways the customer's requests arrive through. The
+            // smallest share of the ceiling is safe, as none of these requests arrives through this gateway
+            // now.
             let customer = self.refresh(cx, account, f64::INFINITY);
             customer.record_peer_usage(usage.units, plan.burst);
         }
     }
 
-    /// Forgets the idle customers whose quotas must be full again.
+    /// Forgets customers that have been idle for so long that their quotas must be full again.
     pub(crate) fn forget_idle(&mut self, now: Millis, settings: &Settings) {
         let idle_timeout_ms = idle_timeout_ms(settings);
         self.customers
@@ -246,7 +251,7 @@
     QuotaLimits::new(cx.settings, cx.plan(account))
 }
 
-/// Whether the counter holds the customer's usage.
+/// Returns whether the customer's usage is counted at a shared counter.
 fn is_counted(cx: &Context, open: &OpenRequest) -> bool {
     cx.settings.counter.is_some() && cx.plan(open.account()).rate > 0.0
 }
