--- a/src/policy/forwarding.rs
+++ b/src/policy/forwarding.rs
@@ -1,4 +1,4 @@
-//! The attempts of requests: each is sent to an endpoint, and what its end says of the fleet is recorded.
+//! Sends the attempts of requests to endpoints, and records what their ends show of the fleet.
 
 use crate::api::{Action, AttemptEnd, EndpointId, Millis, Outcome, Request, Settings};
 use crate::policy::attempt_timeout::{attempt_timeout, TimeoutInputs};
@@ -10,7 +10,8 @@
 use crate::policy::retry::{RetryBudget, RetryInputs};
 use crate::state::{Attempt, Context, Customers, OpenRequest};
 
-/// The side of the fleet: the endpoints, their load by this gateway's attempts, and the budget for retries.
+/// Forwards requests to the fleet: holds the endpoints, the load by this gateway's attempts, and the budget
+/// for retries.
 pub(crate) struct Forwarder {
     pub(crate) load_balancer: LoadBalancer,
     load: LoadEstimate,
@@ -26,18 +27,18 @@
         }
     }
 
-    /// Periodic housekeeping.
+    /// Runs the periodic housekeeping of the load estimate and of the load balancer.
     pub(super) fn tick(&mut self, cx: &Context) {
         self.load.advance(cx.now);
         self.load_balancer.tick(cx, self.load.mean_in_flight());
     }
 
-    /// Latency of the request's class at an idle endpoint, in ms.
+    /// Returns the latency of the request's class at an idle endpoint, in ms.
     pub(super) fn baseline_latency(&self, request: &Request) -> Millis {
         self.load_balancer.baseline_latency(request.class as usize)
     }
 
-    /// Expected time to the response of the request if it is forwarded now, in ms.
+    /// Returns the expected time to the response if the request is forwarded now, in ms.
     pub(super) fn expected_latency(&mut self, cx: &Context, request: &Request) -> Millis {
         let fleet = FleetInputs {
             now: cx.now,
@@ -49,19 +50,20 @@
         overload::expected_latency(&mut self.load, &fleet)
     }
 
-    /// Sends the request's next attempt, its first one or a retry.
+    /// Sends the request's next attempt, either its first one or a retry.
     ///
     /// # Errors
     ///
-    /// Why none can be sent.
+    /// Returns the reason for which no attempt can be sent.
     pub(super) fn send_attempt(
         &mut self,
         cx: &mut Context,
         customers: &mut Customers,
         open: &mut OpenRequest,
     ) -> Result<(), EndReason> {
-        // Before the decision: the choice draws random numbers, also for an attempt that is then denied,
-        // and a request without an endpoint ends for that reason whatever else denies its attempt.
+        // The endpoint is chosen before the decision. The choice draws random numbers also for an attempt
+        // that is then denied, and a request without an endpoint ends with `NoEndpoint` even if its attempt
+        // would be denied.
         let endpoint = self.load_balancer.choose(cx, open);
         let endpoint = endpoint.ok_or(EndReason::NoEndpoint)?;
         match retry::decide_attempt(&attempt_inputs(cx, customers, open)) {
@@ -101,7 +103,7 @@
         });
     }
 
-    /// Records what the end of an attempt, which took `latency_ms`, says of the fleet.
+    /// Records what the end of an attempt that took `latency_ms` shows of the fleet.
     pub(super) fn attempt_ended(
         &mut self,
         cx: &mut Context,
@@ -118,7 +120,7 @@
         self.load_balancer.attempt_ended(cx, open, ended);
     }
 
-    /// What the decision on a retry rests on, after an attempt with this outcome.
+    /// Returns the inputs of the decision on a retry after an attempt with this outcome.
     pub(super) fn retry_inputs(
         &self,
         cx: &Context,
