--- a/src/policy/load_balancer.rs
+++ b/src/policy/load_balancer.rs
@@ -1,5 +1,7 @@
-//! The endpoints as one gateway sees them, and the choice of endpoint for an attempt: the least cost among
-//! all endpoints, or where there are many, among a few random members of the subset (power of two choices).
+//! Load balancing: the endpoints as known to this gateway, and the choice of an endpoint for each attempt.
+//!
+//! With few endpoints the choice is the one of least cost among all. With many, it is the one of least cost
+//! among a few random members of the subset (power of two choices).
 
 use crate::api::{AttemptEnd, Class, Endpoint, EndpointId, Millis, Outcome, Settings};
 use crate::policy::avoidance::AvoidanceScope;
@@ -13,18 +15,19 @@
 };
 use fastrand::Rng;
 
-/// Available members compared for one attempt (power of two choices): the better of two random ones evens
-/// out the load, while the best of all would be chosen by all gateways at once.
+/// Number of available members compared for one attempt (power of two choices). The better of two random
+/// members evens out the load, while the best of all would be chosen by all gateways at once.
 const SAMPLE_SIZE: usize = 2;
-/// Most random draws for a sample, as not all members are available.
+/// Maximum number of random draws for a sample, as not all members are available.
 const MAX_SAMPLE_DRAWS: usize = 16;
-/// Time constant over which the rate of first attempts is averaged, in ms.
+/// Time constant of the average rate of first attempts, in ms.
 const REQUEST_RATE_AVERAGING_MS: Millis = 5000.0;
-/// A removed endpoint is forgotten once its last success was this long ago, in ms, whenever it was removed.
-/// One that comes back later counts as new: it warms up only if the list says that it has just started.
+/// Time since its last success after which a removed endpoint is forgotten, in ms, regardless of when it was
+/// removed. An endpoint that is listed again later counts as new: it warms up only if the list says that it
+/// has just started.
 const FORGET_AFTER_LAST_SUCCESS_MS: Millis = 60_000.0;
 
-/// The endpoints as this gateway sees them.
+/// Tracks the endpoints, and chooses one for each attempt.
 pub(crate) struct LoadBalancer {
     endpoints: EndpointTable,
     subset: RingArc,
@@ -58,13 +61,13 @@
         }
     }
 
-    /// Latency of a class at an idle endpoint of average speed, in ms.
+    /// Returns the latency of a class at an idle endpoint of average speed, in ms.
     pub(crate) fn baseline_latency(&self, class: usize) -> Millis {
         self.baselines[class].value()
     }
 
-    /// Updates the subset and returns its members, sorted by id: all ready endpoints where there are few and
-    /// the connection limit permits them.
+    /// Updates the subset and returns its members, sorted by id. The members are all ready endpoints if these
+    /// are few and the connection limit permits them.
     pub(crate) fn update_subset(&mut self) -> &[EndpointId] {
         if self.subset.update() {
             self.warming_members.is_stale = true;
@@ -72,12 +75,13 @@
         self.subset.members()
     }
 
-    /// Number of ready endpoints, in the subset or not.
+    /// Returns the number of ready endpoints, inside and outside of the subset.
     pub(crate) fn ready_count(&self) -> usize {
         self.subset.node_count()
     }
 
-    /// Periodic housekeeping; `mean_in_flight` attempts of this gateway are in flight on average.
+    /// Runs the periodic housekeeping. `mean_in_flight` is the average number of this gateway's attempts in
+    /// flight.
     pub(crate) fn tick(&mut self, cx: &Context, mean_in_flight: f64) {
         self.endpoints
             .forget_removed(cx.now, FORGET_AFTER_LAST_SUCCESS_MS);
@@ -95,7 +99,7 @@
         }
     }
 
-    /// Updates the endpoints by the complete list, or by the entries that changed.
+    /// Applies an update of the endpoint list: the complete list, or only the entries that have changed.
     pub(crate) fn update_endpoints(
         &mut self,
         cx: &mut Context,
@@ -110,19 +114,19 @@
         subset::resize(&mut self.subset, cx.settings, &self.subset_load);
     }
 
-    /// The best endpoint for the request's next attempt: a preferred member of the subset, if there is a
-    /// subset and it has one, or else the best of all endpoints.
+    /// Returns the best endpoint for the request's next attempt: a preferred member of the subset, if there
+    /// are enough endpoints for subsetting and one is preferred, or else the best of all endpoints.
     pub(crate) fn choose(&mut self, cx: &mut Context, open: &OpenRequest) -> Option<EndpointId> {
         let mut rng = cx.rng.fork();
         self.refill_warming_members(cx);
-        let comparison = self.compare_for(cx, open);
+        let comparison = self.comparison_for(cx, open);
         self.preferred_member(cx, &comparison, &mut rng)
             .or_else(|| comparison.best(self.endpoints.all(), &mut rng))
             .map(|candidate| candidate.endpoint)
     }
 
-    /// The best preferred candidate of a sample of the subset; if it has none, of the full subset. None with
-    /// few endpoints.
+    /// Returns the best candidate of a sample of the subset if it is preferred, or else the best candidate of
+    /// the full subset if that is preferred. None without subsetting.
     fn preferred_member(
         &self,
         cx: &Context,
@@ -142,8 +146,8 @@
         })
     }
 
-    /// The comparison of endpoints for the request's next attempt.
-    fn compare_for<'a>(&self, cx: &Context, open: &'a OpenRequest) -> EndpointComparison<'a> {
+    /// Returns the comparison of endpoints for the request's next attempt.
+    fn comparison_for<'a>(&self, cx: &Context, open: &'a OpenRequest) -> EndpointComparison<'a> {
         let first_executor = open
             .first_execution
             .and_then(|first| self.endpoints.get(first.endpoint))
@@ -152,7 +156,7 @@
         EndpointComparison::new(cx, open, first_executor, baseline_ms)
     }
 
-    /// Brings the tokens of the members that are warming up to now.
+    /// Refills the tokens of the members that are warming up to now.
     fn refill_warming_members(&mut self, cx: &Context) {
         self.update_subset();
         let capacity = self
@@ -163,7 +167,7 @@
         slow_start::refill(&self.warming_members, cx.now, &mut self.endpoints, rate);
     }
 
-    /// The members that are warming up and have a token, and a few random ones that are available.
+    /// Returns the members that are warming up and have a token, and a few random ones that are available.
     fn sample(&self, cx: &Context, rng: &mut Rng) -> Vec<&TrackedEndpoint> {
         let request_rate = self.request_rate.per_second();
         let mut members = self.subset.members();
@@ -190,7 +194,8 @@
         sample
     }
 
-    /// An attempt has been sent; returns how many of this gateway are now in flight at the endpoint.
+    /// Records the start of an attempt. Returns the number of this gateway's attempts now in flight at the
+    /// endpoint.
     pub(crate) fn attempt_started(&mut self, now: Millis, id: EndpointId, first: bool) -> f64 {
         if first {
             self.request_rate.record(now, 1.0);
@@ -202,7 +207,7 @@
         f64::from(endpoint.in_flight)
     }
 
-    /// An attempt of the request has ended.
+    /// Records the end of an attempt of the request.
     pub(crate) fn attempt_ended(&mut self, cx: &mut Context, open: &OpenRequest, end: &AttemptEnd) {
         let Some(attempt) = open.attempts.get(usize::from(end.attempt)) else {
             return;
