--- a/src/policy/final_response.rs
+++ b/src/policy/final_response.rs
@@ -1,38 +1,40 @@
-//! What a client gets whose request no endpoint has served: rejected or failed, and when to try again.
+//! The response to a request that no endpoint has served: rejected or failed, with advice on when to retry.
 //!
-//! A rejection promises that the client may safely send the request again, so it needs a [`RetrySafety`]. Any
-//! other request has failed: its client has to find out for itself whether it was executed.
+//! A rejection promises that the client may safely send the request again, so each one states a
+//! [`RetrySafety`]. Any other request fails: its client has to find out for itself whether the request was
+//! executed.
 
 use crate::api::{Action, Idempotency, KeyScope, Limits, Millis, RequestId};
 use crate::policy::admission::RejectReason;
 use crate::policy::retry::{AttemptDenial, RetryDenial};
 use crate::state::InvalidRequest;
 
-/// Advice to a client whose request found no endpoint or failed, as a share of the latency objective.
+/// Retry-After for a request that found no endpoint or whose attempts failed or were denied, as a share of
+/// the latency objective.
 const RETRY_AFTER_SHARE: f64 = 0.5;
-/// A rejection without advice on when to try again.
+/// Value of a Retry-After that gives no advice.
 const NO_ADVICE_MS: Millis = 0.0;
 
-/// Why a request ends that no endpoint has served.
+/// Reason for which a request ends without being served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EndReason {
-    /// It was not admitted.
+    /// The request was not admitted.
     Rejected(RejectReason),
-    /// No endpoint takes it.
+    /// No endpoint accepts the request.
     NoEndpoint,
-    /// An endpoint was there, but the request may not be sent.
+    /// An endpoint was available, but the attempt was denied.
     AttemptDenied(AttemptDenial),
-    /// Its last attempt was without a response, and it is not retried.
+    /// The request's last attempt had no response, and a retry was denied.
     RetryDenied(RetryDenial),
 }
 
-/// What the response rests on. Spans are in ms.
+/// Inputs of the decision on the response. Durations are in ms.
 pub(super) struct ResponseInputs<'a> {
     pub(super) reason: EndReason,
     pub(super) idempotency: Idempotency,
-    /// An attempt has ended that may have been executed, or is in flight.
+    /// True if an attempt has ended that may have been executed, or is in flight.
     pub(super) may_have_executed: bool,
-    /// When the customer's quota may have the request's units again.
+    /// Time until the customer's quota may have the request's units again.
     pub(super) quota_retry_after_ms: Millis,
     /// Latency of the request's class at an idle endpoint.
     pub(super) baseline_latency_ms: Millis,
@@ -47,26 +49,27 @@
     /// The client may safely send the request again.
     Rejected {
         safety: RetrySafety,
-        /// When the client should do so, in ms from now; 0 for no advice.
+        /// Time after which the client should send the request again, in ms; 0 for no advice.
         retry_after_ms: Millis,
     },
-    /// The request may have been executed, and a retry could come to an endpoint that executes it again.
+    /// The request may have been executed, and a retry could reach an endpoint that executes it again.
     Failed,
 }
 
-/// Why a client may safely send a request again.
+/// Reason for which a client may safely send a request again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RetrySafety {
     /// The request may be executed any number of times.
     Idempotent,
-    /// Whichever endpoint the request comes to next recognises its idempotency key.
+    /// Any endpoint that the request reaches next recognises its idempotency key.
     KeyKnownEverywhere,
-    /// No endpoint can have executed it.
+    /// No endpoint can have executed the request.
     NeverExecuted,
 }
 
 impl UnservedResponse {
-    /// The response to an invalid request. There is no advice, as a retry would be rejected as well.
+    /// Returns the response to an invalid request. The response has no advice, as a retry would be rejected
+    /// as well.
     pub(super) fn invalid(reason: InvalidRequest) -> Self {
         match reason {
             InvalidRequest::UnknownClass
@@ -78,7 +81,7 @@
         }
     }
 
-    /// The action that gives the response.
+    /// Returns the action that sends the response.
     pub(super) fn action(self, id: RequestId) -> Action {
         match self {
             UnservedResponse::Rejected { retry_after_ms, .. } => {
@@ -100,7 +103,7 @@
     }
 }
 
-/// Why the client may safely send the request again; none if it may not.
+/// Returns the reason for which the client may safely send the request again; none if a retry is not safe.
 fn retry_safety(idempotency: Idempotency, may_have_executed: bool) -> Option<RetrySafety> {
     match idempotency {
         Idempotency::Idempotent => Some(RetrySafety::Idempotent),
@@ -108,14 +111,15 @@
             scope: KeyScope::All,
             ..
         } => Some(RetrySafety::KeyKnownEverywhere),
-        // The client's retry may come to an endpoint outside the scope of the key.
+        // The client's retry may reach an endpoint outside the scope of the key.
         Idempotency::WithKey { .. } | Idempotency::NotIdempotent => {
             (!may_have_executed).then_some(RetrySafety::NeverExecuted)
         }
     }
 }
 
-/// When the client should try again, in ms, as far as clients may be advised and follow.
+/// Returns the time after which the client should retry, in ms, limited to what clients follow; 0 if advice
+/// is turned off.
 fn retry_after(inputs: &ResponseInputs) -> Millis {
     if !inputs.limits.retry_after {
         return NO_ADVICE_MS;
