--- a/src/policy/attempt_timeout.rs
+++ b/src/policy/attempt_timeout.rs
@@ -1,37 +1,39 @@
-//! How long one attempt may take.
+//! The time-out of one attempt.
 //!
-//! Usually until its client gives up. It ends shortly before the latency objective instead where a response
-//! after that has no value, and where a request that ends unserved after its objective costs more than wasted
-//! work: the endpoint does the work all the same.
+//! An attempt may usually take until its client gives up. It ends shortly before the latency objective
+//! instead if two conditions hold: a response after the objective has no value, and a request that ends
+//! unserved after its objective costs more than wasted work. The work is wasted because the endpoint still
+//! completes it.
 
 use crate::api::{Millis, Prices};
 
-/// An early time-out comes this long before the latency objective, in ms, for the final response to be in
-/// time.
+/// Time by which an early time-out precedes the latency objective, in ms, so that the final response arrives
+/// in time.
 const EARLY_TIMEOUT_MARGIN_MS: Millis = 4.0;
-/// An early time-out comes earlier by this many ticks, the shortest time between two calls of the library:
-/// one may pass before the time-out is noticed, and one before the response is given.
+/// Number of ticks by which an early time-out precedes the latency objective in addition. A tick is the
+/// shortest time between two calls of the library: one may pass before the time-out is noticed, and one
+/// before the response is given.
 const EARLY_TIMEOUT_MARGIN_TICKS: f64 = 2.0;
-/// The shortest early time-out, in ms. An attempt is sent even if its early time-out would have passed: what
-/// permits attempts (`retry`) doesn't look at the early time-out.
+/// The shortest early time-out, in ms. It applies to attempts that are sent so late that their early time-out
+/// would have passed, as the rules for sending attempts (`retry`) don't consider the early time-out.
 const MIN_EARLY_TIMEOUT_MS: Millis = 1.0;
 
-/// What the time-out of an attempt rests on. Moments and spans are in ms.
+/// Inputs of the time-out of an attempt. Times and durations are in ms.
 pub(super) struct TimeoutInputs<'a> {
-    /// When the attempt starts.
+    /// Time at which the attempt starts.
     pub(super) now: Millis,
-    /// When the client gives up.
+    /// Time at which the client gives up.
     pub(super) deadline: Millis,
-    /// A response after this misses the latency objective.
+    /// Time after which a response misses the latency objective.
     pub(super) objective_deadline: Millis,
-    /// Share of its value that a response after the latency objective still has.
+    /// Share of its value that a response keeps after the latency objective.
     pub(super) late_weight: f64,
     pub(super) prices: &'a Prices,
     /// Shortest time between two calls of the library.
     pub(super) tick_ms: Millis,
 }
 
-/// How long an attempt that starts now may take, in ms.
+/// Returns the time that an attempt which starts now may take, in ms.
 pub(super) fn attempt_timeout(inputs: &TimeoutInputs) -> Millis {
     let remaining_ms = inputs.deadline - inputs.now;
     if inputs.late_weight > 0.0 || inputs.prices.waste >= inputs.prices.late_failure {
--- a/src/policy/attempt_timeout/tests.rs
+++ b/src/policy/attempt_timeout/tests.rs
@@ -3,7 +3,7 @@
 const NOW: Millis = 10_000.0;
 const REMAINING_MS: Millis = 2000.0;
 
-/// A late failure costs more than waste.
+/// Prices at which a late failure costs more than wasted work.
 const EARLY_TIMEOUT_PAYS: Prices = Prices {
     waste: 0.1,
     handshake: 0.0,
@@ -22,12 +22,12 @@
 }
 
 #[test]
-fn an_attempt_ends_before_its_objective_where_a_late_failure_costs_more_than_waste() {
+fn an_attempt_times_out_before_its_objective_if_a_late_failure_costs_more_than_waste() {
     assert_eq!(attempt_timeout(&inputs()), 500.0 - 4.0 - 2.0 * 3.0);
 }
 
 #[test]
-fn an_attempt_may_take_until_the_deadline_where_an_early_end_would_not_pay() {
+fn an_attempt_may_take_until_the_deadline_if_an_early_timeout_saves_nothing() {
     let late_response_has_value = TimeoutInputs {
         late_weight: 0.5,
         ..inputs()
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn an_attempt_past_its_objective_still_gets_some_time_but_none_after_the_deadline() {
+fn an_attempt_past_its_objective_has_the_shortest_timeout_but_none_past_the_deadline() {
     let past_objective = TimeoutInputs {
         objective_deadline: NOW - 1.0,
         ..inputs()
--- a/src/policy/avoidance.rs
+++ b/src/policy/avoidance.rs
@@ -1,36 +1,37 @@
-//! Endpoints that reject requests are avoided for a time: they are a last resort for the plans that they are
-//! likely to reject.
+//! Avoidance of endpoints that reject requests. An avoided endpoint is a last resort, for a limited time, for
+//! the plans whose requests it is likely to reject.
 
 use crate::api::{Millis, Outcome};
 use crate::state::EndpointHealth;
 
-/// Shortest time for which an endpoint is avoided, in ms.
+/// The shortest time for which an endpoint is avoided, in ms.
 const MIN_AVOIDANCE_MS: Millis = 200.0;
-/// Least number of requests of this gateway that arrive while an endpoint is avoided. For a quiet gateway the
-/// shortest time alone would be over before each next request.
+/// Minimum number of this gateway's requests that arrive while an endpoint is avoided. For a gateway with few
+/// requests, the shortest time alone would be over before each next request.
 const MIN_AVOIDANCE_REQUESTS: f64 = 20.0;
-/// A lower rate of requests per second counts as this one, which limits the time of an avoidance to 20 s.
+/// Lower bound of the rate of requests per second, which limits the time of an avoidance to 20 s.
 const MIN_REQUEST_RATE: f64 = 1.0;
 
-/// How long an endpoint is avoided, in ms, at this rate of requests per second.
+/// Returns the time for which an endpoint is avoided at this rate of requests per second, in ms.
 fn avoidance_ms(request_rate: f64) -> Millis {
     MIN_AVOIDANCE_MS.max(MIN_AVOIDANCE_REQUESTS * 1000.0 / request_rate.max(MIN_REQUEST_RATE))
 }
 
 /// The requests for which an endpoint is avoided, as it is likely to reject them.
 pub(super) enum AvoidanceScope {
-    /// Requests of this plan.
+    /// Requests of the plan with this index.
     Plan(usize),
-    /// Requests of all plans, which are this many.
+    /// Requests of all plans; the value is the number of plans.
     AllPlans(usize),
 }
 
 impl AvoidanceScope {
-    /// The scope after an attempt with this outcome; none if the outcome says nothing of rejections.
+    /// Returns the scope after an attempt with this outcome; none if the outcome says nothing about
+    /// rejections.
     pub(super) fn new(outcome: Outcome, plan: usize, plan_count: usize) -> Option<Self> {
         match outcome {
             Outcome::Rejected => Some(AvoidanceScope::Plan(plan)),
-            // What accepts no connection accepts no request of any plan.
+            // An endpoint that accepts no connection accepts no request of any plan.
             Outcome::ConnectFailed => Some(AvoidanceScope::AllPlans(plan_count)),
             _ => None,
         }
--- a/src/policy/avoidance/tests.rs
+++ b/src/policy/avoidance/tests.rs
@@ -16,7 +16,8 @@
     assert!(!health.is_rejecting(MIN_AVOIDANCE_MS, 1));
 }
 
-/// An endpoint is down and accepts no connections. It has to be avoided for requests of all plans.
+/// An endpoint that is down accepts no connections. Avoidance for the plan of the failed request alone would
+/// let requests of the other plans fail.
 #[test]
 fn an_endpoint_that_accepts_no_connection_is_avoided_for_all_plans() {
     let health = avoided(Outcome::ConnectFailed, 1000.0);
@@ -40,10 +41,11 @@
     }
 }
 
-/// An endpoint rejects requests, and the gateway has few requests. After a fixed time each of its requests would meet
-/// the endpoint again and be rejected: it has to be avoided for a number of requests.
+/// An endpoint rejects requests, and the gateway has few requests. With avoidance for a fixed time alone,
+/// each of its requests could reach the endpoint again and be rejected. The endpoint has to be avoided for a
+/// number of requests.
 #[test]
-fn a_quiet_gateway_avoids_for_longer() {
+fn a_gateway_with_few_requests_avoids_an_endpoint_for_longer() {
     let health = avoided(Outcome::Rejected, 10.0);
     assert!(health.is_rejecting(MIN_AVOIDANCE_REQUESTS * 100.0 - 1.0, 1));
     assert!(!health.is_rejecting(MIN_AVOIDANCE_REQUESTS * 100.0, 1));
