--- a/src/policy/call_limiter.rs
+++ b/src/policy/call_limiter.rs
@@ -1,48 +1,51 @@
-//! The pace of calls to the counter. All gateways share its capacity and none knows it: the rate of calls
-//! grows with each success and is cut with each failure, by additive increase and multiplicative decrease
-//! (AIMD). The increase has a multiplicative part, too, which is smaller near the rate that last met
-//! failures.
+//! The rate limit of calls to the counter, adapted by additive increase and multiplicative decrease (AIMD).
+//!
+//! All gateways share the counter's capacity, and none of them knows it. The rate of calls grows with each
+//! success and is cut after a failure. The increase also has a multiplicative part, which is smaller near the
+//! rate that last led to failures.
 
 use crate::api::Millis;
 use crate::primitives::token_bucket::TokenBucket;
 
-/// Calls per second before the first reply.
+/// Initial rate, in calls per second.
 const INITIAL_RATE: f64 = 10.0;
-/// Least calls per second. Without any call a gateway would not notice that the counter has recovered.
+/// Minimum rate, in calls per second. Without any call a gateway would not notice that the counter has
+/// recovered.
 const MIN_RATE: f64 = 0.2;
-/// Most calls per second.
+/// Maximum rate, in calls per second.
 const MAX_RATE: f64 = 10_000.0;
-/// Factor on the rate at a failure.
+/// Factor by which a failure cuts the rate.
 const DECREASE_FACTOR: f64 = 0.75;
-/// Calls per second that each success adds, besides a share of the rate.
+/// Calls per second that each success adds to the rate, in addition to a share of the rate.
 const ADDITIVE_INCREASE: f64 = 0.02;
-/// Share of the rate that each success adds while the rate is well below the one before the last failures.
+/// Share of the rate that each success adds while the rate is well below the rate before the last failures.
 const FAST_INCREASE: f64 = 0.04;
 /// Share of the rate that each success adds near the rate before the last failures, and above it.
 const SLOW_INCREASE: f64 = 0.02;
-/// A rate above this share of the rate before the last failures is near it.
-const NEAR_SHARE: f64 = 0.9;
-/// Consecutive failures after which the counter counts as down, and requests no longer wait for its replies.
+/// Share of the rate before the last failures above which the increase is slow.
+const SLOW_INCREASE_THRESHOLD: f64 = 0.9;
+/// Number of consecutive failures after which the counter counts as down and requests no longer wait for its
+/// replies.
 const MAX_CONSECUTIVE_FAILURES: u32 = 3;
-/// The capacity of the bucket, as the time in which it is refilled, in ms.
+/// The capacity of the bucket, as the time in which the bucket is refilled, in ms.
 const BURST_MS: f64 = 500.0;
 
-/// How urgent a call is.
+/// The priority of a call.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CallPriority {
-    /// May take the last token.
+    /// A required call may take the last token.
     Required,
-    /// Leaves half of the bucket to required calls.
+    /// An optional call leaves half of the bucket to required calls.
     Optional,
 }
 
-/// A token bucket with a rate that adapts.
+/// A token bucket with an adaptive rate.
 pub(crate) struct CallLimiter {
     /// Calls per second.
     rate: f64,
     bucket: TokenBucket,
     refilled_at: Millis,
-    /// The rate before the last failures; none before the first failure.
+    /// The rate before the last series of failures; none before the first failure.
     rate_before_failures: Option<f64>,
     decreased_at: Millis,
     consecutive_failures: u32,
@@ -60,7 +63,7 @@
         }
     }
 
-    /// Takes a token, if there is one for a call of this priority.
+    /// Takes a token if the bucket has one for a call of this priority. Returns whether it did.
     pub(crate) fn try_acquire(&mut self, now: Millis, priority: CallPriority) -> bool {
         let capacity = (self.rate * BURST_MS / 1000.0).max(1.0);
         let refill = (now - self.refilled_at).max(0.0) / 1000.0 * self.rate;
@@ -77,26 +80,28 @@
         acquired
     }
 
-    /// Whether no token was left at the last call of `try_acquire`.
+    /// Returns whether no token was left after the last call of `try_acquire`.
     pub(crate) fn is_exhausted(&self) -> bool {
         !self.bucket.has(1.0)
     }
 
-    /// Whether requests no longer wait for the counter: its last calls were rejected, timed out or found no
-    /// connection. Invalid replies and broken connections are no such failures.
+    /// Returns whether the counter counts as down, so that requests don't wait for it: its last calls were
+    /// rejected, too slow, timed out or found no connection. Invalid replies and broken connections don't
+    /// count as failures here.
     pub(crate) fn is_down(&self) -> bool {
         self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
     }
 
     pub(crate) fn on_success(&mut self) {
-        // The counter is up again: from the least rate, it would take long to reach the former one.
+        // The counter is up again. Starting from the minimum rate, it would take long to reach the former
+        // rate.
         if let Some(before) = self.rate_before_failures.filter(|_| self.is_down()) {
             self.rate = self.rate.max(before / 2.0);
         }
         self.consecutive_failures = 0;
         let is_near = self
             .rate_before_failures
-            .is_some_and(|before| self.rate > before * NEAR_SHARE);
+            .is_some_and(|before| self.rate > before * SLOW_INCREASE_THRESHOLD);
         let increase = if is_near {
             SLOW_INCREASE
         } else {
@@ -105,13 +110,13 @@
         self.rate = (self.rate * (1.0 + increase) + ADDITIVE_INCREASE).min(MAX_RATE);
     }
 
-    /// A call that began at `started_at` has failed.
+    /// Records the failure of a call that was started at `started_at`.
     pub(crate) fn on_failure(&mut self, now: Millis, started_at: Millis) {
         if self.consecutive_failures == 0 {
             self.rate_before_failures = Some(self.rate);
         }
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
-        // Calls that queued together at the counter fail together: one decrease for all of them.
+        // Calls that were queued together at the counter fail together: they lead to one decrease.
         if started_at >= self.decreased_at {
             self.rate = (self.rate * DECREASE_FACTOR).max(MIN_RATE);
             self.decreased_at = now;
--- a/src/policy/call_limiter/tests.rs
+++ b/src/policy/call_limiter/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Calls of this priority that are permitted now.
+/// Returns the number of calls of this priority that are permitted now.
 fn acquired(limiter: &mut CallLimiter, now: f64, priority: CallPriority) -> usize {
     (0..1000)
         .take_while(|_| limiter.try_acquire(now, priority))
@@ -16,10 +16,10 @@
     assert!(limiter.is_exhausted());
 }
 
-/// The counter is overloaded for a moment, and all calls in its queue fail. If each of them cut the rate, hardly any
-/// call would be left: together they are one decrease.
+/// The counter is overloaded for a short time, and all calls in its queue fail. If each of them cut the rate,
+/// hardly any calls would be left. Together they count as one decrease.
 #[test]
-fn failures_of_calls_that_were_made_together_decrease_the_rate_once() {
+fn failures_of_calls_made_at_the_same_time_decrease_the_rate_once() {
     let mut limiter = CallLimiter::new(0.0);
     acquired(&mut limiter, 0.0, CallPriority::Required);
     limiter.on_failure(100.0, 0.0);
@@ -30,10 +30,10 @@
     assert_eq!(acquired(&mut limiter, 4000.0, CallPriority::Required), 2);
 }
 
-/// The counter is down and comes back. Requests must not wait for it meanwhile, and once it is back the calls must not
-/// take long to reach their former rate.
+/// The counter fails and recovers. Requests must not wait for it while it is down, and the calls must not
+/// take long to reach their former rate once it has recovered.
 #[test]
-fn the_counter_is_down_after_failures_in_a_row_and_half_of_the_rate_returns_with_it() {
+fn consecutive_failures_mark_the_counter_as_down_and_a_success_restores_half_of_the_rate() {
     let mut limiter = CallLimiter::new(0.0);
     for failure in 1..=3 {
         assert!(!limiter.is_down());
--- a/src/policy/counter_calls.rs
+++ b/src/policy/counter_calls.rs
@@ -1,4 +1,4 @@
-//! The calls to the shared counter: their pace, the wait for their replies, and what a reply says of the
+//! Calls to the shared counter: their rate limit, the wait for their replies, and what a reply shows of the
 //! counter's capacity.
 
 use crate::api::{Action, Millis, Outcome};
@@ -7,7 +7,7 @@
 use crate::policy::shared_quota::key_ttl_ms;
 use crate::state::{counter_key, ChargeReply, Context, PendingCharge, PendingCharges};
 
-/// Paces the calls to the counter, and keeps those in flight.
+/// Limits the rate of calls to the counter, and stores the calls in flight.
 pub(super) struct CounterCalls {
     pub(super) limiter: CallLimiter,
     wait: CounterWait,
@@ -23,12 +23,12 @@
         }
     }
 
-    /// Longest time that a request with this latency objective waits for a reply, in ms.
+    /// Returns the longest time that a request with this latency objective waits for a reply, in ms.
     pub(super) fn max_wait_ms(&self, objective_ms: Millis) -> Millis {
         self.wait.max_ms(objective_ms)
     }
 
-    /// Makes a call that the limiter has permitted.
+    /// Starts a call that the limiter has permitted.
     pub(super) fn start(&mut self, cx: &mut Context, call: PendingCharge) {
         let key = counter_key(call.account.customer, call.charge.window);
         cx.actions.push(Action::AddToCounter {
@@ -39,16 +39,17 @@
         self.pending.push(key, call);
     }
 
-    /// The call that was replied to, or has failed; none if it isn't known.
+    /// Removes and returns the call that was replied to or has failed; none if the call is unknown.
     pub(super) fn end(&mut self, reply: &ChargeReply) -> Option<PendingCharge> {
         self.pending.pop(reply.key)
     }
 
-    /// Learns from a reply. Returns whether it shows that the counter is short of capacity.
+    /// Updates the wait and the rate limit by a reply. Returns whether the reply shows that the counter is
+    /// short of capacity.
     pub(super) fn record_reply(&mut self, cx: &Context, reply: &ChargeReply) -> bool {
-        // The wait is that of the class with the shortest objective: a reply that is too late for one class
-        // already shows a shortage. It is computed before the reply changes it, as requests waited by the
-        // old value.
+        // The wait used here is that of the class with the shortest objective: a reply that is too late for
+        // one class already shows a shortage. The wait is computed before this reply changes it, as requests
+        // have waited by the old value.
         let classes = cx.settings.classes.iter();
         let shortest_objective_ms = classes
             .map(|class| class.latency_objective_ms)
--- a/src/policy/counter_wait.rs
+++ b/src/policy/counter_wait.rs
@@ -1,20 +1,20 @@
-//! How long a request waits for the reply of the shared counter: a multiple of the typical reply time (an
-//! EWMA), within shares of the request's latency objective.
+//! The time that a request waits for the reply of the shared counter: a multiple of the typical reply time
+//! (an EWMA), bounded by shares of the request's latency objective.
 
 use crate::api::Millis;
 use crate::primitives::mean::ExponentialMean;
 
-/// The wait as a multiple of the typical reply time.
+/// The wait, as a multiple of the typical reply time.
 const REPLY_TIME_MULTIPLE: f64 = 3.0;
 /// The shortest wait, as a share of the latency objective.
 const MIN_OBJECTIVE_SHARE: f64 = 0.05;
-/// The longest wait, as a share of the latency objective. It stays small beside the work of the request
-/// itself.
+/// The longest wait, as a share of the latency objective. The wait stays short compared to the work of the
+/// request itself.
 const MAX_OBJECTIVE_SHARE: f64 = 0.2;
 /// Weight of one reply in the typical reply time.
 const REPLY_TIME_GAIN: f64 = 0.05;
 
-/// The wait for the counter.
+/// Adapts the wait for the counter to its reply times.
 #[derive(Default)]
 pub(super) struct CounterWait {
     /// The typical reply time, in ms; none before the first reply.
@@ -22,7 +22,7 @@
 }
 
 impl CounterWait {
-    /// The longest wait of a request with this latency objective.
+    /// Returns the longest wait of a request with this latency objective, in ms.
     pub(super) fn max_ms(&self, objective_ms: Millis) -> Millis {
         let reply_time_ms = self
             .reply_time_ms
@@ -35,12 +35,12 @@
         )
     }
 
-    /// A reply took this long.
+    /// Records a reply that took this long.
     pub(super) fn record_reply(&mut self, elapsed_ms: Millis) {
         let reply_time_ms = self
             .reply_time_ms
             .get_or_insert_with(|| ExponentialMean::new(elapsed_ms, REPLY_TIME_GAIN));
-        // A single slow reply must not move it far.
+        // A single slow reply must not change the typical reply time much.
         let capped_ms = elapsed_ms.min(reply_time_ms.value() * REPLY_TIME_MULTIPLE);
         reply_time_ms.update(capped_ms);
     }
--- a/src/policy/counter_wait/tests.rs
+++ b/src/policy/counter_wait/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
 #[test]
-fn without_replies_it_is_the_shortest() {
+fn the_wait_is_the_shortest_without_replies() {
     assert_eq!(CounterWait::default().max_ms(100.0), 5.0);
 }
 
 #[test]
-fn it_follows_the_reply_time_between_its_limits() {
+fn the_wait_follows_the_reply_time_within_its_limits() {
     let mut wait = CounterWait::default();
     wait.record_reply(10.0);
     assert_eq!(wait.max_ms(200.0), 30.0);
@@ -14,9 +14,10 @@
     assert_eq!(wait.max_ms(100.0), 20.0);
 }
 
-/// One reply of the counter is very slow. If it set the wait, the next requests would wait for long, too.
+/// One reply of the counter is very slow. If it alone set the wait, the next requests would also wait for
+/// long.
 #[test]
-fn a_single_slow_reply_does_not_move_it_far() {
+fn a_single_slow_reply_does_not_change_the_wait_much() {
     let mut wait = CounterWait::default();
     wait.record_reply(10.0);
     wait.record_reply(10_000.0);
