--- a/src/policy/candidate.rs
+++ b/src/policy/candidate.rs
@@ -1,21 +1,22 @@
-//! The order of candidates: how the endpoints that could be sent one attempt compare.
+//! The order of candidates: the comparison of the endpoints that may be sent an attempt.
 
 use crate::api::{Endpoint, EndpointId, Idempotency, KeyScope, Millis};
 
-/// An endpoint that may be sent the attempt.
+/// An endpoint that may be sent an attempt.
 #[derive(Clone, Copy)]
 pub(crate) struct Candidate {
     pub(crate) preference: Preference,
-    /// Expected latency, and the price of a handshake where one is needed, in ms.
+    /// Expected latency plus the price of a handshake if one is needed, in ms.
     pub(crate) cost_ms: Millis,
     pub(crate) endpoint: EndpointId,
 }
 
-/// Whether there is a reason to avoid an endpoint, whatever it costs.
+/// Preference for an endpoint, regardless of its cost. The variants are in order of preference.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Preference {
     Preferred,
-    /// It has had an attempt of the request before, is likely to reject the request's plan, or is ejected.
+    /// The endpoint has already had an attempt of the request, is likely to reject the request's plan, or is
+    /// ejected.
     LastResort,
 }
 
@@ -24,13 +25,14 @@
         self.preference == Preference::Preferred
     }
 
-    /// Preference comes first, then cost.
+    /// Compares candidates by preference first, then by cost.
     pub(crate) fn is_better_than(&self, other: Candidate) -> bool {
         (self.preference, self.cost_ms) < (other.preference, other.cost_ms)
     }
 }
 
-/// The endpoints that recognise a retry of a request by its idempotency key, and don't execute it twice.
+/// The endpoints that recognise a retry of a request by its idempotency key and so don't execute the request
+/// again.
 pub(crate) enum DeduplicationScope {
     All,
     Zone { zone: u32 },
@@ -38,7 +40,7 @@
 }
 
 impl DeduplicationScope {
-    /// The scope of a request that `first_executor` may have executed.
+    /// Returns the scope of a request that `first_executor` may have executed.
     pub(crate) fn new(idempotency: Idempotency, first_executor: Option<&Endpoint>) -> Self {
         let Some(first) = first_executor else {
             return DeduplicationScope::All;
--- a/src/policy/candidate/tests.rs
+++ b/src/policy/candidate/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_preferred_candidate_is_better_whatever_it_costs() {
+fn a_preferred_candidate_is_better_at_any_cost() {
     let preferred = candidate(Preference::Preferred, 100.0);
     let last_resort = candidate(Preference::LastResort, 1.0);
     assert!(preferred.is_better_than(last_resort));
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn among_equals_the_lower_cost_is_better() {
+fn the_lower_cost_is_better_at_equal_preference() {
     for preference in [Preference::Preferred, Preference::LastResort] {
         let cheap = candidate(preference, 1.0);
         assert!(cheap.is_better_than(candidate(preference, 2.0)));
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn repeats_with_a_key_are_bound_to_the_scope_of_the_first_executor() {
+fn retries_with_a_key_are_limited_to_the_scope_of_the_first_executor() {
     let scope = |scope| {
         let keyed = Idempotency::WithKey {
             scope,
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn without_a_first_executor_any_endpoint_will_do() {
+fn any_endpoint_is_in_scope_without_a_first_executor() {
     let keyed = Idempotency::WithKey {
         scope: KeyScope::Cell,
         window_ms: 1000.0,
--- a/src/policy/endpoint_comparison.rs
+++ b/src/policy/endpoint_comparison.rs
@@ -1,4 +1,4 @@
-//! The comparison of endpoints for one attempt: which may be sent it, and what each costs.
+//! Comparison of endpoints for one attempt: the endpoints that may be sent the attempt, and the cost of each.
 
 use crate::api::{Endpoint, Millis};
 use crate::policy::candidate::{Candidate, DeduplicationScope, Preference};
@@ -6,15 +6,15 @@
 use crate::state::{Context, OpenRequest, TrackedEndpoint};
 use fastrand::Rng;
 
-/// Largest random part of a cost, in baseline latencies. Without it, gateways that know equally little of the
-/// endpoints would all choose the same one.
+/// Largest random part of a cost, in baseline latencies. Without it, gateways that have equally little
+/// information on the endpoints would all choose the same one.
 const COST_JITTER: f64 = 0.05;
 /// Factor on the cost of a new connection. That cost, in ms, is this factor times the price of a handshake
-/// (`Prices::handshake`) times the latency objective of the class. It is above 1, as a connection also costs
-/// the endpoint work, and a gateway learns more of an endpoint that it uses often.
+/// (`Prices::handshake`) times the latency objective of the class. The factor is above 1 because a connection
+/// also costs the endpoint work, and because a gateway learns more about an endpoint that it uses often.
 const HANDSHAKE_FACTOR: f64 = 3.0;
 
-/// What endpoints are compared by for one attempt.
+/// Compares endpoints for one attempt.
 pub(super) struct EndpointComparison<'a> {
     now: Millis,
     open: &'a OpenRequest,
@@ -24,7 +24,8 @@
 }
 
 impl<'a> EndpointComparison<'a> {
-    /// For a request that `first_executor` may have executed already, where latencies have this baseline.
+    /// Creates the comparison for a request that `first_executor` may have executed already. `baseline_ms` is
+    /// the latency of the request's class at an idle endpoint.
     pub(super) fn new(
         cx: &Context,
         open: &'a OpenRequest,
@@ -43,7 +44,7 @@
         }
     }
 
-    /// The best of these endpoints; none if none of them may be sent the attempt.
+    /// Returns the best of these endpoints; none if none of them may be sent the attempt.
     pub(super) fn best<'e>(
         &self,
         endpoints: impl Iterator<Item = &'e TrackedEndpoint> + Clone,
@@ -57,9 +58,9 @@
             if !is_in_scope || is_warming && !endpoint.warm_up.has_token() {
                 continue;
             }
-            // A warming endpoint with a token costs no latency, only a handshake where it needs one: by its
-            // latency, or by chance among many endpoints, it might not be sent the attempts that slow start
-            // allots to it.
+            // The latency of a warming endpoint with a token counts as 0; only a handshake, if needed, adds
+            // to its cost. With its real latency, or among many endpoints by chance, it might not be sent the
+            // attempts that slow start allots to it.
             let latency_ms = if is_warming {
                 0.0
             } else {
