--- a/src/policy/ceiling/tests.rs
+++ b/src/policy/ceiling/tests.rs
@@ -13,8 +13,8 @@
     CeilingShare::new(&settings, &plan, gateway_set_size)
 }
 
-/// A gateway restarts and doesn't know what it has just forwarded. With a full bucket it would forward that again, past
-/// the ceiling: it may only forward what was refilled since its start.
+/// A restarted gateway doesn't know what it forwarded before the restart. With a full bucket it would forward
+/// the same units again and exceed the ceiling. It may only forward what was refilled since its start.
 #[test]
 fn the_bucket_of_a_restarted_gateway_holds_what_was_refilled_since_its_start() {
     let share = share(3, 3.0);
