--- a/src/policy/ejection/tests.rs
+++ b/src/policy/ejection/tests.rs
@@ -9,7 +9,7 @@
     ejection
 }
 
-/// An endpoint fails requests one after the other. It has to be ejected, but not for a single failure.
+/// An endpoint fails consecutive requests. It has to be ejected, but not after a single failure.
 #[test]
 fn the_last_of_several_consecutive_failures_ejects() {
     assert!(!after_failures(1).is_ejected);
@@ -17,7 +17,7 @@
     assert!(after_failures(2).is_ejected);
 }
 
-/// An endpoint stays down. Each probe of it costs a request: probes have to become rare, but not stop.
+/// An endpoint stays down, and each probe of it costs a request. Probes have to become rare, but not stop.
 #[test]
 fn the_ejection_time_doubles_up_to_a_limit() {
     let ejection_times_ms = [
@@ -42,9 +42,10 @@
     }
 }
 
-/// The ejection time of an endpoint that is still down is over. Only one request may be lost to find that out.
+/// The ejection time of an endpoint ends while the endpoint is still down. Only one request may be lost to
+/// detect that.
 #[test]
-fn after_the_ejection_time_only_an_idle_endpoint_is_admitted() {
+fn after_the_ejection_time_an_attempt_is_allowed_only_at_an_idle_endpoint() {
     let ejection = after_failures(2);
     assert!(ejection.is_ejected);
     assert!(ejection.allows_attempt(ejection.until, true));
