--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -1,7 +1,8 @@
-//! Latency estimates, as EWMAs: a baseline for each class of requests, and a ratio to it for each endpoint.
+//! Latency estimates, as EWMAs: a baseline for each class of requests, and for each endpoint a ratio to the
+//! baseline, its relative latency.
 //!
-//! A latency is first divided by what the attempts in flight at the endpoint added to it. The expected
-//! latency of one more attempt is baseline · ratio · load factor.
+//! A measured latency is first divided by a load factor, which accounts for the attempts in flight at the
+//! endpoint. The expected latency of one more attempt is baseline · ratio · load factor.
 
 use crate::api::Millis;
 use crate::primitives::mean::RunningMean;
@@ -9,35 +10,35 @@
 
 /// Weight of one response in an endpoint's relative latency: about the last 10 responses count.
 const RELATIVE_LATENCY_WEIGHT: f64 = 0.1;
-/// Time constant with which a relative latency returns to 1, the fleet's, in ms. An endpoint that was slow
-/// once would not be sent attempts again otherwise.
+/// Time constant with which a relative latency returns to 1, the mean of the fleet, in ms. Otherwise an
+/// endpoint that was slow once would not be sent attempts again.
 const RELATIVE_LATENCY_DECAY_MS: Millis = 10_000.0;
-/// Largest relative latency of one response; a larger one counts as this.
+/// Upper bound of the relative latency of one response.
 const MAX_RELATIVE_SAMPLE: f64 = 10.0;
-/// Shortest latency, in ms; a shorter one, of a response or of the baseline, counts as this.
+/// Lower bound of a latency, either of a response or of the baseline, in ms.
 const MIN_LATENCY_MS: Millis = 0.1;
-/// Least relative latency that is divided by.
+/// Lower bound of a relative latency as a divisor.
 const MIN_RELATIVE_LATENCY: f64 = 0.1;
 /// Weight of one response in a class's baseline: about the last 100 responses count.
 const BASELINE_WEIGHT: f64 = 0.01;
 /// Baseline before the first response, as a share of the latency objective.
 pub(super) const INITIAL_BASELINE_SHARE: f64 = 0.2;
-/// Attempts of other gateways that are assumed in flight at each endpoint.
-const ASSUMED_OTHERS_IN_FLIGHT: f64 = 1.0;
-/// An endpoint with attempts in flight that has not responded for longer than this number of baselines
-/// counts as slower.
+/// Number of attempts of other gateways that are assumed in flight at each endpoint.
+const ASSUMED_PEER_ATTEMPTS_IN_FLIGHT: f64 = 1.0;
+/// Number of baselines without a response after which an endpoint with attempts in flight counts as slower.
 const MAX_BASELINES_WITHOUT_RESPONSE: f64 = 3.0;
 
-/// Factor on the latency of an idle endpoint where this gateway has this many attempts in flight: a latency
-/// rises in proportion to the attempts in flight (Little's law at a constant rate of responses).
+/// Returns the factor by which this many attempts of this gateway in flight raise the latency of an idle
+/// endpoint. Latency rises in proportion to the attempts in flight (Little's law at a constant rate of
+/// responses).
 fn load_factor(in_flight: f64) -> f64 {
-    (in_flight + ASSUMED_OTHERS_IN_FLIGHT) / (1.0 + ASSUMED_OTHERS_IN_FLIGHT)
+    (in_flight + ASSUMED_PEER_ATTEMPTS_IN_FLIGHT) / (1.0 + ASSUMED_PEER_ATTEMPTS_IN_FLIGHT)
 }
 
-/// What a latency would have been at an idle endpoint, in ms, by `in_flight` attempts of this gateway
-/// there, the one that took it included. An idle endpoint has this one attempt of the gateway, and the one
-/// of another gateway that is assumed.
-pub(super) fn at_idle_endpoint(latency_ms: Millis, in_flight: f64) -> Millis {
+/// Returns the latency that an attempt would have had at an idle endpoint, in ms. `in_flight` is the number
+/// of this gateway's attempts at the endpoint, including the measured one. An endpoint counts as idle with
+/// this one attempt of the gateway and the one assumed attempt of another gateway.
+pub(super) fn idle_endpoint_latency(latency_ms: Millis, in_flight: f64) -> Millis {
     latency_ms.max(MIN_LATENCY_MS) / load_factor(in_flight)
 }
 
@@ -61,7 +62,7 @@
         );
     }
 
-    /// Expected latency of one more attempt, in ms.
+    /// Returns the expected latency of one more attempt, in ms.
     pub(super) fn expected_latency(&self, now: Millis, baseline_ms: Millis) -> Millis {
         let mut relative = self
             .relative_latency
--- a/src/policy/load_balancer.rs
+++ b/src/policy/load_balancer.rs
@@ -171,7 +171,7 @@
     fn sample(&self, cx: &Context, rng: &mut Rng) -> Vec<&TrackedEndpoint> {
         let request_rate = self.request_rate.per_second();
         let mut members = self.subset.members();
-        if connections::keeps_to_connected(
+        if connections::prefers_connected(
             &cx.settings.limits,
             request_rate,
             self.connected_members.len(),
@@ -221,7 +221,8 @@
         let baseline = &mut self.baselines[open.request.class as usize];
         let request_rate = self.request_rate.per_second();
         if end.outcome == Outcome::Success && end.elapsed_ms.is_finite() {
-            let idle_ms = latency::at_idle_endpoint(end.elapsed_ms, attempt.endpoint_in_flight);
+            let idle_ms =
+                latency::idle_endpoint_latency(end.elapsed_ms, attempt.endpoint_in_flight);
             endpoint.record_latency(cx.now, idle_ms, baseline);
         }
         if let Some(scope) = AvoidanceScope::new(end.outcome, plan, cx.settings.plans.len()) {
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -1,8 +1,8 @@
-//! Outlier detection: which outcomes of attempts are failures of their endpoint. What follows from failures
-//! is decided by `ejection`.
+//! Outlier detection: decides which outcomes of attempts are failures of their endpoint. The consequences of
+//! failures are decided by `ejection`.
 //!
-//! An invalid response is an error or one that breaks off. Its rate is among these and successes alone; other
-//! outcomes don't count in it.
+//! An invalid response is an error response or a broken connection. The rate of invalid responses is their
+//! share among invalid responses and successes; other outcomes don't count.
 
 use crate::api::{AttemptEnd, Millis, Outcome};
 use crate::primitives::mean::exponential_mean;
@@ -12,20 +12,21 @@
 const ENDPOINT_INVALID_RATE_GAIN: f64 = 0.2;
 /// Weight of one outcome in the rate of invalid responses of the fleet.
 const FLEET_INVALID_RATE_GAIN: f64 = 0.02;
-/// An invalid response is a failure if its endpoint's rate of them is above the fleet's by this share of all
-/// responses: a request may be invalid at any endpoint.
+/// Margin by which the rate of invalid responses of an endpoint has to exceed that of the fleet for an
+/// invalid response to count as a failure. A request may be invalid at any endpoint.
 const INVALID_RATE_MARGIN: f64 = 0.3;
 
-/// Distinguishes faulty endpoints from a fleet that fails as one.
+/// Distinguishes faulty endpoints from a fleet that fails as a whole.
 #[derive(Default)]
 pub(super) struct OutlierDetector {
-    /// Share of invalid responses (EWMA).
+    /// Rate of invalid responses of the fleet (EWMA).
     fleet_invalid_rate: f64,
 }
 
 impl OutlierDetector {
-    /// Has to be called before `TrackedEndpoint::attempt_ended` for the same attempt:
-    /// `last_valid_response_at` says then whether the endpoint has responded to other attempts.
+    /// Records the end of an attempt. Has to be called before `TrackedEndpoint::attempt_ended` for the same
+    /// attempt: until then `last_valid_response_at` shows whether the endpoint has responded to other
+    /// attempts.
     pub(super) fn record(
         &mut self,
         cx: &mut Context,
@@ -58,7 +59,7 @@
             endpoint.health.invalid_rate >= self.fleet_invalid_rate + INVALID_RATE_MARGIN;
         match end.outcome {
             Outcome::ConnectFailed => true,
-            // If the endpoint has responded to others meanwhile, it was the request that took long.
+            // If the endpoint has responded to other attempts in the meantime, the request itself took long.
             Outcome::Timeout => !has_responded_since,
             Outcome::ErrorResponse | Outcome::ConnectionReset => is_often_invalid,
             Outcome::Success | Outcome::Rejected | Outcome::Cancelled | Outcome::NotSent => false,
