--- a/src/policy/load_estimate/tests.rs
+++ b/src/policy/load_estimate/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// The estimate after ten seconds of 100 requests per second that take `latency_ms` each.
-fn under_steady_load(latency_ms: f64) -> LoadEstimate {
+/// Returns the estimate after ten seconds of 100 requests per second that take `latency_ms` each.
+fn estimate_under_steady_load(latency_ms: f64) -> LoadEstimate {
     let mut load = LoadEstimate::new(0.0);
     let mut ends = std::collections::VecDeque::new();
     for request in 0..1000 {
@@ -18,15 +18,15 @@
 }
 
 #[test]
-fn without_responses_it_is_the_initial_share_of_the_objective() {
+fn without_responses_the_estimate_is_the_initial_share_of_the_objective() {
     let load = LoadEstimate::new(0.0);
     assert!((load.expected_latency(50.0, 1000.0) - 300.0).abs() < 1e-9);
 }
 
 #[test]
-fn under_steady_load_it_is_near_the_latency() {
+fn under_steady_load_the_estimate_is_near_the_latency() {
     for latency_ms in [50.0, 400.0] {
-        let expected_ms = under_steady_load(latency_ms).expected_latency(50.0, 500.0);
+        let expected_ms = estimate_under_steady_load(latency_ms).expected_latency(50.0, 500.0);
         assert!(
             (expected_ms - latency_ms).abs() < latency_ms * 0.1,
             "{expected_ms} for {latency_ms}"
@@ -35,8 +35,8 @@
 }
 
 #[test]
-fn it_rises_at_once_with_the_requests_in_flight() {
-    let mut load = under_steady_load(100.0);
+fn the_estimate_rises_at_once_with_the_attempts_in_flight() {
+    let mut load = estimate_under_steady_load(100.0);
     let before_ms = load.expected_latency(50.0, 500.0);
     for _ in 0..10 {
         load.attempt_started(10_000.0);
--- a/src/policy/overload.rs
+++ b/src/policy/overload.rs
@@ -1,21 +1,23 @@
 //! The expected latency of a request that is admitted now, by which the gateway sheds load.
 //!
-//! It rests on this gateway's own attempts and so shows whatever slows the fleet: other gateways, neighbours
-//! on its machines, costly requests. It rises at once with each attempt that is sent.
+//! The estimate is based on this gateway's own attempts. It therefore reflects whatever slows the fleet:
+//! other gateways, other work on its machines, costly requests. It rises at once with each attempt that is
+//! sent.
 
 use crate::api::Millis;
 use crate::policy::load_estimate::LoadEstimate;
 
-/// Attempts in flight per endpoint, over all gateways, that are always admitted. Without a minimum a few
-/// attempts that hang would make the gateway reject everything, and without responses it would learn nothing.
+/// Number of attempts in flight per endpoint, over all gateways, that are always admitted. Without a minimum,
+/// a few attempts that hang would make the gateway reject everything, and without responses the gateway would
+/// learn nothing.
 const ALWAYS_ADMITTED_PER_ENDPOINT: f64 = 3.0;
 
-/// What the expected latency rests on besides the load. Moments and spans are in ms.
+/// Inputs of the expected latency besides the load. Times and durations are in ms.
 pub(super) struct FleetInputs {
     pub(super) now: Millis,
-    /// Endpoints that take requests.
+    /// Number of endpoints that take requests.
     pub(super) ready_endpoints: usize,
-    /// Gateways that share them.
+    /// Number of gateways that share the endpoints.
     pub(super) gateway_count: u32,
     /// Latency of the request's class at an idle endpoint.
     pub(super) baseline_latency_ms: Millis,
@@ -23,8 +25,8 @@
     pub(super) latency_objective_ms: Millis,
 }
 
-/// Expected time to the response of a request that is admitted now, in ms: 0 while little is in flight,
-/// infinite without endpoints. Brings the load up to now.
+/// Returns the expected time to the response of a request that is admitted now, in ms: 0 while little is in
+/// flight, infinite without endpoints. Updates the load up to now.
 pub(super) fn expected_latency(load: &mut LoadEstimate, fleet: &FleetInputs) -> Millis {
     load.advance(fleet.now);
     if fleet.ready_endpoints == 0 {
@@ -36,7 +38,7 @@
     load.expected_latency(fleet.baseline_latency_ms, fleet.latency_objective_ms)
 }
 
-/// Attempts in flight at this gateway below which any request is admitted.
+/// Returns the number of attempts in flight at this gateway below which any request is admitted.
 fn always_admitted(fleet: &FleetInputs) -> f64 {
     let endpoints = fleet.ready_endpoints as f64;
     let gateways = f64::from(fleet.gateway_count.max(1));
--- a/src/policy/overload/tests.rs
+++ b/src/policy/overload/tests.rs
@@ -25,10 +25,10 @@
     assert_eq!(expected_latency(&mut load(0), &fleet(0, 1)), f64::INFINITY);
 }
 
-/// A few attempts hang, so no response comes from which the gateway could learn that others are served. It
-/// has to go on admitting, up to its share of a few attempts on each endpoint.
+/// A few attempts hang, and the gateway gets no responses from which it could learn that other requests are
+/// served. It has to keep admitting requests, up to its share of a few attempts on each endpoint.
 #[test]
-fn little_in_flight_is_no_overload_whatever_the_latency() {
+fn few_attempts_in_flight_are_no_overload_at_any_latency() {
     for (in_flight, ready_endpoints, gateway_count, admitted) in [
         (5, 4, 2, true),
         (6, 4, 2, false),
