--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -1,4 +1,4 @@
-//! How an update of the endpoint list changes the table and the ring of endpoints.
+//! Applies updates of the endpoint list to the table and the ring of endpoints.
 
 use crate::api::{Endpoint, EndpointState};
 use crate::policy::{connections::usable_idle_ms, slow_start};
@@ -20,8 +20,9 @@
             replace(cx, endpoint, entry);
             ring.replace(old_node, endpoint.ring_node());
         } else if entry.state != EndpointState::Removed || !is_first {
-            // An endpoint that is removed is recorded as well, so that it warms up if it comes back. Those
-            // that the first update names as removed are not: nothing says how long ago that was.
+            // An unknown endpoint that is listed as removed is recorded as well, so that it warms up if it is
+            // listed again. Those that the first update lists as removed are not recorded: nothing says how
+            // long ago they were removed.
             let endpoint = new_endpoint(cx, entry);
             ring.replace(None, endpoint.ring_node());
             table.insert(endpoint);
@@ -29,7 +30,7 @@
     }
 }
 
-/// Removes the endpoints that the complete list no longer names.
+/// Marks the endpoints that the complete list no longer names as removed, and takes them off the ring.
 pub(super) fn remove_unlisted(table: &mut EndpointTable, ring: &mut RingArc) {
     for endpoint in table.unlisted() {
         ring.replace(endpoint.ring_node(), None);
@@ -41,16 +42,17 @@
     let limits = &cx.settings.limits;
     let connections = ConnectionEstimate::new(limits, usable_idle_ms(limits), cx.now);
     let ramp = slow_start::ramp(cx.now, &cx.settings.rules, &entry, false);
-    // It starts with a random part of a token: all gateways would send their first attempt at once otherwise.
+    // The bucket starts with a random part of a token. All gateways would send their first attempt at once
+    // otherwise.
     let warm_up = WarmUp::new(ramp, cx.rng.f64(), cx.now);
     TrackedEndpoint::new(entry, connections, warm_up, cx.now)
 }
 
 fn replace(cx: &mut Context, tracked: &mut TrackedEndpoint, entry: Endpoint) {
     let was_removed = tracked.endpoint.state == EndpointState::Removed;
-    let is_back = was_removed && entry.state == EndpointState::Ready;
-    if is_back || entry.started_at > tracked.endpoint.started_at {
-        let ramp = slow_start::ramp(cx.now, &cx.settings.rules, &entry, is_back);
+    let is_relisted = was_removed && entry.state == EndpointState::Ready;
+    if is_relisted || entry.started_at > tracked.endpoint.started_at {
+        let ramp = slow_start::ramp(cx.now, &cx.settings.rules, &entry, is_relisted);
         tracked.restart(WarmUp::new(ramp, cx.rng.f64(), cx.now));
     }
     tracked.endpoint = entry;
--- a/src/policy/slow_start/tests.rs
+++ b/src/policy/slow_start/tests.rs
@@ -26,9 +26,9 @@
     }
 }
 
-/// The clock of an endpoint's machine is ahead of this one's, so that the endpoint seems to start in the future. It
-/// would stay in slow start for as long as the clocks differ, and get hardly any requests. It has to warm up from now
-/// on, for no longer than any other.
+/// The clock of an endpoint's machine is ahead, so the endpoint seems to start in the future. It would stay
+/// in slow start for as long as the clocks differ, and get hardly any requests. It has to warm up from now
+/// on, for no longer than any other endpoint.
 #[test]
 fn a_start_in_the_future_counts_as_now() {
     for ahead_ms in [1.0, 5000.0, HOUR_MS] {
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn tokens_are_refilled_at_the_share_of_the_warm_rate_up_to_one() {
+fn tokens_are_refilled_at_a_share_of_the_warm_rate_up_to_one_token() {
     let ramp = LinearRamp {
         start: 1000.0,
         duration_ms: 100.0,
@@ -57,7 +57,7 @@
     };
     let mut warm_up = WarmUp::new(Some(ramp), 0.0, 1000.0);
     warm_up.refill(1050.0, 10.0);
-    // 50 ms at 10 a second and a share of 0.6.
+    // 50 ms at 10 tokens per second and a share of 0.6 give 0.3 tokens.
     assert!(!warm_up.has_token());
     warm_up.refill(2050.0, 0.7);
     assert!(warm_up.has_token(), "0.3 + 0.7");
