--- a/src/primitives/decay.rs
+++ b/src/primitives/decay.rs
@@ -1,11 +1,12 @@
 //! Exponential decay over time. Times are in ms.
 
-/// The share of a value that is left after this time, if it falls by a factor of e in each time constant.
+/// Returns the share of a value that remains after this time, if the value falls by a factor of e in each time
+/// constant.
 pub(crate) fn remaining_share(elapsed_ms: f64, time_constant_ms: f64) -> f64 {
     (-elapsed_ms.max(0.0) / time_constant_ms).exp()
 }
 
-/// An EWMA of a ratio, which returns to 1 while there are no samples. Times are in ms.
+/// An EWMA of a ratio that returns to 1 while there are no samples. Times are in ms.
 pub(crate) struct DecayingRatio {
     value: f64,
     updated_at: f64,
@@ -29,12 +30,12 @@
         self.updated_at = now;
     }
 
-    /// Forgets the samples, but not when the last one came: `updated_at` stays as it is.
+    /// Resets the ratio to 1. The time of the last sample, `updated_at`, stays as it is.
     pub(crate) fn reset(&mut self) {
         self.value = 1.0;
     }
 
-    /// When the last sample came; the start if there was none.
+    /// Returns the time of the last sample, or the time of creation if there was none.
     pub(crate) fn updated_at(&self) -> f64 {
         self.updated_at
     }
--- a/src/primitives/decay/tests.rs
+++ b/src/primitives/decay/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_ratio_moves_to_its_samples_and_back_to_one() {
+fn a_ratio_follows_its_samples_and_decays_to_one() {
     let mut ratio = DecayingRatio::new(0.0);
     assert_eq!(ratio.current(0.0, 1000.0), 1.0);
     ratio.record(0.0, 1.0, 3.0, 0.5);
--- a/src/primitives/forward_decay/tests.rs
+++ b/src/primitives/forward_decay/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Time constant of 10 s.
+/// A decay with a time constant of 10 s.
 const DECAY: ForwardDecay = ForwardDecay {
     rate: 2.0,
     capacity: 20.0,
@@ -8,7 +8,7 @@
 const END_MS: f64 = 20_000.0;
 
 #[test]
-fn a_usage_falls_by_e_in_each_time_constant() {
+fn usage_falls_by_a_factor_of_e_in_each_time_constant() {
     assert_eq!(DECAY.remaining_share(0.0), 1.0);
     assert!((DECAY.remaining_share(10_000.0) - (-1.0f64).exp()).abs() < 1e-12);
     assert_eq!(
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn the_count_over_the_weight_of_now_is_the_decayed_usage() {
+fn the_count_divided_by_the_present_weight_is_the_decayed_usage() {
     let weight_at = |now_ms: f64| DECAY.remaining_share(END_MS - now_ms);
     let mut count = 4.0 * weight_at(0.0);
     assert!((count / weight_at(0.0) - 4.0).abs() < 1e-9);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn usage_spread_evenly_is_found_from_what_remains_of_it() {
+fn evenly_spread_usage_is_computed_from_its_decayed_part() {
     let steps = 10_000;
     let decayed: f64 = (0..steps)
         .map(|step| 0.001 * DECAY.remaining_share(f64::from(step) + 0.5))
--- a/src/primitives/mean.rs
+++ b/src/primitives/mean.rs
@@ -2,19 +2,19 @@
 
 use super::decay::remaining_share;
 
-/// An EWMA after one more sample: the mean moves towards it by the share `gain` of the difference.
+/// Returns an EWMA after one more sample: the mean moves towards the sample by the share `gain` of the difference.
 pub(crate) fn exponential_mean(mean: f64, sample: f64, gain: f64) -> f64 {
     mean + (sample - mean) * gain
 }
 
-/// An EWMA by samples: the time between them doesn't count. With a gain of 1/n about the last n samples count.
+/// An EWMA over samples, regardless of the time between them. With a gain of 1/n about the last n samples count.
 pub(crate) struct ExponentialMean {
     value: f64,
     gain: f64,
 }
 
 impl ExponentialMean {
-    /// A mean that stands at `initial`; each sample moves it by the share `gain` of the difference.
+    /// Creates a mean with the value `initial`. Each sample moves the mean by the share `gain` of the difference.
     pub(crate) fn new(initial: f64, gain: f64) -> Self {
         ExponentialMean {
             value: initial,
@@ -32,14 +32,14 @@
 }
 
 /// A mean that adapts quickly at first and slowly later: the arithmetic mean of its first samples, and an EWMA once
-/// there are many.
+/// there are many samples.
 pub(crate) struct RunningMean {
     value: f64,
     samples: f64,
 }
 
 impl RunningMean {
-    /// `initial` stands in until the first sample.
+    /// Creates a mean with the value `initial` until the first sample.
     pub(crate) fn new(initial: f64) -> Self {
         RunningMean {
             value: initial,
@@ -51,7 +51,7 @@
         self.value
     }
 
-    /// Adds a sample, with `min_weight` at least.
+    /// Adds a sample with a weight of at least `min_weight`.
     pub(crate) fn record(&mut self, sample: f64, min_weight: f64) {
         self.samples += 1.0;
         let weight = min_weight.max(1.0 / self.samples);
@@ -67,7 +67,7 @@
 }
 
 impl TimeAverage {
-    /// An average of 0; after `time_constant_ms` a past value counts 1/e.
+    /// Creates an average of 0. A past value counts 1/e after `time_constant_ms`.
     pub(crate) fn new(now: f64, time_constant_ms: f64) -> Self {
         TimeAverage {
             value: 0.0,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// The quantity has had the value `current` since the last update.
+    /// Adds the time since the last update, during which the quantity had the value `current`.
     pub(crate) fn update(&mut self, now: f64, current: f64) {
         let remaining = remaining_share(now - self.updated_at, self.time_constant_ms);
         self.value = self.value * remaining + current * (1.0 - remaining);
@@ -88,7 +88,7 @@
     }
 }
 
-/// The rate of events in events per second, as an EWMA over time. Times are in ms.
+/// The rate of events, in events per second, as an EWMA over time. Times are in ms.
 pub(crate) struct EventRate {
     per_second: f64,
     updated_at: f64,
@@ -96,7 +96,7 @@
 }
 
 impl EventRate {
-    /// A rate of 0; after `time_constant_ms` an event counts 1/e.
+    /// Creates a rate of 0. An event counts 1/e after `time_constant_ms`.
     pub(crate) fn new(now: f64, time_constant_ms: f64) -> Self {
         EventRate {
             per_second: 0.0,
@@ -105,7 +105,7 @@
         }
     }
 
-    /// `events` have happened now; 0 lets the rate decay.
+    /// Records `events` that occur now; 0 only lets the rate decay.
     pub(crate) fn record(&mut self, now: f64, events: f64) {
         let remaining = remaining_share(now - self.updated_at, self.time_constant_ms);
         self.per_second = self.per_second * remaining + events * 1000.0 / self.time_constant_ms;
--- a/src/primitives/mean/tests.rs
+++ b/src/primitives/mean/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_time_average_forgets_by_time_and_not_by_updates() {
+fn a_time_average_decays_with_time_and_not_with_updates() {
     let mut once = TimeAverage::new(0.0, 100.0);
     once.update(100.0, 8.0);
     let mut often = TimeAverage::new(0.0, 100.0);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn later_samples_have_the_least_weight_given() {
+fn later_samples_have_the_minimum_weight() {
     let mut mean = RunningMean::new(0.0);
     for _ in 0..100 {
         mean.record(10.0, 0.1);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_rate_of_regular_events_is_found() {
+fn an_event_rate_approaches_the_rate_of_regular_events() {
     let mut rate = EventRate::new(0.0, 1000.0);
     for event in 0..10_000 {
         rate.record(f64::from(event) * 10.0, 1.0);
--- a/src/primitives/mod.rs
+++ b/src/primitives/mod.rs
@@ -1,5 +1,5 @@
-//! Published algorithms that know nothing of settings, customers or endpoints. Their parameters and the reasons of
-//! these are in `policy`.
+//! Published algorithms, independent of settings, customers and endpoints. Their parameters, with the reasons for
+//! these, are in `policy`.
 
 pub(crate) mod backoff;
 pub(crate) mod decay;
--- a/src/primitives/ramp.rs
+++ b/src/primitives/ramp.rs
@@ -1,6 +1,6 @@
 //! A share that rises linearly to 1, as Envoy's slow start does with an aggression of 1.
 
-/// The rise. Times are in ms.
+/// A linear rise of a share from an initial value to 1. Times are in ms.
 pub(crate) struct LinearRamp {
     pub(crate) start: f64,
     pub(crate) duration_ms: f64,
@@ -9,7 +9,7 @@
 }
 
 impl LinearRamp {
-    /// The share at this time; none once it has reached 1.
+    /// Returns the share at this time; none once the share has reached 1.
     pub(crate) fn share_at(&self, now: f64) -> Option<f64> {
         let age_ms = now - self.start;
         if age_ms < self.duration_ms {
--- a/src/primitives/ring.rs
+++ b/src/primitives/ring.rs
@@ -1,16 +1,16 @@
-//! Subsetting by consistent hashing: a hash ring for each zone, and one arc of all these rings. Processes that add the
-//! same nodes have the same rings.
+//! Subsetting by consistent hashing: a hash ring for each zone, and one arc that is cut from all of these rings.
+//! Processes that add the same nodes have the same rings.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Share of the ring between two processes of consecutive index (Fibonacci hashing): the golden ratio spreads any
-/// number of them evenly.
+/// Distance between the positions of two processes of consecutive index, as a share of the ring (Fibonacci hashing):
+/// steps of the golden ratio spread any number of processes evenly.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
 
-/// The number of a node.
+/// The number that identifies a node.
 pub(crate) type NodeId = u32;
 
-/// A node and what places it: the ring of its zone and a key that all processes see alike.
+/// A node and its place: the ring of its zone, and a key that is the same for all processes.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Node {
     pub(crate) id: NodeId,
@@ -18,26 +18,26 @@
     pub(crate) key: u64,
 }
 
-/// The nodes on one arc of all rings. Of each zone, at least the first `min_per_zone` nodes from the start of the arc
-/// are members, also those behind its end.
+/// The nodes on the same arc of all rings. Of each zone, at least the first `min_per_zone` nodes from the start of the
+/// arc are members, even if they are beyond its end.
 #[derive(Default)]
 pub(crate) struct RingArc {
     zones: BTreeMap<u32, BTreeSet<(u64, NodeId)>>,
-    /// Nodes on all rings.
+    /// Number of nodes on all rings.
     node_count: usize,
     start: u64,
     length: u64,
-    /// The length as a share of a ring.
+    /// Length of the arc as a share of a ring.
     share: f64,
     min_per_zone: usize,
-    /// Sorted by id, as of the last update.
+    /// Members as of the last update, sorted by id.
     members: Vec<NodeId>,
-    /// The nodes on the arc may differ from `members`.
+    /// True if the nodes on the arc may differ from `members`.
     is_stale: bool,
 }
 
 impl RingArc {
-    /// An arc of no length.
+    /// Creates an arc of length 0.
     pub(crate) fn new(start: u64, min_per_zone: usize) -> Self {
         RingArc {
             start,
@@ -46,12 +46,12 @@
         }
     }
 
-    /// Number of nodes on all rings.
+    /// Returns the number of nodes on all rings.
     pub(crate) fn node_count(&self) -> usize {
         self.node_count
     }
 
-    /// Puts `new` in the place of `old`; either may be absent.
+    /// Replaces the node `old` by `new`; either may be absent.
     #[inline]
     pub(crate) fn replace(&mut self, old: Option<Node>, new: Option<Node>) {
         if old == new {
@@ -71,7 +71,7 @@
         if ring.insert((position, node.id)) {
             self.node_count += 1;
             let zone_len = ring.len();
-            self.note_change(position, zone_len);
+            self.mark_stale_if_affected(position, zone_len);
         }
     }
 
@@ -83,20 +83,21 @@
         if ring.remove(&(position, node.id)) {
             self.node_count -= 1;
             let zone_len = ring.len();
-            self.note_change(position, zone_len);
+            self.mark_stale_if_affected(position, zone_len);
         }
     }
 
-    /// A node at this position was added or removed; the zone now has `zone_len` nodes.
-    fn note_change(&mut self, position: u64, zone_len: usize) {
+    /// Marks the members as stale if a node added or removed at this position may be among them. The zone now has
+    /// `zone_len` nodes.
+    fn mark_stale_if_affected(&mut self, position: u64, zone_len: usize) {
         let is_on_arc = position.wrapping_sub(self.start) <= self.length;
         if is_on_arc || zone_len <= 2 * self.min_per_zone {
             self.is_stale = true;
         }
     }
 
-    /// Makes the arc this share of a ring. Changes by up to `min_change` of its length are left out, except the last
-    /// one to the full ring.
+    /// Sets the length of the arc to this share of a ring. Changes by up to `min_change` of its length are skipped,
+    /// except the final one to the full ring.
     pub(crate) fn resize(&mut self, share: f64, min_change: f64) {
         let becomes_full = share >= 1.0 && self.share < 1.0;
         if becomes_full || (share - self.share).abs() > self.share * min_change {
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Brings the members up to date; true if they may have changed.
+    /// Updates the members; returns true if they may have changed.
     pub(crate) fn update(&mut self) -> bool {
         if self.is_stale {
             self.members = self.find_members();
@@ -114,7 +115,7 @@
         std::mem::take(&mut self.is_stale)
     }
 
-    /// The members as of the last update, sorted by their numbers.
+    /// Returns the members as of the last update, sorted by id.
     pub(crate) fn members(&self) -> &[NodeId] {
         &self.members
     }
@@ -137,15 +138,16 @@
     }
 }
 
-/// The length of an arc that covers this share of a ring.
+/// Returns the length of an arc that covers this share of a ring.
 fn arc_length(share: f64) -> u64 {
     (share.clamp(0.0, 1.0) * u64::MAX as f64) as u64
 }
 
-/// The position of the process of this index among `count` that are spaced evenly. Consecutive indexes are far apart.
+/// Returns the position of the process with this index among `count` processes that are spaced evenly. Consecutive
+/// indexes are far apart.
 pub(crate) fn evenly_spaced_position(index: u32, count: u32) -> u64 {
     let count = u64::from(count.max(1));
-    // A step without a common divisor visits each position once.
+    // A step that has no common divisor with `count` visits each position once.
     let ideal_step = ((count as f64 * GOLDEN_RATIO) as u64).max(1);
     let candidates = ideal_step..=ideal_step + count;
     let step = candidates
@@ -155,7 +157,8 @@
     arc_length((u64::from(index) * step % count) as f64 / count as f64)
 }
 
-/// Mixes the bits of a key, as keys may be consecutive numbers (the finalizer of `SplitMix64`).
+/// Returns the position of a key on its ring. Mixes the bits of the key (the finalizer of `SplitMix64`), as keys may be
+/// consecutive numbers.
 fn position_of_key(key: u64) -> u64 {
     let mixed = (key ^ key >> 30).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     let mixed = (mixed ^ mixed >> 27).wrapping_mul(0x94D0_49BB_1331_11EB);
--- a/src/primitives/ring/tests.rs
+++ b/src/primitives/ring/tests.rs
@@ -19,14 +19,14 @@
 }
 
 #[test]
-fn a_whole_arc_has_all_nodes_sorted_by_number() {
+fn a_full_arc_has_all_nodes_sorted_by_id() {
     let arc = arc_of(100, 1.0);
     assert_eq!(arc.node_count(), 100);
     assert!(arc.members().iter().copied().eq(0..100));
 }
 
 #[test]
-fn an_arc_has_about_its_share_of_the_nodes_and_the_least_number_of_each_zone() {
+fn an_arc_has_about_its_share_of_the_nodes_and_the_minimum_of_each_zone() {
     let quarter = arc_of(1000, 0.25);
     assert!(
         (200..=300).contains(&quarter.members().len()),
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn small_changes_of_length_are_left_out_except_the_last_to_the_whole_ring() {
+fn small_changes_of_length_are_skipped_except_the_final_one_to_the_full_ring() {
     let mut arc = arc_of(1000, 0.9);
     arc.resize(0.95, 0.15);
     assert!(!arc.update());
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn each_process_has_a_position_of_its_own() {
+fn each_process_has_its_own_position() {
     for count in [1, 2, 3, 10, 90, 720] {
         let mut positions: Vec<_> = (0..count)
             .map(|index| evenly_spaced_position(index, count))
--- a/src/primitives/token_bucket.rs
+++ b/src/primitives/token_bucket.rs
@@ -1,13 +1,13 @@
-//! A token bucket: tokens are added up to a capacity, and whatever the bucket permits takes some.
+//! A token bucket: tokens are added up to a capacity, and each permitted action takes some.
 
-/// A token bucket. Rate and capacity are the caller's, as they may change from one refill to the next.
+/// A token bucket. The caller passes rate and capacity, as these may change from one refill to the next.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TokenBucket {
     tokens: f64,
 }
 
 impl TokenBucket {
-    /// A bucket that holds these tokens.
+    /// Creates a bucket with these tokens.
     pub(crate) fn new(tokens: f64) -> Self {
         TokenBucket { tokens }
     }
@@ -17,12 +17,12 @@
         self.tokens = (self.tokens + tokens).min(capacity);
     }
 
-    /// Whether it holds at least these tokens.
+    /// Returns whether the bucket holds at least these tokens.
     pub(crate) fn has(self, tokens: f64) -> bool {
         self.tokens >= tokens
     }
 
-    /// Removes tokens, whether they are there or not.
+    /// Removes tokens. The number of tokens may become negative.
     pub(crate) fn take(&mut self, tokens: f64) {
         self.tokens -= tokens;
     }
--- a/src/primitives/token_bucket/tests.rs
+++ b/src/primitives/token_bucket/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn tokens_that_are_not_there_can_be_taken_and_must_be_refilled_first() {
+fn more_tokens_than_there_are_can_be_taken_and_must_be_refilled_first() {
     let mut bucket = TokenBucket::new(1.0);
     bucket.take(3.0);
     bucket.refill(2.0, 10.0);
--- a/src/primitives/window.rs
+++ b/src/primitives/window.rs
@@ -2,12 +2,12 @@
 
 /// Multiplier of a multiplicative hash: 2^64 over the golden ratio.
 const HASH_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
-/// Bits of the hash that place a key's boundaries.
+/// Number of bits of the hash that set the offset of a key's boundaries.
 const OFFSET_BITS: u32 = 24;
 
 /// One window of a key. Times are in ms.
 pub(crate) struct Window {
-    /// Counts up from one window of the key to the next.
+    /// Number of the window; it increases by 1 from one window of the key to the next.
     pub(crate) number: u64,
     pub(crate) start: f64,
     /// Time until the next window of the key begins.
@@ -15,7 +15,7 @@
 }
 
 impl Window {
-    /// The window of `key` at the time `now`, where windows last `length_ms`.
+    /// Returns the window of `key` at the time `now`, where windows last `length_ms`.
     pub(crate) fn at(now: f64, key: u64, length_ms: f64) -> Self {
         let hash = key.wrapping_mul(HASH_MULTIPLIER) >> (u64::BITS - OFFSET_BITS);
         let offset = hash as f64 / (1u64 << OFFSET_BITS) as f64;
