--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -1,8 +1,8 @@
-//! Each reason for which a request is forwarded or rejected, by itself.
+//! Admission decisions: each reason for forwarding or rejecting a request is tested separately.
 
 use super::*;
 
-/// Of a customer within its limits.
+/// Inputs of a customer within its limits.
 fn customer() -> CustomerInputs {
     CustomerInputs {
         has_quota: true,
@@ -13,7 +13,7 @@
     }
 }
 
-/// Of a fleet with capacity, where a request over a limit does not pay.
+/// Inputs of a fleet with capacity, where serving a request over a limit is not worth its cost.
 fn load() -> LoadInputs {
     LoadInputs {
         expected_latency_ms: 100.0,
@@ -24,7 +24,7 @@
     }
 }
 
-fn load_where_over_quota_pays(expected_latency_ms: Millis) -> LoadInputs {
+fn load_where_over_limit_is_worthwhile(expected_latency_ms: Millis) -> LoadInputs {
     LoadInputs {
         expected_latency_ms,
         over_quota_weight: 0.6,
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn limits_are_reached_by_the_request_itself_and_may_be_absent() {
+fn a_request_may_reach_a_limit_exactly_and_a_plan_may_have_no_limits() {
     let cases = [
         CustomerInputs {
             available_units: 3.0,
@@ -89,11 +89,11 @@
 }
 
 #[test]
-fn a_request_is_rejected_when_its_expected_latency_is_too_large_a_share_of_its_objective() {
+fn a_request_is_rejected_if_its_expected_latency_is_too_large_a_share_of_its_usable_time() {
     for (expected_latency_ms, usable_time_ms, admission) in [
         (400.0, 1000.0, Admission::Charge),
         (401.0, 1000.0, Admission::Reject(RejectReason::Overloaded)),
-        // A client that gives up early counts by its own time.
+        // For a client that gives up early, its own time-out limits the expected latency.
         (100.0, 200.0, Admission::Reject(RejectReason::Overloaded)),
         (0.0, -1.0, Admission::Charge),
         (
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_request_over_a_limit_is_forwarded_where_it_pays_and_the_fleet_has_capacity() {
+fn a_request_over_a_limit_is_forwarded_if_it_is_worth_its_cost_and_the_fleet_has_capacity() {
     let over_quota = CustomerInputs {
         available_units: 0.0,
         ..customer()
@@ -122,7 +122,7 @@
     let forwarded = Admission::ForwardOverLimit(Limit::Quota);
     let rejected = Admission::Reject(RejectReason::OverLimit(Limit::Quota));
     for (expected_latency_ms, expected) in [(349.0, forwarded), (350.0, rejected)] {
-        let load = load_where_over_quota_pays(expected_latency_ms);
+        let load = load_where_over_limit_is_worthwhile(expected_latency_ms);
         let admission = decide_on_arrival(&over_quota, &load);
         assert_eq!(admission, expected);
         assert!(admission.is_over_limit());
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn after_the_wait_the_counted_units_decide() {
+fn the_counted_units_decide_after_the_wait() {
     let overloaded = || LoadInputs {
         expected_latency_ms: f64::INFINITY,
         ..load()
@@ -141,7 +141,7 @@
         Admission::Reject(RejectReason::OverLimit(Limit::Quota))
     );
     assert_eq!(
-        decide_after_wait(3.0, 2.9, || load_where_over_quota_pays(100.0)),
+        decide_after_wait(3.0, 2.9, || load_where_over_limit_is_worthwhile(100.0)),
         Admission::ForwardOverLimit(Limit::Quota)
     );
 }
--- a/src/policy/customer_quota/tests.rs
+++ b/src/policy/customer_quota/tests.rs
@@ -11,7 +11,7 @@
     ceiling_rate: 0.0,
     ceiling_burst: 0.0,
 };
-/// A time in the middle of a window of the customer 0.
+/// A time in the middle of a window of customer 0.
 const NOW: Millis = 25_000.0;
 
 fn limits() -> QuotaLimits {
@@ -23,7 +23,8 @@
     Customer::new(NOW, quota, TokenBucket::new(0.0))
 }
 
-/// The units that the next charge carries, after the reply to a charge of 4 units had this result.
+/// Returns the unsettled units that the next charge carries after the reply to a charge of 4 units had this
+/// result.
 fn unsettled_after(result: ChargeResult) -> f64 {
     let mut customer = customer();
     let charge = customer.quota.charge(NOW, 4.0, limits());
@@ -31,23 +32,23 @@
     customer.quota.unsettled_units
 }
 
-/// The connection to the counter can't be opened, and a charge is lost. Its units have to be charged later, or the
-/// customer could use them again at other gateways.
+/// The connection to the counter can't be opened, and a charge is lost. Its units have to be charged later,
+/// or the customer could use them again at other gateways.
 #[test]
 fn a_charge_that_was_not_counted_is_settled_later() {
     assert_eq!(unsettled_after(ChargeResult::NotCounted), 4.0);
 }
 
-/// A call to the counter times out, and its charge may be on the count. Charged again it could count twice, and the
-/// customer would lose quota that it hasn't used.
+/// A call to the counter times out, and its charge may have been counted. If the units were charged again,
+/// they could count twice, and the customer would lose quota that it hasn't used.
 #[test]
 fn a_charge_that_may_have_been_counted_is_not_charged_again() {
     assert_eq!(unsettled_after(ChargeResult::MayHaveCounted), 0.0);
     assert_eq!(unsettled_after(ChargeResult::Counted { total: 1.0 }), 0.0);
 }
 
-/// The counter is short of capacity. Its totals lack what could not be charged, and would grant those units again: the
-/// level of gossip must not follow them.
+/// The counter is short of capacity. Its totals lack the units that could not be charged and would grant them
+/// again, so the gossip level must not follow the totals.
 #[test]
 fn totals_correct_the_gossip_level_only_while_no_usage_is_exchanged() {
     for gossip_active in [false, true] {
@@ -63,7 +64,7 @@
 }
 
 #[test]
-fn requests_that_wait_for_the_counter_have_their_units_reserved() {
+fn units_of_requests_that_wait_for_the_counter_are_reserved() {
     let mut customer = customer();
     customer.reserved_units = 4.0;
     assert_eq!(customer.available_units(PLAN.burst, false), 6.0);
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn half_of_the_time_in_which_missing_units_are_refilled_is_the_time_to_retry_after() {
+fn retry_after_is_half_of_the_time_in_which_missing_units_are_refilled() {
     assert_eq!(retry_after_ms(&PLAN, 5.0, 1.0), 1000.0);
     assert_eq!(retry_after_ms(&PLAN, 5.0, 6.0), 0.0);
     assert_eq!(
@@ -87,7 +88,7 @@
         plans: vec![plan],
         ..Settings::default()
     };
-    // A time constant of 1.25 times burst over rate.
+    // The time constant is 1.25 times burst divided by rate.
     assert_eq!(idle_timeout_ms(&settings(PLAN)), 3.0 * 6250.0);
     assert_eq!(idle_timeout_ms(&settings(Plan::default())), MIN_IDLE_MS);
     let with_ceiling = Plan {
--- a/src/policy/final_response/tests.rs
+++ b/src/policy/final_response/tests.rs
@@ -22,7 +22,7 @@
     }
 }
 
-/// Of a request that may have been executed and must not be executed again.
+/// Inputs of a request that may have been executed and must not be executed again.
 fn inputs() -> ResponseInputs<'static> {
     ResponseInputs {
         reason: EndReason::NoEndpoint,
@@ -42,8 +42,8 @@
     }
 }
 
-/// A client that is told "rejected" sends its request again. If an endpoint has executed the first one, an
-/// order would be placed twice; it has to fail instead.
+/// A client sends a rejected request again. If an endpoint has executed the first one, an order would be
+/// placed twice, so the request has to fail instead.
 #[test]
 fn a_request_that_may_have_been_executed_is_rejected_only_if_a_retry_is_safe() {
     for (idempotency, expected) in [
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn the_advice_follows_from_the_reason() {
+fn retry_after_depends_on_the_reason() {
     for (reason, expected_ms) in [
         (OVER_QUOTA, 700.0),
         (EndReason::Rejected(RejectReason::Overloaded), 60.0),
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn the_advice_is_as_long_as_clients_follow_and_absent_where_it_is_not_permitted() {
+fn retry_after_is_limited_and_may_be_turned_off() {
     let not_permitted = Limits {
         retry_after: false,
         ..LIMITS
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn each_response_is_one_action() {
+fn each_response_has_its_action() {
     let rejected = UnservedResponse::invalid(InvalidRequest::UnknownClass);
     let expected = Action::Reject {
         id: 3,
--- a/src/policy/retry/tests.rs
+++ b/src/policy/retry/tests.rs
@@ -1,4 +1,4 @@
-//! Each reason for which a request is not sent, or not sent again, by itself.
+//! Rules for retries and attempts: each reason for a denial is tested separately.
 
 use super::*;
 use crate::api::KeyScope;
@@ -11,10 +11,10 @@
     window_ms: WINDOW_MS,
 };
 
-/// What makes the inputs lead to another decision.
+/// A change to inputs that leads to another decision.
 type Change<Inputs> = fn(&mut Inputs);
 
-/// Of an idempotent request whose connection was reset with time left.
+/// Inputs of an idempotent request whose connection was reset with time left.
 fn retry_inputs() -> RetryInputs {
     RetryInputs {
         now: NOW,
@@ -38,7 +38,7 @@
         (RetryDenial::PastObjective, |i| {
             i.objective_deadline = NOW + 50.0;
         }),
-        // A response that came too late would have no value, whether or not the attempt was executed.
+        // A response after the objective would have no value, whether or not the attempt was executed.
         (RetryDenial::PastObjective, |i| {
             i.outcome = Outcome::Rejected;
             i.objective_deadline = NOW + 50.0;
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn only_a_retry_of_what_may_have_been_executed_uses_the_budget() {
+fn only_a_retry_after_a_possible_execution_uses_the_budget() {
     for (outcome, uses_budget) in [
         (Outcome::ErrorResponse, true),
         (Outcome::Timeout, true),
@@ -74,9 +74,10 @@
     }
 }
 
-/// What no endpoint has executed can't be executed twice, so neither idempotency nor the budget matters.
+/// A request that no endpoint has executed can't be executed twice, so neither its idempotency nor the budget
+/// matters.
 #[test]
-fn what_was_never_executed_is_retried_without_budget_and_idempotency() {
+fn a_request_that_was_never_executed_is_retried_without_budget_and_idempotency() {
     for outcome in [Outcome::Rejected, Outcome::ConnectFailed] {
         let inputs = RetryInputs {
             outcome,
@@ -90,7 +91,7 @@
 }
 
 #[test]
-fn a_late_response_that_has_value_is_worth_a_retry() {
+fn a_request_is_retried_past_its_objective_if_a_late_response_has_value() {
     let inputs = RetryInputs {
         late_weight: 0.5,
         objective_deadline: NOW - 100.0,
@@ -100,7 +101,7 @@
     assert_eq!(decide_retry(&inputs), allowed);
 }
 
-/// Of a request that has had one attempt, which may have been executed 300 ms ago.
+/// Inputs of a request with one attempt, which may have been executed 300 ms ago.
 fn attempt_inputs() -> AttemptInputs {
     AttemptInputs {
         now: NOW,
@@ -133,17 +134,17 @@
     }
 }
 
-/// A program that stalls between its decision and the first byte must not send a retry after the key's
-/// window.
+/// A program may stall between its decision and the first byte. It must not send a retry after the key's
+/// window even then.
 #[test]
-fn a_retry_with_a_key_has_to_start_within_the_window_less_a_stall() {
+fn a_retry_with_a_key_has_to_start_within_the_window_less_the_longest_stall() {
     let start_timeout_ms = WINDOW_MS - 300.0 - MAX_WRITE_DELAY_MS;
     let allowed = AttemptDecision::Allowed { start_timeout_ms };
     assert_eq!(decide_attempt(&attempt_inputs()), allowed);
 }
 
 #[test]
-fn an_attempt_that_executes_nothing_twice_may_start_at_any_time() {
+fn an_attempt_not_bound_to_a_key_window_may_start_at_any_time() {
     let unlimited = AttemptDecision::Allowed {
         start_timeout_ms: f64::INFINITY,
     };
@@ -162,7 +163,7 @@
 }
 
 #[test]
-fn a_first_attempt_is_permitted_whatever_the_limit_and_a_retry_whatever_the_ceiling() {
+fn the_attempt_limit_excludes_first_attempts_and_the_ceiling_excludes_retries() {
     let first = AttemptInputs {
         attempts: 0,
         max_attempts: 0,
@@ -179,7 +180,7 @@
 }
 
 #[test]
-fn the_budget_permits_the_saved_retries_and_one_for_ten_requests() {
+fn the_budget_permits_the_saved_retries_and_one_per_ten_requests() {
     let mut budget = RetryBudget::new();
     for _ in 0..10 {
         assert!(budget.has_retry());
--- a/src/policy/shared_quota/tests.rs
+++ b/src/policy/shared_quota/tests.rs
@@ -5,10 +5,10 @@
     burst: 10.0,
     max_deficit: 4.0,
 };
-/// A time in the middle of a window of the customer 0.
+/// A time in the middle of a window of customer 0.
 const START: f64 = 25_000.0;
 
-/// Uses units and adds them to the count; the total is applied.
+/// Charges units, applies the total that the counter returns, and takes the units from the level.
 fn use_units(quota: &mut SharedQuota, total: &mut f64, now: f64, units: f64) {
     quota.refill(now, LIMITS, PeerUsage::AwaitTotal);
     let charge = quota.charge(now, units, LIMITS);
@@ -17,16 +17,16 @@
     quota.take(units);
 }
 
-/// A gateway sees a customer for the first time, while the customer uses its quota at other gateways. A full quota here
-/// would let it exceed its plan: the first total has to show what the others used.
+/// A gateway gets its first request of a customer that uses its quota at other gateways. With a full quota
+/// here the customer could exceed its plan. The first total has to show the usage at the other gateways.
 #[test]
-fn a_gateway_learns_from_one_total_what_the_others_used() {
+fn the_first_total_shows_the_usage_at_the_peers() {
     let mut first = SharedQuota::new(0, START, LIMITS.burst);
     let mut second = SharedQuota::new(0, START, LIMITS.burst);
     let mut total = 0.0;
     use_units(&mut first, &mut total, START, 6.0);
     use_units(&mut second, &mut total, START, 1.0);
-    // The limit of the count is 1.25 times the burst.
+    // The capacity of the count is 1.25 times the burst.
     assert!(
         (second.level - (12.5 - 7.0)).abs() < 1e-6,
         "{}",
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn usage_by_the_others_between_two_totals_lowers_the_level_and_gives_their_rate() {
+fn usage_at_the_peers_between_two_totals_lowers_the_level_and_updates_their_rate() {
     let mut first = SharedQuota::new(0, START, LIMITS.burst);
     let mut second = SharedQuota::new(0, START, LIMITS.burst);
     let mut total = 0.0;
@@ -46,10 +46,10 @@
     assert!(first.peer_rate > 0.5, "{}", first.peer_rate);
 }
 
-/// The counter restarts and has lost its counts, so that its totals are small. Taken as they are, they would grant
-/// each customer its quota again: the level has to stay.
+/// The counter restarts and loses its counts, so its totals are small. Applied as they are, they would grant
+/// each customer its quota again. The level has to stay.
 #[test]
-fn a_total_below_the_own_contribution_grants_nothing() {
+fn a_total_below_the_own_count_grants_nothing() {
     let mut quota = SharedQuota::new(0, START, LIMITS.burst);
     use_units(&mut quota, &mut 0.0, START, 9.0);
     let before = quota.level;
@@ -57,8 +57,8 @@
     assert_eq!(quota.level, before);
 }
 
-/// A reply is late, and a new window has begun meanwhile. Its total holds usage that the new count doesn't: the level
-/// has to stay.
+/// A reply arrives after a new window has begun. Its total contains usage that the new count doesn't contain.
+/// The level has to stay.
 #[test]
 fn the_total_of_an_earlier_window_changes_nothing() {
     let mut quota = SharedQuota::new(0, START, LIMITS.burst);
@@ -67,7 +67,8 @@
     assert_eq!(quota.level, LIMITS.burst);
 }
 
-/// The counter was down, and units could not be charged. They have to reach the count with the next charge, once.
+/// The counter was down, and units could not be charged. They have to reach the count with the next charge,
+/// and only once.
 #[test]
 fn unsettled_units_decay_and_are_charged_once() {
     let mut quota = SharedQuota::new(0, START, LIMITS.burst);
@@ -77,8 +78,8 @@
     assert!((quota.charge(START, 1.0, LIMITS).weighted_units / single - 1.0).abs() < 1e-9);
 }
 
-/// Calls to the counter are few, and the usage at the peers is extrapolated. If they stopped meanwhile, the customer
-/// would be short of quota: the next total has to give it back.
+/// Calls to the counter are rare, and usage at the peers is extrapolated. If the peers have stopped, the
+/// customer is short of quota until the next total, which has to give the quota back.
 #[test]
 fn extrapolated_usage_is_corrected_by_the_next_total() {
     let mut extrapolated = SharedQuota::new(0, START, LIMITS.burst);
@@ -93,7 +94,7 @@
         extrapolated.level < level + LIMITS.rate,
         "the peers are assumed to continue"
     );
-    // They stopped.
+    // The peers have stopped.
     use_units(&mut extrapolated, &mut total, START + 2000.0, 0.0);
     assert!(
         (extrapolated.level - level - LIMITS.rate).abs() < 0.2,
