--- a/src/policy/attempt_timeout.rs
+++ b/src/policy/attempt_timeout.rs
@@ -1,9 +1,9 @@
 //! The time-out of one attempt.
 //!
-//! An attempt may usually take until its client gives up. It ends shortly before the latency objective
-//! instead if two conditions hold: a response after the objective has no value, and a request that ends
-//! unserved after its objective costs more than wasted work. The work is wasted because the endpoint still
-//! completes it.
+//! An attempt may usually take until its client gives up. The attempt ends shortly before the latency
+//! objective instead if two conditions hold: a response after the objective has no value, and a request that
+//! ends unserved after its objective costs more than wasted work. An early end wastes work, as the endpoint
+//! completes the request all the same.
 
 use crate::api::{Millis, Prices};
 
--- a/src/policy/call_limiter.rs
+++ b/src/policy/call_limiter.rs
@@ -14,7 +14,7 @@
 const MIN_RATE: f64 = 0.2;
 /// Maximum rate, in calls per second.
 const MAX_RATE: f64 = 10_000.0;
-/// Factor by which a failure cuts the rate.
+/// Factor on the rate after a failure.
 const DECREASE_FACTOR: f64 = 0.75;
 /// Calls per second that each success adds to the rate, in addition to a share of the rate.
 const ADDITIVE_INCREASE: f64 = 0.02;
--- a/src/policy/counter_wait.rs
+++ b/src/policy/counter_wait.rs
@@ -14,7 +14,7 @@
 /// Weight of one reply in the typical reply time.
 const REPLY_TIME_GAIN: f64 = 0.05;
 
-/// Adapts the wait for the counter to its reply times.
+/// Adapts the wait for the counter to the counter's reply times.
 #[derive(Default)]
 pub(super) struct CounterWait {
     /// The typical reply time, in ms; none before the first reply.
--- a/src/policy/customer_quota.rs
+++ b/src/policy/customer_quota.rs
@@ -2,8 +2,8 @@
 //! after which both must be full again.
 //!
 //! `Customer::quota` is corrected by the totals of the shared counter. While the counter is short of
-//! capacity, totals are rare and gateways exchange usage by gossip. `Customer::gossip_level` is corrected by
-//! these messages instead, as the totals lack the units that could not be charged.
+//! capacity, totals are rare and gateways exchange usage by gossip. `Customer::gossip_level` is then
+//! corrected by the gossip messages and not by the totals, which lack the units that could not be charged.
 
 use crate::api::{Millis, Plan, Settings};
 use crate::policy::shared_quota::{refill_time_s, time_constant_s, PeerUsage, QuotaLimits};
--- a/src/policy/load_balancer.rs
+++ b/src/policy/load_balancer.rs
@@ -1,7 +1,7 @@
 //! Load balancing: the endpoints as known to this gateway, and the choice of an endpoint for each attempt.
 //!
-//! With few endpoints the choice is the one of least cost among all. With many, it is the one of least cost
-//! among a few random members of the subset (power of two choices).
+//! With few endpoints, an attempt goes to the endpoint of least cost among all. With many, it goes to the
+//! endpoint of least cost among a few random members of the subset (power of two choices).
 
 use crate::api::{AttemptEnd, Class, Endpoint, EndpointId, Millis, Outcome, Settings};
 use crate::policy::avoidance::AvoidanceScope;
@@ -156,7 +156,7 @@
         EndpointComparison::new(cx, open, first_executor, baseline_ms)
     }
 
-    /// Refills the tokens of the members that are warming up to now.
+    /// Refills, up to now, the tokens of the members that are warming up.
     fn refill_warming_members(&mut self, cx: &Context) {
         self.update_subset();
         let capacity = self
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -13,7 +13,8 @@
 /// Weight of one outcome in the rate of invalid responses of the fleet.
 const FLEET_INVALID_RATE_GAIN: f64 = 0.02;
 /// Margin by which the rate of invalid responses of an endpoint has to exceed that of the fleet for an
-/// invalid response to count as a failure. A request may be invalid at any endpoint.
+/// invalid response to count as a failure. The margin allows for requests that lead to an invalid response at
+/// any endpoint.
 const INVALID_RATE_MARGIN: f64 = 0.3;
 
 /// Distinguishes faulty endpoints from a fleet that fails as a whole.
--- a/src/policy/overload.rs
+++ b/src/policy/overload.rs
@@ -1,8 +1,8 @@
 //! The expected latency of a request that is admitted now, by which the gateway sheds load.
 //!
 //! The estimate is based on this gateway's own attempts. It therefore reflects whatever slows the fleet:
-//! other gateways, other work on its machines, costly requests. It rises at once with each attempt that is
-//! sent.
+//! other gateways, other work on the endpoints' machines, costly requests. The estimate rises at once with
+//! each attempt that is sent.
 
 use crate::api::Millis;
 use crate::policy::load_estimate::LoadEstimate;
--- a/src/policy/shared_quota.rs
+++ b/src/policy/shared_quota.rs
@@ -28,8 +28,8 @@
 const WINDOW_TIME_CONSTANTS: f64 = 20.0;
 /// The shortest window, in ms.
 const MIN_WINDOW_MS: Millis = 100.0;
-/// The longest window, in ms. It must be shorter than the longest life of a key at the counter, or a count
-/// would expire before its window ends.
+/// The longest window, in ms: shorter than the longest life of a key at the counter, as a count would expire
+/// before its window ends otherwise.
 const MAX_WINDOW_MS: Millis = 50_000.0;
 /// Longest life of a key that the counter allows, in ms.
 const MAX_KEY_TTL_MS: Millis = 60_000.0;
@@ -41,7 +41,8 @@
 const MIN_TOTAL_INTERVAL_MS: Millis = 1.0;
 /// Longest time after the last total for which the usage at the peers is extrapolated, in ms.
 const MAX_EXTRAPOLATION_MS: Millis = 10_000.0;
-/// Share of the burst by which the level may fall below 0, unless the units of one request are more.
+/// Share of the burst by which the level may fall below 0, unless the largest request (`Settings::max_units`)
+/// takes more units.
 const MAX_DEFICIT_PER_BURST: f64 = 0.25;
 
 /// The limits of a customer's quota, from its plan.
@@ -51,7 +52,7 @@
     pub(crate) rate: f64,
     /// Units of the full quota.
     pub(crate) burst: f64,
-    /// How far the level may fall below 0, in units.
+    /// Units by which the level may fall below 0.
     pub(crate) max_deficit: f64,
 }
 
@@ -98,7 +99,7 @@
     (charge.window_remaining_ms + MAX_KEY_TTL_MS - MAX_WINDOW_MS).min(MAX_KEY_TTL_MS)
 }
 
-/// Treatment, by a refill, of usage at the peers since the last total.
+/// Mode of a refill: the treatment of usage at the peers since the last total.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PeerUsage {
     /// Usage at the peers is ignored: the next total is due soon and shows it.
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -11,8 +11,8 @@
 /// endpoint has no capacity for yet.
 const MAX_TOKENS: f64 = 1.0;
 /// Highest rate of attempts to an endpoint, as a share of the overload multiple: the multiple of the usual
-/// rate that overloads the endpoint. Gateways differ in load, and this share leaves room for those that send
-/// more than the average.
+/// rate that overloads the endpoint. Gateways differ in load, and this share leaves room for gateways that
+/// send more than the average.
 const MAX_OVERLOAD_SHARE: f64 = 0.5;
 
 /// Returns the warm-up of an endpoint that has started recently according to the endpoint list, or that is
--- a/src/primitives/forward_decay.rs
+++ b/src/primitives/forward_decay.rs
@@ -4,7 +4,7 @@
 //! A usage counts in full at first, and its share falls by a factor of e in each time constant `T`. As the counter can
 //! only add, earlier usages can't decay in it. Later usages are instead added with a larger weight: a usage at the time
 //! `t` is multiplied by `exp(-(end - t) / T)`, the share of it that remains at a fixed time `end`, the end of a window.
-//! The usage as decayed by now is the count divided by the present weight.
+//! The usage as decayed by now is the count divided by the weight that a usage has now.
 //!
 //! Example with `T` = 10 s and `end` = 20 s:
 //!
