--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -10,7 +10,7 @@
 use crate::api::Millis;
 
 /// Largest expected latency at which a request is admitted, as a share of its usable time: the time to its
-/// latency objective or to its client's time-out, whichever is shorter.
+/// latency objective or to its client's timeout, whichever is shorter.
 const MAX_EXPECTED_LATENCY_SHARE: f64 = 0.4;
 /// Expected latency below which a request over a limit may be forwarded, as a share of the latency objective
 /// of its class.
@@ -79,7 +79,7 @@
     pub(super) expected_latency_ms: Millis,
     /// Latency objective of the request's class.
     pub(super) latency_objective_ms: Millis,
-    /// Time from the request's arrival to its latency objective or its client's time-out, whichever is
+    /// Time from the request's arrival to its latency objective or its client's timeout, whichever is
     /// shorter.
     pub(super) usable_time_ms: Millis,
     /// Share of its value that a request keeps when it is served over a limit.
--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -93,7 +93,7 @@
     for (expected_latency_ms, usable_time_ms, admission) in [
         (400.0, 1000.0, Admission::Charge),
         (401.0, 1000.0, Admission::Reject(RejectReason::Overloaded)),
-        // For a client that gives up early, its own time-out limits the expected latency.
+        // For a client that gives up early, its own timeout limits the expected latency.
         (100.0, 200.0, Admission::Reject(RejectReason::Overloaded)),
         (0.0, -1.0, Admission::Charge),
         (
@@ -108,7 +108,10 @@
             ..load()
         };
         let decided = decide_on_arrival(&customer(), &load);
-        assert_eq!(decided, admission, "{expected_latency_ms}/{usable_time_ms}");
+        assert_eq!(
+            decided, admission,
+            "expected {expected_latency_ms} ms of {usable_time_ms} ms"
+        );
         assert!(!decided.is_over_limit());
     }
 }
--- a/src/policy/attempt_timeout.rs
+++ b/src/policy/attempt_timeout.rs
@@ -1,4 +1,4 @@
-//! The time-out of one attempt.
+//! The timeout of one attempt.
 //!
 //! An attempt may usually take until its client gives up. The attempt ends shortly before the latency
 //! objective instead if two conditions hold: a response after the objective has no value, and a request that
@@ -7,18 +7,18 @@
 
 use crate::api::{Millis, Prices};
 
-/// Time by which an early time-out precedes the latency objective, in ms, so that the final response arrives
+/// Time by which an early timeout precedes the latency objective, in ms, so that the final response arrives
 /// in time.
 const EARLY_TIMEOUT_MARGIN_MS: Millis = 4.0;
-/// Number of ticks by which an early time-out precedes the latency objective in addition. A tick is the
-/// shortest time between two calls of the library: one may pass before the time-out is noticed, and one
+/// Number of ticks by which an early timeout precedes the latency objective in addition. A tick is the
+/// shortest time between two calls of the library: one may pass before the timeout is noticed, and one
 /// before the response is given.
 const EARLY_TIMEOUT_MARGIN_TICKS: f64 = 2.0;
-/// The shortest early time-out, in ms. It applies to attempts that are sent so late that their early time-out
-/// would have passed, as the rules for sending attempts (`retry`) don't consider the early time-out.
+/// The shortest early timeout, in ms. It applies to attempts that are sent so late that their early timeout
+/// would have passed, as the rules for sending attempts (`retry`) don't consider the early timeout.
 const MIN_EARLY_TIMEOUT_MS: Millis = 1.0;
 
-/// Inputs of the time-out of an attempt. Times and durations are in ms.
+/// Inputs of the timeout of an attempt. Times and durations are in ms.
 pub(super) struct TimeoutInputs<'a> {
     /// Time at which the attempt starts.
     pub(super) now: Millis,
--- a/src/policy/avoidance/tests.rs
+++ b/src/policy/avoidance/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn avoided(outcome: Outcome, request_rate: f64) -> EndpointHealth {
+fn health_after(outcome: Outcome, request_rate: f64) -> EndpointHealth {
     let mut health = EndpointHealth::default();
     if let Some(scope) = AvoidanceScope::new(outcome, 1, 3) {
         health.avoid(0.0, &scope, request_rate);
@@ -10,7 +10,7 @@
 
 #[test]
 fn an_endpoint_that_rejects_a_request_is_avoided_for_its_plan() {
-    let health = avoided(Outcome::Rejected, 1000.0);
+    let health = health_after(Outcome::Rejected, 1000.0);
     assert!(health.is_rejecting(0.0, 1));
     assert!(!health.is_rejecting(0.0, 0) && !health.is_rejecting(0.0, 2));
     assert!(!health.is_rejecting(MIN_AVOIDANCE_MS, 1));
@@ -20,7 +20,7 @@
 /// let requests of the other plans fail.
 #[test]
 fn an_endpoint_that_accepts_no_connection_is_avoided_for_all_plans() {
-    let health = avoided(Outcome::ConnectFailed, 1000.0);
+    let health = health_after(Outcome::ConnectFailed, 1000.0);
     assert!((0..3).all(|plan| health.is_rejecting(0.0, plan)));
 }
 
@@ -35,7 +35,7 @@
         Outcome::NotSent,
     ] {
         assert!(
-            !avoided(outcome, 1000.0).is_rejecting_any(0.0),
+            !health_after(outcome, 1000.0).is_rejecting_any(0.0),
             "{outcome:?}"
         );
     }
@@ -46,7 +46,7 @@
 /// number of requests.
 #[test]
 fn a_gateway_with_few_requests_avoids_an_endpoint_for_longer() {
-    let health = avoided(Outcome::Rejected, 10.0);
+    let health = health_after(Outcome::Rejected, 10.0);
     assert!(health.is_rejecting(MIN_AVOIDANCE_REQUESTS * 100.0 - 1.0, 1));
     assert!(!health.is_rejecting(MIN_AVOIDANCE_REQUESTS * 100.0, 1));
 }
--- a/src/policy/connections.rs
+++ b/src/policy/connections.rs
@@ -2,7 +2,7 @@
 
 use crate::api::Limits;
 
-/// Share of the idle time-out after which an idle connection counts as closed.
+/// Share of the idle timeout after which an idle connection counts as closed.
 const USABLE_IDLE_SHARE: f64 = 0.5;
 /// Minimum average number of uses for which another connection is worth its handshake. Uses are counted over
 /// the time until an idle connection counts as closed.
--- a/src/policy/load_balancer.rs
+++ b/src/policy/load_balancer.rs
@@ -137,8 +137,8 @@
             return None;
         }
         let sample = self.sample(cx, rng);
-        let of_sample = comparison.best(sample.iter().copied(), rng);
-        of_sample.filter(Candidate::is_preferred).or_else(|| {
+        let best_of_sample = comparison.best(sample.iter().copied(), rng);
+        best_of_sample.filter(Candidate::is_preferred).or_else(|| {
             let members = self.endpoints.select(self.subset.members());
             comparison
                 .best(members, rng)
--- a/src/policy/load_estimate/tests.rs
+++ b/src/policy/load_estimate/tests.rs
@@ -29,7 +29,7 @@
         let expected_ms = estimate_under_steady_load(latency_ms).expected_latency(50.0, 500.0);
         assert!(
             (expected_ms - latency_ms).abs() < latency_ms * 0.1,
-            "{expected_ms} for {latency_ms}"
+            "expected {expected_ms} ms at a latency of {latency_ms} ms"
         );
     }
 }
--- a/src/policy/shared_quota/tests.rs
+++ b/src/policy/shared_quota/tests.rs
@@ -29,7 +29,7 @@
     // The capacity of the count is 1.25 times the burst.
     assert!(
         (second.level - (12.5 - 7.0)).abs() < 1e-6,
-        "{}",
+        "level {}",
         second.level
     );
 }
@@ -42,8 +42,12 @@
     use_units(&mut first, &mut total, START, 0.0);
     use_units(&mut second, &mut total, START + 500.0, 3.0);
     use_units(&mut first, &mut total, START + 1000.0, 0.0);
-    assert!(first.level > 8.0 && first.level < 10.0, "{}", first.level);
-    assert!(first.peer_rate > 0.5, "{}", first.peer_rate);
+    assert!(
+        first.level > 8.0 && first.level < 10.0,
+        "level {}",
+        first.level
+    );
+    assert!(first.peer_rate > 0.5, "peer rate {}", first.peer_rate);
 }
 
 /// The counter restarts and loses its counts, so its totals are small. Applied as they are, they would grant
@@ -98,7 +102,7 @@
     use_units(&mut extrapolated, &mut total, START + 2000.0, 0.0);
     assert!(
         (extrapolated.level - level - LIMITS.rate).abs() < 0.2,
-        "{} {level}",
+        "level {} after {level}",
         extrapolated.level
     );
 }
--- a/src/primitives/mean/tests.rs
+++ b/src/primitives/mean/tests.rs
@@ -28,13 +28,13 @@
     }
     assert!(
         (rate.per_second() - 50.0).abs() < 1.0,
-        "{}",
+        "{} per second",
         rate.per_second()
     );
     rate.record(21_000.0, 0.0);
     assert!(
         (rate.per_second() - 50.0 / std::f64::consts::E).abs() < 1.0,
-        "{}",
+        "{} per second",
         rate.per_second()
     );
 }
@@ -53,7 +53,7 @@
     for sample in [1.0, 2.0, 6.0] {
         mean.record(sample, 0.01);
     }
-    assert!((mean.value() - 3.0).abs() < 1e-9, "{}", mean.value());
+    assert!((mean.value() - 3.0).abs() < 1e-9, "mean {}", mean.value());
 }
 
 #[test]
@@ -63,7 +63,7 @@
         mean.record(10.0, 0.1);
     }
     mean.record(20.0, 0.1);
-    assert!((mean.value() - 11.0).abs() < 1e-9, "{}", mean.value());
+    assert!((mean.value() - 11.0).abs() < 1e-9, "mean {}", mean.value());
 }
 
 #[test]
@@ -74,7 +74,7 @@
     }
     assert!(
         (rate.per_second() - 100.0).abs() < 1.0,
-        "{}",
+        "{} per second",
         rate.per_second()
     );
 }
--- a/src/primitives/ring/tests.rs
+++ b/src/primitives/ring/tests.rs
@@ -30,7 +30,7 @@
     let quarter = arc_of(1000, 0.25);
     assert!(
         (200..=300).contains(&quarter.members().len()),
-        "{}",
+        "{} members",
         quarter.members().len()
     );
     let empty = arc_of(1000, 0.0);
