--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -79,7 +79,7 @@
     /// Latency objective of the request's class.
     pub(super) latency_objective_ms: Millis,
     /// Time from the request's arrival to its latency objective or its client's time-out, whichever is first.
-    pub(super) usable_time_ms: Millis,
+    pub(super) latency_budget_ms: Millis,
     /// Share of its value that a request served over a limit has.
     pub(super) over_quota_weight: f64,
     /// Share of its value that a request forwarded over a limit costs.
@@ -91,7 +91,7 @@
     if let Some(limit) = exceeded_limit(customer) {
         return decide_over_limit(limit, load);
     }
-    if load.expected_latency_ms > MAX_EXPECTED_SHARE * load.usable_time_ms.max(0.0) {
+    if load.expected_latency_ms > MAX_EXPECTED_SHARE * load.latency_budget_ms.max(0.0) {
         return Admission::Reject(RejectReason::Overloaded);
     }
     Admission::Charge
--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -18,7 +18,7 @@
     LoadInputs {
         expected_latency_ms: 100.0,
         latency_objective_ms: 1000.0,
-        usable_time_ms: 1000.0,
+        latency_budget_ms: 1000.0,
         over_quota_weight: 0.5,
         over_quota_cost: 0.5,
     }
@@ -90,7 +90,7 @@
 
 #[test]
 fn a_request_is_rejected_when_its_expected_latency_is_too_large_a_share_of_its_objective() {
-    for (expected_latency_ms, usable_time_ms, admission) in [
+    for (expected_latency_ms, latency_budget_ms, admission) in [
         (400.0, 1000.0, Admission::Charge),
         (401.0, 1000.0, Admission::Reject(RejectReason::Overloaded)),
         // A client that gives up early counts by its own time.
@@ -104,11 +104,14 @@
     ] {
         let load = LoadInputs {
             expected_latency_ms,
-            usable_time_ms,
+            latency_budget_ms,
             ..load()
         };
         let decided = decide_on_arrival(&customer(), &load);
-        assert_eq!(decided, admission, "{expected_latency_ms}/{usable_time_ms}");
+        assert_eq!(
+            decided, admission,
+            "{expected_latency_ms}/{latency_budget_ms}"
+        );
         assert!(!decided.is_over_limit());
     }
 }
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -149,7 +149,7 @@
 
     /// Longest time that the request waits for the counter, in ms.
     pub(crate) fn max_wait(&self, open: &OpenRequest) -> Millis {
-        self.counter.max_wait_ms(open.usable_time_ms)
+        self.counter.max_wait_ms(open.latency_budget_ms)
     }
 
     /// Queries the customer's total at the counter now and then, while requests are rejected without a
--- a/src/policy/request_handler.rs
+++ b/src/policy/request_handler.rs
@@ -228,7 +228,7 @@
     LoadInputs {
         expected_latency_ms,
         latency_objective_ms: cx.class(&open.request).latency_objective_ms,
-        usable_time_ms: open.usable_time_ms,
+        latency_budget_ms: open.latency_budget_ms,
         over_quota_weight: plan.over_quota_weight,
         over_quota_cost: plan.over_quota_cost,
     }
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -39,7 +39,7 @@
     /// When its client gives up.
     pub(crate) deadline: Millis,
     /// Time from its arrival to its latency objective or its client's time-out, whichever is first.
-    pub(crate) usable_time_ms: Millis,
+    pub(crate) latency_budget_ms: Millis,
     /// A response after this misses the latency objective.
     pub(crate) objective_deadline: Millis,
     /// It waits for the counter's reply.
@@ -77,10 +77,10 @@
         if request.timeout_ms <= 0.0 {
             return Err(InvalidRequest::NoTimeLeft);
         }
-        let usable_time_ms = class.latency_objective_ms.min(request.timeout_ms);
+        let latency_budget_ms = class.latency_objective_ms.min(request.timeout_ms);
         Ok(OpenRequest {
-            usable_time_ms,
-            objective_deadline: now + usable_time_ms,
+            latency_budget_ms,
+            objective_deadline: now + latency_budget_ms,
             deadline: now + request.timeout_ms,
             request,
             awaiting_counter: false,
