--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -15,7 +15,7 @@
     let is_first = table.is_empty();
     table.begin_update();
     for entry in list {
-        if let Some(endpoint) = table.get_listed(entry.id) {
+        if let Some(endpoint) = table.mark_listed(entry.id) {
             let old_node = endpoint.ring_node();
             replace(cx, endpoint, entry);
             ring.replace(old_node, endpoint.ring_node());
--- a/src/state/endpoint_table.rs
+++ b/src/state/endpoint_table.rs
@@ -38,7 +38,7 @@
         ids.iter().filter_map(|id| self.endpoints.get(id))
     }
 
-    /// An update of the list begins; `insert` and `get_listed` mark endpoints that it names.
+    /// An update of the list begins; `insert` and `mark_listed` mark endpoints that it names.
     pub(crate) fn begin_update(&mut self) {
         self.updates += 1;
     }
@@ -48,7 +48,7 @@
         self.endpoints.insert(endpoint.endpoint.id, endpoint);
     }
 
-    pub(crate) fn get_listed(&mut self, id: EndpointId) -> Option<&mut TrackedEndpoint> {
+    pub(crate) fn mark_listed(&mut self, id: EndpointId) -> Option<&mut TrackedEndpoint> {
         let endpoint = self.endpoints.get_mut(&id)?;
         endpoint.last_update = self.updates;
         Some(endpoint)
