--- a/src/api/action.rs
+++ b/src/api/action.rs
@@ -1,8 +1,8 @@
-//! What a gateway has to do.
+//! Actions that the library asks the host to carry out.
 
 use super::{EndpointId, Millis, RequestId};
 
-/// Something that the program which hosts the gateway has to do. Actions are carried out in order.
+/// An action for the host. Actions must be carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send the next attempt of a request.
@@ -11,53 +11,55 @@
         id: RequestId,
         /// The endpoint to send it to.
         endpoint: EndpointId,
-        /// Time after which the attempt has timed out.
+        /// Timeout of the attempt, counted from now.
         timeout_ms: Millis,
-        /// Time within which its first byte has to be written, or it must not be sent: it might be executed twice.
-        /// Infinite for an attempt that can't be.
+        /// Time within which the first byte of the attempt must be written. After that time the attempt must not be
+        /// sent, as the request might be executed twice. Infinite if there is no such risk.
         start_timeout_ms: Millis,
     },
     /// Cancel an attempt that is in flight.
     CancelAttempt {
         /// The request.
         id: RequestId,
-        /// The attempt, counted from 0.
+        /// The attempt's number, from 0 in the order of sending.
         attempt: u8,
     },
-    /// Final response: rejected. The client may safely send the request again: nothing was executed, or a second
-    /// execution does no harm.
+    /// Send the final response "rejected". The client may safely send the request again: nothing was executed, or a
+    /// second execution does no harm.
     Reject {
         /// The request.
         id: RequestId,
-        /// When the client should try again; 0 for no advice.
+        /// Time after which the client should retry, for the Retry-After header; 0 for no advice.
         retry_after_ms: Millis,
     },
-    /// Final response: failed. An attempt may have been executed, and another execution could do harm.
+    /// Send the final response "failed". An attempt may have been executed, and a second execution could do harm.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Report [`Event::TimerFired`](crate::Event::TimerFired) after this time.
+    /// Start a timer that is reported once as [`Event::TimerFired`](crate::Event::TimerFired).
     SetTimer {
-        /// Handed back with the event.
+        /// Identifies the timer; returned with the event.
         token: u64,
-        /// Time from now.
+        /// Time from now until the timer fires.
         after_ms: Millis,
     },
-    /// Add to a shared counter and report its total as [`Event::CounterReply`](crate::Event::CounterReply).
+    /// Add to an entry of the shared counter and report the new total as
+    /// [`Event::CounterReply`](crate::Event::CounterReply).
     AddToCounter {
-        /// The counter's key.
+        /// Key of the counter's entry.
         key: u64,
-        /// What to add; 0 only reads the total, and a negative amount is given back.
+        /// Amount to add: 0 only reads the total, a negative amount is a refund.
         amount: f64,
-        /// Time after which a counter that this call creates is dropped.
+        /// Time to live of the entry, if this call creates it.
         ttl_ms: Millis,
     },
-    /// Watch the endpoint list, and report changes of it from now on.
+    /// Watch the endpoint list: report it as [`Event::EndpointUpdate`](crate::Event::EndpointUpdate) from now on. A host
+    /// that repeats failed polls by itself can ignore this action.
     WatchEndpoints,
-    /// Send a message to another gateway. It may be lost.
+    /// Send a gossip message to other gateways. Delivery is not guaranteed.
     Gossip {
-        /// The receiver's index in the fleet; `u32::MAX` for all gateways.
+        /// Index of the receiving gateway; `u32::MAX` for all other gateways.
         to: u32,
         /// The encoded message.
         body: Vec<u8>,
--- a/src/api/endpoint.rs
+++ b/src/api/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints: the servers that requests are forwarded to, as the endpoint list names them.
+//! Endpoints: the servers that requests are forwarded to, as described by the endpoint list.
 
 use super::{EndpointId, Millis};
 
@@ -7,29 +7,29 @@
 pub struct Endpoint {
     /// Identifies the endpoint at this gateway.
     pub id: EndpointId,
-    /// A key that is the same at all gateways; it places the endpoint on the ring that subsets are cut from.
+    /// Position of the endpoint on the hash ring that subsets are selected from. All gateways must use the same key.
     pub hash_key: u64,
-    /// The endpoint's zone, an index shared by all settings.
+    /// The endpoint's zone, an index that all gateways share.
     pub zone: u32,
     /// The endpoint's hardware or software kind.
     pub kind: u32,
     /// The endpoint's cell within its zone.
     pub cell: u32,
-    /// Whether it takes new requests.
+    /// Whether the endpoint accepts new requests.
     pub state: EndpointState,
-    /// Relative capacity; 1 where the list does not say.
+    /// Relative capacity; 1 if the list does not state it.
     pub weight: f64,
-    /// When its process last started; 0 if that is long past.
+    /// Time at which the endpoint's process last started; 0 if that was long ago.
     pub started_at: Millis,
 }
 
-/// Whether an endpoint takes new requests.
+/// Whether an endpoint accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Takes new requests.
+    /// Accepts new requests.
     Ready,
-    /// Completes the requests that it has and must get no new ones.
+    /// Completes the requests in progress and must not be sent new ones.
     Draining,
-    /// No longer part of the fleet.
+    /// Not part of the fleet any more.
     Removed,
 }
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -1,53 +1,55 @@
-//! What a gateway is notified of.
+//! Events that the host reports to the library.
 
 use super::{CustomerId, Endpoint, EndpointId, Millis, RequestId};
 
-/// Something that happened at the gateway.
+/// An event at the gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The endpoint list, or the entries of it that changed.
+    /// The complete endpoint list, or the entries that have changed.
     EndpointUpdate {
-        /// True if endpoints that the update does not name have been removed.
+        /// Whether the list is complete: endpoints that a complete list does not contain have been removed.
         complete: bool,
-        /// The entries.
+        /// The entries of the update.
         endpoints: Vec<Endpoint>,
     },
-    /// Polling the endpoint list failed; the former list stays valid.
+    /// A poll of the endpoint list failed. The previous list stays in use.
     EndpointPollFailed,
     /// A client's request arrived.
     Request(Request),
-    /// A streamed response has begun; the request's deadline no longer applies.
+    /// The first part of a streamed response was passed on to the client. The request's deadline no longer applies.
     ResponseStarted {
         /// The request.
         id: RequestId,
     },
     /// An attempt has ended.
     AttemptEnded(AttemptEnd),
-    /// The client has disconnected or cancelled; it needs no response.
+    /// The client has disconnected or cancelled the request. No response is needed.
     ClientDisconnected {
         /// The request.
         id: RequestId,
     },
-    /// A timer that was set by [`Action::SetTimer`](crate::Action::SetTimer) has fired. To be reported once for each
-    /// such action: a token that was not set, or one reported twice, may start a second round of housekeeping.
+    /// A timer that was set by [`Action::SetTimer`](crate::Action::SetTimer) has fired.
+    ///
+    /// The host must report each such action exactly once. A token that was never set, or that is reported twice, may
+    /// start a second cycle of periodic housekeeping.
     TimerFired {
-        /// The token that the timer was set with.
+        /// The token of the action.
         token: u64,
     },
     /// A call to the shared counter has ended.
     CounterReply {
-        /// The counter's key. Replies for one key arrive in the order of the calls.
+        /// The key of the call. Replies to calls with the same key must be reported in the order of the calls.
         key: u64,
         /// How the call ended.
         outcome: Outcome,
-        /// The counter's total after the call; meaningful after [`Outcome::Success`] only.
+        /// The total after the call; only meaningful with [`Outcome::Success`].
         total: f64,
         /// Time since the call was made.
         elapsed_ms: Millis,
     },
-    /// A message from another gateway.
+    /// A gossip message from another gateway.
     Gossip {
-        /// The sender's index in the fleet.
+        /// Index of the sending gateway.
         from: u32,
         /// The encoded message.
         body: Vec<u8>,
@@ -59,36 +61,37 @@
 pub struct Request {
     /// Identifies the request at this gateway.
     pub id: RequestId,
-    /// The customer whose quota it takes from.
+    /// The customer whose quota is charged.
     pub customer: CustomerId,
     /// The customer's plan, an index into [`Settings::plans`](crate::Settings::plans).
     pub plan: u32,
     /// The request's class, an index into [`Settings::classes`](crate::Settings::classes).
     pub class: u32,
-    /// Quota units; an estimate where [`Settings::settles_units`](crate::Settings::settles_units) is set.
+    /// Quota units that the request costs; an estimate if [`Settings::settles_units`](crate::Settings::settles_units)
+    /// is set.
     pub units: f64,
-    /// Time left until the client gives up.
+    /// Time until the client gives up.
     pub timeout_ms: Millis,
-    /// Number of gateways that this customer's requests arrive at, 1 or more.
+    /// Number of gateways that this customer's requests are spread over, 1 or more.
     pub gateway_set_size: f64,
-    /// True if the client marked the request as a retry.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
 }
 
-/// The end of one attempt to have a request served.
+/// The end of one attempt to forward a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptEnd {
     /// The request.
     pub id: RequestId,
-    /// The attempt, counted from 0 in the order of sending.
+    /// The attempt's number, from 0 in the order of sending.
     pub attempt: u8,
-    /// The endpoint that it was sent to.
+    /// The endpoint that the attempt was sent to.
     pub endpoint: EndpointId,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// True if the client has its final response, through this attempt or earlier.
+    /// Whether the client has received the final response, from this attempt or before.
     pub request_answered: bool,
-    /// The units that the request really cost, where the endpoint reports them.
+    /// Quota units that the request actually cost; `None` if the endpoint did not report them.
     pub actual_units: Option<f64>,
     /// Time since the attempt was sent.
     pub elapsed_ms: Millis,
@@ -99,7 +102,7 @@
 pub enum Outcome {
     /// Answered successfully.
     Success,
-    /// Answered with an error, or with something that can't be understood; may have been executed.
+    /// Answered with an error or with an invalid response; may have been executed.
     ErrorResponse,
     /// Rejected because of load, before anything was executed.
     Rejected,
@@ -111,17 +114,17 @@
     ConnectionReset,
     /// Cancelled by the gateway; may have been executed.
     Cancelled,
-    /// Never sent at all, so never executed.
+    /// Never sent; never executed.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether the endpoint responded as one that works does: it served the request, or rejected it because of load.
+    /// Whether the response is one of a working endpoint: the request was served, or rejected because of load.
     pub(crate) fn is_valid_response(self) -> bool {
         matches!(self, Outcome::Success | Outcome::Rejected)
     }
 
-    /// Whether the outcome proves that nothing was executed, so that a retry executes nothing twice.
+    /// Whether the outcome proves that nothing was executed, so that a retry can't execute the request twice.
     #[must_use]
     pub fn never_executed(self) -> bool {
         matches!(
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,7 +1,7 @@
-//! The public types of the decision library: settings, endpoints, events and actions.
+//! The public data types of the library: settings, endpoints, events and actions.
 //!
-//! They are plain data. A program that hosts a [`Gateway`](crate::Gateway) builds [`Settings`] once, reports what
-//! happens as [`Event`]s and carries out the [`Action`]s that it gets back. Nothing here decides anything.
+//! The host builds [`Settings`] once, creates a [`Gateway`](crate::Gateway) with them, reports what happens as
+//! [`Event`]s and carries out the returned [`Action`]s. The types contain no decision logic.
 
 mod action;
 mod endpoint;
@@ -15,12 +15,12 @@
     Class, CounterSettings, Idempotency, KeyScope, Limits, Plan, Prices, Rules, Settings,
 };
 
-/// A moment on the gateway's clock or a span of it, in milliseconds. The clock's origin is arbitrary, but all
-/// gateways of a fleet have to share it: the windows of the shared counter are named by it.
+/// A point in time on the gateway's clock, or a duration, in milliseconds. The origin of the clock is arbitrary, but
+/// all gateways of a fleet must use the same one: the windows of the shared counter are numbered by the clock.
 pub type Millis = f64;
-/// Identifies a request at one gateway; never used twice there.
+/// Identifies a request at one gateway. The host never reuses an id.
 pub type RequestId = u64;
-/// Identifies an endpoint at one gateway. The number says nothing about its zone, kind or age.
+/// Identifies an endpoint at one gateway. The number implies nothing about the endpoint's zone, kind or age.
 pub type EndpointId = u32;
-/// Identifies a customer, the same at all gateways.
+/// Identifies a customer. All gateways use the same id for a customer.
 pub type CustomerId = u64;
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -1,35 +1,35 @@
-//! What a gateway is configured with when it starts.
+//! The settings that a gateway starts with.
 
 use super::Millis;
 
-/// The settings of one gateway. All of them but its index and zone are the same for all gateways of a fleet.
+/// The settings of one gateway. All gateways of a fleet have the same settings, except for `gateway_index` and `zone`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// Number of gateways in the fleet.
     pub gateway_count: u32,
-    /// This gateway's index among them, from 0.
+    /// This gateway's index in the fleet, from 0.
     pub gateway_index: u32,
-    /// This gateway's zone.
+    /// This gateway's zone, an index that all gateways share.
     pub zone: u32,
     /// Shortest time between two calls of the library.
     pub tick_ms: Millis,
-    /// The classes of requests, by index.
+    /// The request classes. A request refers to its class by index.
     pub classes: Vec<Class>,
-    /// The plans of customers, by index.
+    /// The customer plans. A request refers to its customer's plan by index.
     pub plans: Vec<Plan>,
-    /// The shared counter; `None` where there is none.
+    /// The shared counter; `None` if the gateways have none or may not call it.
     pub counter: Option<CounterSettings>,
-    /// Most quota units that one request can cost.
+    /// Maximum number of quota units that one request can cost.
     pub max_units: f64,
-    /// True if a request's units are an estimate that the endpoint's response corrects.
+    /// Whether a request's units are an estimate that is corrected by the endpoint's response.
     pub settles_units: bool,
-    /// What the gateway is permitted to do.
+    /// Limits on what the gateway may do.
     pub limits: Limits,
-    /// What the operators charge for.
+    /// Prices of wasted work, handshakes and late failures.
     pub prices: Prices,
-    /// Figures of the rules that the gateway has to keep.
+    /// Parameters of the rules that the gateway must follow.
     pub rules: Rules,
-    /// True if the endpoint list has to be polled; false if changes are pushed.
+    /// Whether the endpoint list is polled; otherwise changes are pushed.
     pub endpoints_polled: bool,
 }
 
@@ -38,9 +38,9 @@
 pub struct Class {
     /// Latency objective: a response within this time has its full value.
     pub latency_objective_ms: Millis,
-    /// How long a client waits in all, over its retries.
+    /// Total time that a client waits, including its own retries.
     pub deadline_ms: Millis,
-    /// Share of the value that a response after the latency objective still has, from 0 to 1.
+    /// Share of its value that a response after the latency objective keeps, from 0 to 1.
     pub late_weight: f64,
     /// Whether a request may be executed more than once.
     pub idempotency: Idempotency,
@@ -49,16 +49,16 @@
 /// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Idempotency {
-    /// Any number of times.
+    /// The request may be executed any number of times.
     Idempotent,
-    /// Requests carry an idempotency key, by which some endpoints recognise retries for a time.
+    /// Requests carry an idempotency key, by which some endpoints recognise retries for a limited time.
     WithKey {
         /// The endpoints that recognise a retry.
         scope: KeyScope,
-        /// How long they do so, counted from the first attempt that may have been executed.
+        /// Time for which retries are recognised, counted from the first attempt that may have been executed.
         window_ms: Millis,
     },
-    /// Once at most.
+    /// The request may be executed at most once.
     #[default]
     NotIdempotent,
 }
@@ -74,77 +74,77 @@
     Cell,
 }
 
-/// A plan: the quota of each of its customers, over all gateways together.
+/// A customer plan: the quota of each of its customers, summed over all gateways.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// Units per second at which the quota refills; 0 if the plan has no such quota.
+    /// Rate at which the quota refills, in units per second; 0 if the plan has no quota.
     pub rate: f64,
-    /// Most units that the quota holds.
+    /// Capacity of the quota, in units.
     pub burst: f64,
-    /// Most attempts of one customer in flight within the quota; 0 for no limit.
+    /// Maximum number of a customer's attempts in flight within the quota; 0 for no limit.
     pub max_concurrency: u32,
-    /// Share of its value that a request served beyond the quota has, from 0 to 1.
+    /// Share of its value that a request served beyond the quota keeps, from 0 to 1.
     pub over_quota_weight: f64,
-    /// Share of its value that a request forwarded beyond the quota costs.
+    /// Cost of forwarding a request beyond the quota, as a share of the request's value.
     pub over_quota_cost: f64,
-    /// Units per second at which the hard ceiling refills; 0 if the plan has none.
+    /// Rate at which the hard ceiling refills, in units per second; 0 if the plan has no hard ceiling.
     pub ceiling_rate: f64,
-    /// Most units that the hard ceiling holds.
+    /// Capacity of the hard ceiling, in units.
     pub ceiling_burst: f64,
 }
 
-/// The shared counter.
+/// Settings of the shared counter.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CounterSettings {
-    /// Time after which a call without a reply has timed out.
+    /// Timeout of a call to the counter.
     pub timeout_ms: Millis,
 }
 
-/// What the gateway is permitted to do.
+/// Limits on what the gateway may do.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Limits {
-    /// Most attempts of one request.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Two attempts of one request may be in flight at once.
+    /// Whether two attempts of a request may be in flight at the same time.
     pub hedging: bool,
-    /// Attempts in flight may be cancelled.
+    /// Whether attempts in flight may be cancelled.
     pub cancellation: bool,
-    /// Gateways may send each other messages.
+    /// Whether gateways may send each other gossip messages.
     pub gossip: bool,
-    /// Rejected clients may be advised when to retry.
+    /// Whether rejected clients may be told when to retry (Retry-After).
     pub retry_after: bool,
-    /// Longest such advice that clients follow.
+    /// Longest Retry-After time that clients respect.
     pub max_retry_after_ms: Millis,
     /// Time after which an idle connection to an endpoint is closed.
     pub idle_timeout_ms: Millis,
-    /// Most requests in flight on one connection.
+    /// Maximum number of requests in flight on one connection to an endpoint.
     pub requests_per_connection: u32,
-    /// Most connections to endpoints that the gateway may hold; 0 for no limit.
+    /// Maximum number of connections to endpoints that the gateway may hold open; 0 for no limit.
     pub max_connections: u32,
 }
 
-/// What the operators charge for, as shares of the value of all requests.
+/// Prices that the operators set, as shares of the value of all requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Prices {
-    /// Work of endpoints that led to no response, relative to all work of endpoints.
+    /// Price of endpoint work that produced no response, relative to all endpoint work.
     pub waste: f64,
-    /// One new connection to an endpoint for each request.
+    /// Price of opening one new connection to an endpoint for each request.
     pub handshake: f64,
-    /// Requests that ended unserved after their latency objective.
+    /// Price of requests that ended unserved after their latency objective.
     pub late_failure: f64,
 }
 
-/// Figures of the rules that the gateway has to keep.
+/// Parameters of the rules that the gateway must follow.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Rules {
-    /// Least share of its full capacity that an endpoint starts with, from 0 to 1.
+    /// Minimum share of its full capacity that an endpoint starts with, from 0 to 1.
     pub slow_start_min_capacity: f64,
-    /// Time after which an endpoint surely has its full capacity.
+    /// Time after its start by which an endpoint has reached its full capacity.
     pub slow_start_ms: Millis,
-    /// How long after a notice of draining or removal a new attempt may still be sent.
+    /// Time after a notice of draining or removal during which new attempts may still be sent.
     pub drain_grace_ms: Millis,
-    /// Multiple of its present capacity that makes an endpoint fail while it warms up.
+    /// Load that makes an endpoint fail while it warms up, as a multiple of its current capacity.
     pub overload_multiple: f64,
-    /// Time over which that multiple is measured.
+    /// Time over which the load is compared to `overload_multiple`.
     pub overload_window_ms: Millis,
 }
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,17 +1,18 @@
-//! The entry point of the library: events in, actions out. Their types are in `src/api`, the decisions in `src/policy`.
+//! The entry point of the library: it dispatches events to the policies and collects the resulting actions. The public
+//! types are in `src/api`, the decisions in `src/policy`.
 
 use crate::api::{Action, EndpointId, Event, Millis, Settings};
 use crate::policy::{poll_retry::PollRetry, request_handler::RequestHandler};
 use crate::state::{ChargeReply, Context, OpenRequests, Timer};
 
-/// Time between two runs of the periodic housekeeping, in ms.
+/// Interval of the periodic housekeeping, in ms.
 const HOUSEKEEPING_INTERVAL_MS: Millis = 1000.0;
 
-/// The decisions of one gateway.
+/// The decision logic of one gateway, with all of its state.
 pub struct Gateway {
     settings: Settings,
     rng: fastrand::Rng,
-    /// It has taken in its first event.
+    /// Whether the first event has been handled.
     started: bool,
     poll_retry: PollRetry,
     requests: OpenRequests,
@@ -19,7 +20,9 @@
 }
 
 impl Gateway {
-    /// A gateway that starts now and knows only its settings. The same seed and events lead to the same actions.
+    /// Creates a gateway that starts at `now` without endpoints and customers.
+    ///
+    /// The seed determines all random choices: the same settings, seed and events lead to the same actions.
     #[must_use]
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Self {
         Gateway {
@@ -32,18 +35,19 @@
         }
     }
 
-    /// The number of customers remembered now.
+    /// The number of customers that the gateway currently holds state for.
     #[must_use]
     pub fn customer_count(&self) -> usize {
         self.handler.quota.customers.len()
     }
 
-    /// The subset of the endpoints that this gateway chooses from first, brought up to date, sorted by id.
+    /// The subset of the endpoints that this gateway prefers, sorted by id. The subset is brought up to date with the
+    /// endpoint list first.
     pub fn subset(&mut self) -> &[EndpointId] {
         self.handler.forwarder.load_balancer.update_subset()
     }
 
-    /// Takes in one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions to `actions`. `now` is the time of the event.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         let cx = &mut Context {
             now,
@@ -67,7 +71,7 @@
                     .update_endpoints(cx, complete, endpoints);
             }
             Event::EndpointPollFailed => self.poll_retry.poll_failed(now, cx.rng),
-            // The host has repeated the event: the request that is open must not be charged or sent twice.
+            // The host has repeated the event. The request is already open and must not be charged or sent twice.
             Event::Request(request) if requests.contains(request.id) => {}
             Event::Request(request) => {
                 if let Some(open) = handler.request_arrived(cx, request) {
@@ -108,7 +112,7 @@
     }
 }
 
-/// Starts the housekeeping, and where the endpoint list is polled, its watch.
+/// Starts the periodic housekeeping and, unless changes of the endpoint list are pushed, its polling.
 fn start(cx: &mut Context) {
     cx.set_timer(Timer::Housekeeping, HOUSEKEEPING_INTERVAL_MS);
     if cx.settings.endpoints_polled {
@@ -132,7 +136,7 @@
     }
 }
 
-/// Runs the periodic housekeeping, and repeats a failed poll of the endpoint list where that is due.
+/// Runs the periodic housekeeping, and repeats a failed poll of the endpoint list once its retry is due.
 fn run_housekeeping(cx: &mut Context, handler: &mut RequestHandler, poll_retry: &mut PollRetry) {
     cx.set_timer(Timer::Housekeeping, HOUSEKEEPING_INTERVAL_MS);
     if poll_retry.take_due(cx.now) {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decisions of a gateway that enforces customer quotas in front of a shared fleet of servers.
+//! Decision logic of a gateway that enforces customer quotas in front of a shared fleet of servers.
 //!
-//! The library does no input or output. The program that hosts a [`Gateway`] reports what happens as [`Event`]s,
-//! together with its own clock, and carries out the [`Action`]s that it gets back. The same settings, seed and
-//! events always lead to the same actions.
+//! The library performs no I/O and reads no clock. The program that embeds it, called the host, passes [`Event`]s and
+//! the current time to a [`Gateway`] and carries out the [`Action`]s that are returned. The decisions are
+//! deterministic: the same settings, seed and events always lead to the same actions.
 //!
 //! ```
 //! use quota_gateway::{
@@ -53,11 +53,11 @@
 //! gateway.handle(1.0, request(1), &mut actions);
 //! assert!(actions.iter().any(|action| matches!(action, Action::SendAttempt { id: 1, endpoint: 11, .. })));
 //!
-//! // The quota held 4 units and 1 is left: a second request of 3 units is rejected at once.
+//! // The quota started with 4 units and has 1 left: a second request of 3 units is rejected at once.
 //! gateway.handle(2.0, request(2), &mut actions);
 //! assert!(actions.iter().any(|action| matches!(action, Action::Reject { id: 2, .. })));
 //! ```
-// Tests fail by panicking, and the figures that they compare are exact.
+// Tests fail by panicking, and the floating-point values that they compare are exact.
 #![cfg_attr(
     test,
     allow(
