--- a/src/state/charge.rs
+++ b/src/state/charge.rs
@@ -1,9 +1,9 @@
-//! Charges at the shared counter, and the replies to them.
+//! Charges to the shared counter, and the counter's replies.
 
 use crate::api::{CustomerId, Millis, Outcome, Request, RequestId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A customer under a plan: what a charge is made to.
+/// The account that is charged: a customer and the plan of that customer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Account {
     pub(crate) customer: CustomerId,
@@ -21,45 +21,45 @@
     }
 }
 
-/// An addition to the shared counter.
+/// A charge to the shared counter: an amount to add to the count of one customer and window.
 #[derive(Clone, Copy)]
 pub(crate) struct Charge {
-    /// Number of the customer's window in which it is counted.
+    /// Number of the customer's window in which the charge is counted.
     pub(crate) window: u64,
-    /// Time until that window ends, in ms.
+    /// Time until the window ends, in ms.
     pub(crate) window_remaining_ms: Millis,
-    /// What is added to the count: the request's units and those not settled before, weighted by forward decay.
+    /// Amount added to the count: the request's units and those not settled before, weighted by forward decay.
     pub(crate) weighted_units: f64,
-    /// The request's units.
+    /// Units of the request alone, without a weight.
     pub(crate) units: f64,
 }
 
-/// A charge whose call to the counter awaits its reply.
+/// A charge whose call to the counter is in flight.
 pub(crate) struct PendingCharge {
     pub(crate) account: Account,
-    /// The request that the call was made for.
+    /// The request for which the call was made.
     pub(crate) request: RequestId,
     pub(crate) charge: Charge,
 }
 
-/// The reply of the counter to a charge, or the failure of the call.
+/// The counter's reply to a charge, or the failure of the call.
 #[derive(Clone, Copy)]
 pub(crate) struct ChargeReply {
     pub(crate) key: u64,
     pub(crate) outcome: Outcome,
-    /// The count after the call, in weighted units; meaningful only after a success.
+    /// The count after the call, in weighted units; only meaningful after a success.
     pub(crate) total: f64,
     pub(crate) elapsed_ms: Millis,
 }
 
-/// What a reply says of the charge that the call was made for.
+/// What a reply shows about the charge.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum ChargeResult {
-    /// The charge is on the count, whose total is now this, in weighted units.
+    /// The charge was added to the count; `total` is the count after that, in weighted units.
     Counted { total: f64 },
-    /// The counter can't have counted it.
+    /// The counter cannot have counted the charge.
     NotCounted,
-    /// The call timed out or broke off, or the response was invalid.
+    /// The counter may have counted the charge: the call timed out or was interrupted, or the response was invalid.
     MayHaveCounted,
 }
 
@@ -72,13 +72,14 @@
         }
     }
 
-    /// The total after the call, if the counter returned one.
+    /// The total after the call, if the counter returned a finite one.
     pub(crate) fn valid_total(&self) -> Option<f64> {
         (self.outcome == Outcome::Success && self.total.is_finite()).then_some(self.total)
     }
 }
 
-/// The charges whose calls are in flight, by key. Calls with the same key are replied to in order.
+/// The charges whose calls are in flight, by counter key. Replies to calls with the same key arrive in the order of the
+/// calls.
 #[derive(Default)]
 pub(crate) struct PendingCharges(BTreeMap<u64, VecDeque<PendingCharge>>);
 
@@ -87,7 +88,7 @@
         self.0.entry(key).or_default().push_back(pending);
     }
 
-    /// Removes the oldest charge with this key.
+    /// Removes and returns the oldest charge with this key.
     pub(crate) fn pop(&mut self, key: u64) -> Option<PendingCharge> {
         let queue = self.0.get_mut(&key)?;
         let oldest = queue.pop_front();
@@ -98,10 +99,10 @@
     }
 }
 
-/// Bits of a counter key that hold the number of the customer's window; the others hold the customer's number.
+/// Number of low bits of a counter key that hold the window's number. The remaining bits hold the customer's id.
 const WINDOW_BITS: u32 = 30;
 
-/// The key under which the shared counter holds a customer's usage in one window.
+/// The key under which the shared counter keeps a customer's usage in one window.
 pub(crate) fn counter_key(customer: CustomerId, window: u64) -> u64 {
     customer << WINDOW_BITS | window & ((1 << WINDOW_BITS) - 1)
 }
--- a/src/state/connections.rs
+++ b/src/state/connections.rs
@@ -1,16 +1,17 @@
-//! The open connections to one endpoint, estimated: no event reports that one was opened or closed.
+//! An estimate of the open connections to one endpoint. No event reports that a connection was opened or closed.
 
 use crate::api::{Limits, Millis, Outcome};
 
-/// The estimate, from the attempts that were sent and how they ended. What counts as usable and how many endpoints
-/// are worth a connection is decided by `policy::connections`.
+/// Estimates the open connections to an endpoint from the attempts sent and their outcomes. `policy::connections`
+/// decides how long an idle connection counts as usable, and how many endpoints are worth a connection.
 pub(crate) struct ConnectionEstimate {
-    /// Idle time after which connections count as closed, in ms.
+    /// Idle time after which the connections count as closed, in ms.
     usable_idle_ms: f64,
-    /// Most attempts in flight on one connection.
+    /// Maximum number of attempts in flight on one connection.
     attempts_per_connection: u32,
+    /// Estimated number of open connections.
     open: u32,
-    /// When an attempt on one of them last ended with a success, an error or a rejection.
+    /// Time at which an attempt last ended with a success, an error response or a rejection.
     used_at: Millis,
 }
 
@@ -25,17 +26,17 @@
         }
     }
 
-    /// Whether the connections were used recently enough to be open still.
+    /// Whether the connections were used recently enough to count as open.
     fn are_usable(&self, now: Millis) -> bool {
         now - self.used_at < self.usable_idle_ms
     }
 
-    /// Whether a connection is likely to be open and able to carry one more attempt.
+    /// Whether an open connection is likely to have capacity for one more attempt.
     pub(crate) fn has_free(&self, now: Millis, in_flight: u32) -> bool {
         self.are_usable(now) && in_flight < self.open * self.attempts_per_connection
     }
 
-    /// An attempt has been sent; `in_flight` includes it.
+    /// Records that an attempt was sent. `in_flight` includes that attempt.
     pub(crate) fn attempt_started(&mut self, now: Millis, in_flight: u32) {
         let needed = in_flight.div_ceil(self.attempts_per_connection);
         self.open = if self.are_usable(now) {
@@ -50,7 +51,7 @@
             Outcome::Success | Outcome::ErrorResponse | Outcome::Rejected => self.used_at = now,
             Outcome::ConnectFailed => self.open = self.open.saturating_sub(1),
             Outcome::Timeout | Outcome::ConnectionReset | Outcome::Cancelled | Outcome::NotSent => {
-                // The connection is closed with the attempt, unless it may carry others.
+                // The connection is closed with the attempt, unless it may carry other attempts.
                 if self.attempts_per_connection == 1 {
                     self.open = self.open.saturating_sub(1);
                 }
--- a/src/state/connections/tests.rs
+++ b/src/state/connections/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_connection_is_free_after_its_attempt_until_it_has_been_idle() {
+fn a_connection_is_free_after_its_attempt_until_the_idle_time_is_over() {
     let mut connections = connections(1);
     assert!(!connections.has_free(0.0, 0));
     connections.attempt_started(0.0, 1);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn an_attempt_after_the_idle_time_opens_connections_anew() {
+fn an_attempt_after_the_idle_time_resets_the_number_of_open_connections() {
     let mut connections = connections(1);
     connections.attempt_started(0.0, 3);
     connections.attempt_started(IDLE_MS, 1);
@@ -34,10 +34,10 @@
     assert!(!connections.has_free(IDLE_MS, 1));
 }
 
-/// An attempt times out or breaks off, and its connection is closed with it. If it still counted as open, the next
-/// attempt would be sent to this endpoint for a handshake that it doesn't save.
+/// A connection that carries one attempt at a time is closed when the attempt times out, breaks or is cancelled. If the
+/// connection still counted as open, the next attempt would choose this endpoint to save a handshake that is needed.
 #[test]
-fn a_connection_that_carries_one_attempt_is_closed_with_it() {
+fn a_connection_for_one_attempt_is_closed_when_the_attempt_fails() {
     for outcome in [
         Outcome::Timeout,
         Outcome::ConnectionReset,
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_connection_that_may_carry_others_outlives_an_attempt_that_is_cancelled() {
+fn a_multiplexed_connection_stays_open_when_an_attempt_is_cancelled() {
     let mut connections = connections(10);
     connections.attempt_started(0.0, 1);
     assert!(connections.has_free(10.0, 9));
--- a/src/state/customer.rs
+++ b/src/state/customer.rs
@@ -1,30 +1,31 @@
-//! What the gateway knows of its customers.
+//! The records of the gateway's customers.
 
 use crate::api::{CustomerId, Millis, Request};
 use crate::primitives::token_bucket::TokenBucket;
 use crate::state::{OpenRequest, SharedQuota};
 use std::collections::BTreeMap;
 
-/// One customer as this gateway sees it. `policy::customer_quota` has the further methods, which decide on its quota.
+/// This gateway's record of one customer. `policy::customer_quota` has the methods that decide on the quota.
 pub(crate) struct Customer {
+    /// Time of the customer's last request.
     pub(crate) last_seen_at: Millis,
-    /// The quota, by the counter and this gateway's usage.
+    /// The quota as known from the counter's totals and this gateway's own usage.
     pub(crate) quota: SharedQuota,
-    /// Units left of the quota, by this gateway's usage and by gossip.
+    /// Units left of the quota as known from this gateway's own usage and from gossip.
     pub(crate) gossip_level: f64,
     /// This gateway's share of the plan's hard ceiling.
     pub(crate) ceiling: TokenBucket,
-    /// Units of requests that wait for the counter's reply.
+    /// Units of requests that are waiting for the counter's reply.
     pub(crate) reserved_units: f64,
-    /// Calls to the counter in flight.
+    /// Number of calls to the counter in flight.
     pub(crate) pending_calls: u32,
     pub(crate) last_call_at: Millis,
-    /// Attempts in flight.
+    /// Number of the customer's attempts in flight at this gateway.
     pub(crate) in_flight: u32,
 }
 
 impl Customer {
-    /// A customer not seen before.
+    /// A customer without usage at this gateway.
     pub(crate) fn new(now: Millis, quota: SharedQuota, ceiling: TokenBucket) -> Self {
         Customer {
             last_seen_at: now,
@@ -38,19 +39,18 @@
         }
     }
 
-    /// Whether the customer has no work and no counter call in flight.
+    /// Whether the customer has no attempt, no waiting request and no counter call in flight.
     pub(crate) fn is_idle(&self) -> bool {
         self.pending_calls == 0 && self.in_flight == 0 && self.reserved_units <= 0.0
     }
 }
 
-/// From this number of customers on, idle ones are forgotten before another one is added. A client can send any
-/// number as its customer: without a limit, invented numbers would take up all memory. Customers with work in flight
-/// are never forgotten, so that there can be more as long as all are active.
+/// Number of customers from which on idle customers are evicted before another one is added. Clients can send any
+/// customer id, so that without a limit invented ids would exhaust the memory. Customers with work in flight are never
+/// evicted: the table can exceed the limit while all customers are active.
 const MAX_CUSTOMERS: usize = 16_384;
 
-/// The customers, by number. Where they are too many, the half of the idle ones that was not seen for longest is
-/// forgotten.
+/// The customers by id. When the table is full, the half of the idle customers that was seen least recently is evicted.
 #[derive(Default)]
 pub(crate) struct Customers(BTreeMap<CustomerId, Customer>);
 
@@ -73,12 +73,12 @@
         new: impl FnOnce() -> Customer,
     ) -> &mut Customer {
         if self.0.len() >= MAX_CUSTOMERS && !self.0.contains_key(&id) {
-            self.forget_longest_idle_half();
+            self.evict_least_recent_idle();
         }
         self.0.entry(id).or_insert_with(new)
     }
 
-    /// The customer used units here, or is refunded if negative.
+    /// Records units that the customer used at this gateway. A negative number is a refund.
     pub(crate) fn record_usage(&mut self, id: CustomerId, units: f64) {
         if let Some(customer) = self.get_mut(id) {
             customer.quota.take(units);
@@ -86,13 +86,13 @@
         }
     }
 
-    /// Whether this gateway's share of the hard ceiling has the request's units left.
+    /// Whether this gateway's share of the customer's hard ceiling has enough units left for the request.
     pub(crate) fn fits_ceiling(&self, request: &Request) -> bool {
         self.get(request.customer)
             .is_some_and(|customer| customer.ceiling.has(request.units))
     }
 
-    /// An attempt is sent; the first one of a request counts against the hard ceiling.
+    /// Records that an attempt was sent. The first attempt of a request takes its units from the hard ceiling.
     pub(crate) fn attempt_started(&mut self, request: &Request, first: bool) {
         let Some(customer) = self.get_mut(request.customer) else {
             return;
@@ -109,7 +109,7 @@
         }
     }
 
-    /// The request waits for the counter's reply, with its units reserved.
+    /// Reserves the units of a request that waits for the counter's reply.
     pub(crate) fn reserve(&mut self, open: &mut OpenRequest) {
         open.awaiting_counter = true;
         if let Some(customer) = self.get_mut(open.request.customer) {
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Ends the request's wait for the counter, if it waits.
+    /// Releases the units reserved for a request, if it is waiting for the counter's reply.
     pub(crate) fn release(&mut self, open: &mut OpenRequest) {
         let waited = std::mem::take(&mut open.awaiting_counter);
         if let Some(customer) = self.get_mut(open.request.customer).filter(|_| waited) {
@@ -125,14 +125,14 @@
         }
     }
 
-    /// Forgets the idle customers for whose `last_seen_at` this holds.
+    /// Removes the idle customers for whose `last_seen_at` the predicate holds.
     pub(crate) fn forget_idle(&mut self, is_expired: impl Fn(Millis) -> bool) {
         self.0
             .retain(|_, customer| !customer.is_idle() || !is_expired(customer.last_seen_at));
     }
 
-    /// Forgets the half of the idle customers that were not seen for longest.
-    fn forget_longest_idle_half(&mut self) {
+    /// Removes the half of the idle customers that was seen least recently.
+    fn evict_least_recent_idle(&mut self) {
         let idle = self.0.values().filter(|customer| customer.is_idle());
         let mut last_seen: Vec<_> = idle.map(|customer| customer.last_seen_at).collect();
         if last_seen.is_empty() {
--- a/src/state/customer/tests.rs
+++ b/src/state/customer/tests.rs
@@ -4,10 +4,10 @@
     Customer::new(now, SharedQuota::new(id, now, 10.0), TokenBucket::new(0.0))
 }
 
-/// A client sends requests with invented customer numbers. Memory must not grow without limit, and customers with work
-/// in flight must stay.
+/// Clients can send requests with invented customer ids. The table must not grow without limit, and customers with work
+/// in flight must not be evicted.
 #[test]
-fn where_customers_are_too_many_the_half_that_was_idle_longest_is_forgotten() {
+fn a_full_table_evicts_the_least_recent_half_of_the_idle_customers() {
     let mut customers = Customers::default();
     for id in 0..MAX_CUSTOMERS as u64 {
         customers.get_or_insert_with(id, || customer(id, id as Millis));
@@ -19,13 +19,16 @@
         "{}",
         customers.len()
     );
-    assert!(customers.get(0).is_some(), "it is not idle");
+    assert!(
+        customers.get(0).is_some(),
+        "a customer with an attempt in flight was evicted"
+    );
     assert!(customers.get(1).is_none());
     assert!(customers.get(MAX_CUSTOMERS as u64 - 1).is_some());
 }
 
 #[test]
-fn idle_customers_are_forgotten_when_their_time_has_expired() {
+fn forget_idle_removes_only_idle_customers_that_have_expired() {
     let mut customers = Customers::default();
     for id in 0..3 {
         customers.get_or_insert_with(id, || customer(id, id as Millis));
--- a/src/state/ejection.rs
+++ b/src/state/ejection.rs
@@ -1,12 +1,12 @@
-//! The failures of one endpoint, and whether it is ejected for them.
+//! The ejection state of one endpoint: its consecutive failures, and whether it is ejected because of them.
 
 use crate::api::Millis;
 
-/// What is remembered of an endpoint's failures. Its methods are in `policy::ejection`.
+/// The ejection state of an endpoint. The methods are in `policy::ejection`.
 #[derive(Default)]
 pub(crate) struct Ejection {
     pub(crate) consecutive_failures: u32,
-    /// It stays ejected until it succeeds, also after the ejection time.
+    /// Whether the endpoint is ejected. It remains ejected after the ejection time until an attempt succeeds.
     pub(crate) is_ejected: bool,
     /// End of the ejection time.
     pub(crate) until: Millis,
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -6,18 +6,18 @@
 use crate::state::{ConnectionEstimate, Ejection, WarmUp};
 use std::ops::Range;
 
-/// One endpoint as this gateway sees it. Further methods: `policy::latency` (the expected latency),
-/// `policy::ejection` (whether it may be sent attempts).
+/// This gateway's record of one endpoint. Further methods are in `policy::latency` (the expected latency) and
+/// `policy::ejection` (whether attempts may be sent to the endpoint).
 pub(crate) struct TrackedEndpoint {
     pub(crate) endpoint: Endpoint,
-    /// Number of the last endpoint update that named it.
+    /// Number of the last update of the endpoint list that contained the endpoint.
     pub(crate) last_update: u64,
-    /// Attempts of this gateway in flight.
+    /// Number of this gateway's attempts in flight at the endpoint.
     pub(crate) in_flight: u32,
-    /// When an attempt last ended with a valid response, a success or a rejection; or when one started while no other
-    /// was in flight, if that was later.
+    /// Time at which an attempt last ended with a valid response (a success or a rejection), or at which an attempt
+    /// last started while no other was in flight, whichever is later.
     pub(crate) last_valid_response_at: Millis,
-    /// Its latency as a ratio to the fleet's.
+    /// Ratio of the endpoint's latency to the fleet's.
     pub(crate) relative_latency: DecayingRatio,
     pub(crate) connections: ConnectionEstimate,
     pub(crate) warm_up: WarmUp,
@@ -25,7 +25,7 @@
 }
 
 impl TrackedEndpoint {
-    /// An endpoint of which only its entry in the endpoint list is known.
+    /// A new record of an endpoint, from its entry in the endpoint list.
     pub(crate) fn new(
         endpoint: Endpoint,
         connections: ConnectionEstimate,
@@ -48,7 +48,7 @@
         self.endpoint.state == EndpointState::Ready
     }
 
-    /// Its node on the ring of ready endpoints.
+    /// The endpoint's node on the ring of ready endpoints; `None` if the endpoint is not ready.
     pub(crate) fn ring_node(&self) -> Option<Node> {
         let Endpoint {
             id,
@@ -59,8 +59,8 @@
         self.is_ready().then_some(Node { id, zone, key })
     }
 
-    /// When an attempt last succeeded; when the endpoint was first seen if none has. A restart of the endpoint doesn't
-    /// change it, as `DecayingRatio::reset` leaves the time of the last sample.
+    /// Time of the last successful attempt, or of the endpoint's first appearance in the list if none has succeeded.
+    /// A restart of the endpoint doesn't change this time, as `DecayingRatio::reset` keeps the time of the last sample.
     pub(crate) fn last_success_at(&self) -> Millis {
         self.relative_latency.updated_at()
     }
@@ -69,7 +69,7 @@
         self.connections.has_free(now, self.in_flight)
     }
 
-    /// It has restarted: what was known of its health and latency no longer holds.
+    /// Resets health, latency and warm-up after a restart of the endpoint.
     pub(crate) fn restart(&mut self, warm_up: WarmUp) {
         self.warm_up = warm_up;
         self.health = EndpointHealth::default();
@@ -94,18 +94,19 @@
     }
 }
 
-/// The health of an endpoint by the outcomes of its attempts. `policy::avoidance` has further methods.
+/// The health of an endpoint, derived from the outcomes of its attempts. Further methods are in `policy::avoidance`.
 #[derive(Default)]
 pub(crate) struct EndpointHealth {
     pub(crate) ejection: Ejection,
-    /// Share of its attempts that ended with an error or a broken connection, among these and successes (EWMA).
+    /// Share of attempts that ended with an error response or a broken connection, among those and the successes; an
+    /// exponentially weighted moving average.
     pub(crate) invalid_rate: f64,
-    /// By plan: until when it is likely to reject requests. Plans beyond the end have had no rejection.
+    /// By plan: time until which the endpoint is likely to reject requests. Plans beyond the end have had no rejection.
     rejecting_until: Vec<Millis>,
 }
 
 impl EndpointHealth {
-    /// The endpoint is likely to reject requests of these plans until then.
+    /// Records that the endpoint is likely to reject requests of these plans until the given time.
     pub(crate) fn set_rejecting(&mut self, plans: Range<usize>, until: Millis) {
         if self.rejecting_until.len() < plans.end {
             self.rejecting_until.resize(plans.end, f64::NEG_INFINITY);
@@ -123,7 +124,7 @@
         self.rejecting_until.iter().any(|until| now < *until)
     }
 
-    /// Whether it is neither ejected nor rejecting.
+    /// Whether the endpoint is neither ejected nor likely to reject requests of any plan.
     pub(crate) fn is_healthy(&self, now: Millis) -> bool {
         !self.ejection.is_ejected && !self.is_rejecting_any(now)
     }
--- a/src/state/endpoint_table.rs
+++ b/src/state/endpoint_table.rs
@@ -1,14 +1,14 @@
-//! The endpoints that updates of the endpoint list have named.
+//! The table of all endpoints that updates of the endpoint list have contained.
 
 use crate::api::{EndpointId, EndpointState, Millis};
 use crate::state::TrackedEndpoint;
 use std::collections::BTreeMap;
 
-/// The endpoints by number.
+/// The endpoints by id.
 #[derive(Default)]
 pub(crate) struct EndpointTable {
     endpoints: BTreeMap<EndpointId, TrackedEndpoint>,
-    /// Updates of the list so far.
+    /// Number of updates of the list so far.
     updates: u64,
 }
 
@@ -25,12 +25,12 @@
         self.endpoints.get_mut(&id)
     }
 
-    /// All endpoints, sorted by number.
+    /// All endpoints, sorted by id.
     pub(crate) fn all(&self) -> impl Iterator<Item = &TrackedEndpoint> + Clone {
         self.endpoints.values()
     }
 
-    /// Those of these endpoints that are known, in the order given.
+    /// The known endpoints among `ids`, in the order of `ids`.
     pub(crate) fn select<'a>(
         &'a self,
         ids: &'a [EndpointId],
@@ -38,23 +38,25 @@
         ids.iter().filter_map(|id| self.endpoints.get(id))
     }
 
-    /// An update of the list begins; `insert` and `mark_listed` mark endpoints that it names.
+    /// Begins an update of the list. `insert` and `mark_listed` mark endpoints as contained in the update.
     pub(crate) fn begin_update(&mut self) {
         self.updates += 1;
     }
 
+    /// Adds an endpoint and marks it as contained in the current update.
     pub(crate) fn insert(&mut self, mut endpoint: TrackedEndpoint) {
         endpoint.last_update = self.updates;
         self.endpoints.insert(endpoint.endpoint.id, endpoint);
     }
 
+    /// Marks a known endpoint as contained in the current update, and returns it.
     pub(crate) fn mark_listed(&mut self, id: EndpointId) -> Option<&mut TrackedEndpoint> {
         let endpoint = self.endpoints.get_mut(&id)?;
         endpoint.last_update = self.updates;
         Some(endpoint)
     }
 
-    /// Endpoints not removed before that this update has not named.
+    /// Endpoints that the current update does not contain and that were not removed before.
     pub(crate) fn unlisted(&mut self) -> impl Iterator<Item = &mut TrackedEndpoint> {
         let update = self.updates;
         self.endpoints.values_mut().filter(move |endpoint| {
@@ -62,8 +64,8 @@
         })
     }
 
-    /// Forgets removed endpoints without an attempt in flight whose last success was `after_success_ms` or longer ago.
-    /// The time of the removal itself doesn't count.
+    /// Deletes the records of removed endpoints that have no attempt in flight and whose last success was
+    /// `after_success_ms` or longer ago. The time of the removal itself doesn't matter.
     pub(crate) fn forget_removed(&mut self, now: Millis, after_success_ms: Millis) {
         self.endpoints.retain(|_, endpoint| {
             let is_removed = endpoint.endpoint.state == EndpointState::Removed;
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,8 +1,8 @@
-//! The state of the gateway: the records, the operations that keep a record consistent in itself, and the tables that
-//! hold them.
+//! The gateway's state: records of endpoints, customers and requests, the tables that hold them, and the operations
+//! that keep a record consistent.
 //!
-//! Rules with figures of their own are in `policy`, some as further inherent impls of the records here; each such
-//! record names their modules.
+//! Decisions, and the constants that they depend on, are in `policy`. Some are further inherent methods of the records
+//! here; such a record names the module that has them.
 
 mod charge;
 mod connections;
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -1,4 +1,4 @@
-//! Requests that have no final response yet or have attempts in flight.
+//! Open requests: those without a final response, and those with attempts in flight.
 
 use crate::api::{AttemptEnd, EndpointId, Millis, Outcome, Request, RequestId, Settings};
 use crate::state::Account;
@@ -8,60 +8,61 @@
 pub(crate) struct Attempt {
     pub(crate) endpoint: EndpointId,
     pub(crate) started_at: Millis,
-    /// This gateway's attempts in flight at the endpoint when it was sent, this one included.
+    /// Number of this gateway's attempts in flight at the endpoint when the attempt was sent, including the attempt.
     pub(crate) endpoint_in_flight: f64,
-    /// It has not ended yet.
+    /// Whether the attempt has not ended yet.
     pub(crate) in_flight: bool,
 }
 
-/// Why a request can't be served at all.
+/// Reason why a request is invalid and cannot be served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum InvalidRequest {
-    /// The settings have no class with its index.
+    /// The settings have no class with the request's index.
     UnknownClass,
-    /// The settings have no plan with its index.
+    /// The settings have no plan with the request's index.
     UnknownPlan,
-    /// Its client no longer waits.
+    /// The client no longer waits for a response.
     NoTimeLeft,
 }
 
-/// Of the attempts of a request that may have been executed, the first one to end. Retries that rely on an
-/// idempotency key are bound to its endpoint's zone or cell, and to a time after its start.
+/// Of a request's attempts that may have been executed, the one that ended first. Retries that rely on an idempotency
+/// key must stay in the zone or cell of that attempt's endpoint, and within a window after that attempt's start.
 #[derive(Clone, Copy)]
 pub(crate) struct FirstExecution {
     pub(crate) started_at: Millis,
     pub(crate) endpoint: EndpointId,
 }
 
-/// A request that has no final response yet, or has attempts in flight.
+/// A request that has no final response yet or has attempts in flight.
 pub(crate) struct OpenRequest {
     pub(crate) request: Request,
-    /// When its client gives up.
+    /// Time at which the client gives up.
     pub(crate) deadline: Millis,
-    /// Time from its arrival to its latency objective or its client's time-out, whichever is first.
+    /// Time from the request's arrival to its latency objective or to its client's timeout, whichever is shorter.
     pub(crate) latency_budget_ms: Millis,
-    /// A response after this misses the latency objective.
+    /// Time at which the latency budget ends. A response after this time misses the latency objective.
     pub(crate) objective_deadline: Millis,
-    /// It waits for the counter's reply.
+    /// Whether the request waits for the counter's reply.
     pub(crate) awaiting_counter: bool,
-    /// Its units are taken from the quota when it is forwarded, and have not been settled or refunded.
+    /// Whether the units, which are taken from the quota when the request is forwarded, have not been settled or
+    /// refunded yet.
     pub(crate) settlement_due: bool,
-    /// An attempt with another outcome than [`Outcome::NotSent`] has ended.
+    /// Whether an attempt has ended that was sent, that is, with another outcome than [`Outcome::NotSent`].
     pub(crate) has_ended_sent_attempt: bool,
-    /// It has its final response, or its client has disconnected.
+    /// Whether the final response was given, or the client has disconnected.
     pub(crate) closed: bool,
-    /// Part of a response has been passed on to the client.
+    /// Whether part of a response was passed on to the client.
     pub(crate) response_started: bool,
     pub(crate) attempts: Vec<Attempt>,
     pub(crate) first_execution: Option<FirstExecution>,
 }
 
 impl OpenRequest {
-    /// A request that has just arrived. Units and times that are negative or not finite count as 0.
+    /// Opens a request that has just arrived. Units or a timeout that are negative or not finite count as 0.
     ///
     /// # Errors
     ///
-    /// Why it can't be served.
+    /// The request's class or plan is unknown, or no time is left.
     pub(crate) fn new(
         mut request: Request,
         settings: &Settings,
@@ -102,7 +103,7 @@
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 
-    /// The numbers of the attempts in flight.
+    /// The numbers of the attempts in flight, in the order of sending.
     pub(crate) fn attempts_in_flight(&self) -> impl Iterator<Item = u8> + '_ {
         let numbered = (0..=u8::MAX).zip(&self.attempts);
         numbered
@@ -110,23 +111,25 @@
             .map(|(number, _)| number)
     }
 
-    /// Whether nothing more is to be sent, responded or awaited.
+    /// Whether the request is closed and all its attempts have ended.
     pub(crate) fn has_ended(&self) -> bool {
         self.closed && !self.has_attempt_in_flight()
     }
 
-    /// Whether no attempt of it was sent or may still be.
+    /// Whether no attempt was sent and none that is in flight may still be sent.
     pub(crate) fn was_never_sent(&self) -> bool {
         !self.has_ended_sent_attempt && !self.has_attempt_in_flight()
     }
 
-    /// Whether an endpoint may have executed it. Any attempt in flight counts, as the library doesn't know which of
-    /// them are written yet. The program does, and counts only those: `RequestRegistry::may_have_executed`.
+    /// Whether an endpoint may have executed the request.
+    ///
+    /// Every attempt in flight counts, as the library doesn't know which attempts have been written to a connection.
+    /// The program knows, and counts only those: `RequestRegistry::may_have_executed`.
     pub(crate) fn may_have_executed(&self) -> bool {
         self.first_execution.is_some() || self.has_attempt_in_flight()
     }
 
-    /// Records the end of an attempt, and returns the attempt; none if it is unknown or had ended before.
+    /// Records the end of an attempt and returns the attempt, or `None` if it is unknown or has ended before.
     pub(crate) fn end_attempt(&mut self, ended: &AttemptEnd) -> Option<&Attempt> {
         let attempt = self.attempts.get_mut(usize::from(ended.attempt))?;
         if !std::mem::take(&mut attempt.in_flight) {
@@ -146,7 +149,7 @@
     }
 }
 
-/// The requests that have not ended, by id.
+/// The open requests by id.
 #[derive(Default)]
 pub(crate) struct OpenRequests(BTreeMap<RequestId, OpenRequest>);
 
@@ -155,14 +158,14 @@
         self.0.contains_key(&id)
     }
 
-    /// Adds a request, unless it has ended at once.
+    /// Adds a request, unless it has already ended.
     pub(crate) fn insert(&mut self, open: OpenRequest) {
         if !open.has_ended() {
             self.0.insert(open.request.id, open);
         }
     }
 
-    /// Changes a request, if it is there, and removes it once it has ended.
+    /// Applies `change` to a request, if it is open, and removes the request if it has ended after that.
     pub(crate) fn update(&mut self, id: RequestId, change: impl FnOnce(&mut OpenRequest)) {
         let Some(open) = self.0.get_mut(&id) else {
             return;
--- a/src/state/request/tests.rs
+++ b/src/state/request/tests.rs
@@ -31,7 +31,7 @@
     open(request).unwrap_or_else(|invalid| panic!("{invalid:?}"))
 }
 
-fn with_attempt() -> OpenRequest {
+fn opened_with_attempt() -> OpenRequest {
     let mut open = opened(request(1));
     open.attempts.push(Attempt {
         endpoint: 7,
@@ -85,8 +85,8 @@
 }
 
 #[test]
-fn an_attempt_ends_once() {
-    let mut open = with_attempt();
+fn only_the_first_end_of_an_attempt_counts() {
+    let mut open = opened_with_attempt();
     assert!(open.end_attempt(&ended(Outcome::Timeout)).is_some());
     assert!(open.end_attempt(&ended(Outcome::Timeout)).is_none());
     assert!(open
@@ -99,16 +99,16 @@
 }
 
 #[test]
-fn an_attempt_that_was_not_sent_leaves_the_request_unsent_and_unexecuted() {
-    let mut open = with_attempt();
+fn an_attempt_that_was_not_sent_counts_neither_as_sent_nor_as_executed() {
+    let mut open = opened_with_attempt();
     open.end_attempt(&ended(Outcome::NotSent));
     assert!(open.was_never_sent() && open.first_execution.is_none());
 }
 
 #[test]
-fn a_request_is_forgotten_once_it_is_closed_and_its_attempts_have_ended() {
+fn a_request_is_removed_once_it_is_closed_and_its_attempts_have_ended() {
     let mut requests = OpenRequests::default();
-    requests.insert(with_attempt());
+    requests.insert(opened_with_attempt());
     requests.update(1, |open| open.closed = true);
     assert!(requests.contains(1));
     requests.update(1, |open| {
--- a/src/state/shared_quota.rs
+++ b/src/state/shared_quota.rs
@@ -1,35 +1,36 @@
-//! What one gateway remembers of a customer's quota, which all gateways share.
+//! One gateway's record of a customer's quota, which all gateways share.
 
 use crate::api::{CustomerId, Millis};
 
-/// A customer's quota as one gateway sees it. The rules that keep it up to date are in `policy::shared_quota`;
-/// decayed units are those of a leaky bucket (`primitives::forward_decay`).
+/// One gateway's record of a customer's quota. The methods that keep the record up to date are in
+/// `policy::shared_quota`. Usage decays as on a leaky bucket (`primitives::forward_decay`).
 pub(crate) struct SharedQuota {
-    /// Places the customer's windows.
+    /// The customer. The id determines when the customer's windows begin.
     pub(crate) customer: CustomerId,
-    /// Units left, as of the last refill. It may be above the burst until the next total.
+    /// Units left as of the last refill. The level may exceed the burst until the next total is known.
     pub(crate) level: f64,
+    /// Time of the last refill.
     pub(crate) refilled_at: Millis,
-    /// Units, or refunds if negative, that the next charge adds to the count, decayed to `unsettled_at`.
+    /// Units that the next charge adds to the count, decayed to `unsettled_at`; negative for a refund.
     pub(crate) unsettled_units: f64,
     pub(crate) unsettled_at: Millis,
-    /// Number of the window in which usage is counted now.
+    /// Number of the window in which usage is currently counted.
     pub(crate) window: u64,
-    /// The usage at all gateways by the last total, decayed to `last_total_at`; none before the first total.
+    /// Usage at all gateways according to the last total, decayed to `last_total_at`; `None` before the first total.
     pub(crate) last_usage: Option<f64>,
     pub(crate) last_total_at: Millis,
-    /// What this gateway has added to the count of this window, weighted.
+    /// Weighted units that this gateway has added to the count of the current window.
     pub(crate) own_count: f64,
-    /// The usage in earlier windows, decayed to the start of this one.
+    /// Usage in earlier windows, decayed to the start of the current window.
     pub(crate) usage_before_window: f64,
-    /// Usage at the other gateways, in units per second, averaged.
+    /// Average usage at the other gateways, in units per second.
     pub(crate) peer_rate: f64,
-    /// Units that the other gateways were extrapolated to have used since the last total.
+    /// Extrapolated usage at the other gateways since the last total, in units.
     pub(crate) extrapolated_units: f64,
 }
 
 impl SharedQuota {
-    /// A full quota of which no total is known.
+    /// A full quota without a known total.
     pub(crate) fn new(customer: CustomerId, now: Millis, burst: f64) -> Self {
         SharedQuota {
             customer,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// This gateway has used units, or was refunded if negative.
+    /// Records units used at this gateway. A negative number is a refund.
     pub(crate) fn take(&mut self, units: f64) {
         self.level -= units;
     }
--- a/src/state/subset_load.rs
+++ b/src/state/subset_load.rs
@@ -1,10 +1,10 @@
 //! The load on the gateway's subset of the endpoints.
 
-/// What the size of the subset depends on, as of the last tick.
+/// The load that determines the subset's size, as of the last housekeeping.
 #[derive(Default)]
 pub(crate) struct SubsetLoad {
-    /// Attempts of this gateway in flight, averaged.
+    /// Average number of this gateway's attempts in flight.
     pub(crate) mean_in_flight: f64,
-    /// Members that are ejected or reject requests.
+    /// Number of members that are ejected or likely to reject requests.
     pub(crate) unhealthy_members: usize,
 }
--- a/src/state/timer.rs
+++ b/src/state/timer.rs
@@ -1,26 +1,26 @@
-//! The timers that a gateway sets, and their tokens.
+//! The timers that a gateway sets, and their encoding as tokens.
 
 use crate::api::RequestId;
 
-/// The highest bits of a token say which timer it is, the rest is a request's id.
 const HOUSEKEEPING_TOKEN: u64 = 0;
 const COUNTER_WAIT_FLAG: u64 = 1 << 60;
 const GOSSIP_FLAG: u64 = 1 << 61;
+/// Bits of a token that hold a request's id. The four highest bits identify the kind of timer.
 const REQUEST_ID_MASK: u64 = (1 << 60) - 1;
 
-/// What a timer is for.
+/// The purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Timer {
-    /// The periodic housekeeping.
+    /// The next run of the periodic housekeeping.
     Housekeeping,
-    /// The request has waited for the counter for as long as it may.
+    /// The end of the longest time that the request waits for the counter's reply.
     CounterWait(RequestId),
-    /// The usage collected so far is due to be sent to the other gateways.
+    /// The next gossip message with collected usage is due.
     Gossip,
 }
 
 impl Timer {
-    /// The token to set the timer with.
+    /// The token that identifies the timer in `Action::SetTimer`.
     pub(crate) fn token(self) -> u64 {
         match self {
             Timer::Housekeeping => HOUSEKEEPING_TOKEN,
@@ -29,8 +29,10 @@
         }
     }
 
-    /// The timer that was set with this token. Hosts must hand back only tokens that the gateway has set, each once:
-    /// an unknown one counts as housekeeping, which would set its timer again and run twice as often from then on.
+    /// Decodes the token of a timer that has fired.
+    ///
+    /// The host must report only tokens that the gateway has set, each of them once. An unknown token counts as
+    /// housekeeping, which sets its own timer again and would run twice as often from then on.
     pub(crate) fn from_token(token: u64) -> Self {
         match token & !REQUEST_ID_MASK {
             COUNTER_WAIT_FLAG => Timer::CounterWait(token & REQUEST_ID_MASK),
--- a/src/state/timer/tests.rs
+++ b/src/state/timer/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_token_gives_back_its_timer() {
+fn a_token_decodes_to_the_timer_it_was_made_from() {
     for timer in [
         Timer::Housekeeping,
         Timer::CounterWait(0),
--- a/src/state/warm_up.rs
+++ b/src/state/warm_up.rs
@@ -1,21 +1,22 @@
-//! The warm-up of one endpoint: how much of its capacity it has, and the attempts that it may be sent meanwhile.
+//! The warm-up of one endpoint: the current share of its capacity, and the token bucket that limits its attempts.
 
 use crate::api::Millis;
 use crate::primitives::ramp::LinearRamp;
 use crate::primitives::token_bucket::TokenBucket;
 
-/// The warm-up. `policy::slow_start` decides on the rate at which attempts are permitted, and has the method that
-/// refills the tokens.
+/// The warm-up state of an endpoint. `policy::slow_start` decides on the permitted rate of attempts, and has the method
+/// that refills the tokens.
 pub(crate) struct WarmUp {
-    /// Boxed to keep the records of warm endpoints, which are nearly all, small.
+    /// The capacity over time; `None` if the endpoint has not started recently. Boxed, as nearly all endpoints have no
+    /// ramp and their records should stay small.
     ramp: Option<Box<LinearRamp>>,
-    /// One token for each attempt.
+    /// Each attempt takes one token.
     pub(crate) tokens: TokenBucket,
     pub(crate) refilled_at: Millis,
 }
 
 impl WarmUp {
-    /// Without a ramp the endpoint is warm.
+    /// Creates the state with `tokens` initial tokens. An endpoint without a ramp is warm.
     pub(crate) fn new(ramp: Option<LinearRamp>, tokens: f64, now: Millis) -> Self {
         WarmUp {
             ramp: ramp.map(Box::new),
@@ -24,22 +25,22 @@
         }
     }
 
-    /// Whether the endpoint has started recently, though it may be warm by now.
+    /// Whether the endpoint has started recently. It may have become warm since.
     pub(crate) fn has_ramp(&self) -> bool {
         self.ramp.is_some()
     }
 
-    /// Share of its capacity that the endpoint has; none once it is warm.
+    /// The endpoint's share of its full capacity; `None` once it is warm.
     pub(crate) fn capacity_share(&self, now: Millis) -> Option<f64> {
         self.ramp.as_ref()?.share_at(now)
     }
 
-    /// Whether a token is left for an attempt.
+    /// Whether a token is available for an attempt.
     pub(crate) fn has_token(&self) -> bool {
         self.tokens.has(1.0)
     }
 
-    /// An attempt has been sent, with a token or without one, which is then owed.
+    /// Takes the token of an attempt that was sent. Without an available token, the balance becomes negative.
     pub(crate) fn take_token(&mut self) {
         self.tokens.take(1.0);
     }
--- a/src/state/warm_up/tests.rs
+++ b/src/state/warm_up/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn an_attempt_without_a_token_leaves_one_owed() {
+fn an_attempt_without_a_token_makes_the_balance_negative() {
     let mut warm_up = WarmUp::new(None, 0.0, 1000.0);
     warm_up.take_token();
     warm_up.tokens.refill(1.5, 2.0);
--- a/src/state/warming_members.rs
+++ b/src/state/warming_members.rs
@@ -3,18 +3,18 @@
 use crate::api::{EndpointId, Millis};
 use crate::state::EndpointTable;
 
-/// Their ids, found again only when members have changed.
+/// The ids of the warming members. They are only collected anew when the members have changed.
 #[derive(Default)]
 pub(crate) struct WarmingMembers {
-    /// Sorted by number.
+    /// Sorted by id.
     pub(crate) ids: Vec<EndpointId>,
-    /// The members or their starts have changed since `ids` was filled.
+    /// Whether the members, or the times of their starts, have changed since `ids` was collected.
     pub(crate) is_stale: bool,
 }
 
 impl WarmingMembers {
-    /// Adds members that have started since the last update, and removes those that are warm by now. Returns the
-    /// capacity of all members, as a number of warm endpoints.
+    /// Adds members that have started since the last update, and removes those that have become warm. Returns the
+    /// capacity of all members, expressed as a number of warm endpoints.
     pub(crate) fn update(
         &mut self,
         now: Millis,
