--- a/src/bin/quota-gateway/config/tests.rs
+++ b/src/bin/quota-gateway/config/tests.rs
@@ -40,21 +40,25 @@
 fn each_error_is_one_line_that_names_the_field() {
     for (pointer, value, line) in [
         ("/limits/sockets", json!(39), "limits.sockets: at least 40 are needed"),
-        ("/settings/position", json!(1), "settings.position: not below settings.balancers"),
-        ("/settings/locality", json!(1), "settings.locality: not a place in settings.zones"),
-        ("/settings/categories", json!([]), "settings.categories: empty"),
-        ("/settings/rules/warm-up-ms", json!(-1.0), "settings.rules.warm-up-ms: out of range"),
+        ("/settings/position", json!(1), "settings.position: must be less than settings.balancers"),
+        ("/settings/locality", json!(1), "settings.locality: must be an index into settings.zones"),
+        ("/settings/categories", json!([]), "settings.categories: must not be empty"),
+        (
+            "/settings/rules/warm-up-ms",
+            json!(-1.0),
+            "settings.rules.warm-up-ms: out of range, must be from 0 to 86400000",
+        ),
         (
             "/settings/categories/0/group",
             Value::Null,
-            "settings.categories[0].group: missing for a keyed class",
+            "settings.categories[0].group: missing, but required for the effect idempotency_key",
         ),
         (
             "/settings/tiers-of-service/0/refill",
             json!(-1.0),
-            "settings.tiers-of-service[0].store-size: a refill needs a store above 0, and neither is below",
+            "settings.tiers-of-service[0].store-size: must be above 0 if refill is, and refill must not be negative",
         ),
-        ("/counter", Value::Null, "counter: missing, though settings.domain.may-count is true"),
+        ("/counter", Value::Null, "counter: missing, but required if settings.domain.may-count is true"),
         ("/peers", json!([]), "peers: one address for each gateway and peer_listen are needed"),
         ("/seed", json!("seed"), "seed: not a hex number"),
     ] {
--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -1,25 +1,25 @@
-//! The messages between gateways: which customers used how many units, and their encoding in bytes.
+//! The messages between gateways, which state the units that customers used, and their binary encoding.
 
 use crate::api::CustomerId;
 use std::collections::BTreeMap;
 
-/// The version of the encoding; messages of other versions are ignored.
+/// Version of the encoding. Messages of other versions are ignored.
 const VERSION: u8 = 2;
-/// Bytes of a customer's number in a message.
+/// Length of a customer id in a message, in bytes.
 const CUSTOMER_BYTES: usize = 5;
-/// Bytes of one customer's usage: its number, its plan (1 byte), and its units in hundredths (2 bytes).
+/// Length of one usage entry in bytes: customer id (5), plan (1), and signed units in hundredths (2).
 const USAGE_BYTES: usize = 8;
-/// Most customers in one message, which has to fit into 256 bytes.
+/// Maximum number of usage entries in one message, so that the message fits into 256 bytes.
 const MAX_USAGES: usize = 31;
-/// Customer numbers are below this.
+/// Exclusive upper limit of customer ids.
 const CUSTOMER_LIMIT: u64 = 1 << 33;
-/// Hundredths in a unit.
+/// Hundredths per unit.
 const HUNDREDTHS: f64 = 100.0;
 
-/// The recipient that stands for all other gateways.
+/// The recipient index that addresses all other gateways.
 pub(crate) const ALL_GATEWAYS: u32 = u32::MAX;
 
-/// Units that a customer used at the sending gateway, or was refunded if negative.
+/// Units that a customer used at the sending gateway. A negative number is a refund.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Usage {
     pub(crate) customer: CustomerId,
@@ -30,23 +30,23 @@
 /// A message between gateways.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Message {
-    /// The counter was short of capacity for a call of the sender.
+    /// Whether the counter recently lacked the capacity for a call of the sender.
     pub(crate) counter_short: bool,
     pub(crate) usages: Vec<Usage>,
 }
 
-/// Why bytes could not be decoded as a message.
+/// Reason why bytes cannot be decoded as a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum DecodeError {
-    #[error("the message ends within its header")]
+    #[error("message is shorter than its header")]
     Truncated,
-    #[error("version {0} is not known")]
+    #[error("unknown message version {0}")]
     UnknownVersion(u8),
-    #[error("{0} is neither 0 nor 1")]
+    #[error("shortage flag is {0}, expected 0 or 1")]
     InvalidFlag(u8),
-    #[error("{0} bytes of usage are too many or not whole entries")]
+    #[error("usage entries of {0} bytes exceed the limit or end within an entry")]
     InvalidLength(usize),
-    #[error("customer number {0} is out of range")]
+    #[error("customer id {0} is out of range, expected less than {CUSTOMER_LIMIT}")]
     InvalidCustomer(CustomerId),
 }
 
@@ -84,7 +84,7 @@
     }
 }
 
-/// Decodes the `USAGE_BYTES` bytes of one entry.
+/// Decodes one entry, which must have `USAGE_BYTES` bytes.
 fn decode_usage(entry: &[u8]) -> Result<Usage, DecodeError> {
     let mut number = [0; 8];
     number[..CUSTOMER_BYTES].copy_from_slice(&entry[..CUSTOMER_BYTES]);
@@ -100,7 +100,7 @@
     })
 }
 
-/// Usage that has not been sent to the other gateways yet, summed by customer.
+/// Usage that has not been sent to the other gateways, summed by customer.
 #[derive(Default)]
 pub(crate) struct UnsentUsage(BTreeMap<CustomerId, Usage>);
 
@@ -120,7 +120,7 @@
         self.0.is_empty()
     }
 
-    /// Removes as much as fits into one message.
+    /// Removes and returns as many entries as fit into one message.
     pub(crate) fn take_for_message(&mut self) -> Vec<Usage> {
         std::iter::from_fn(|| self.0.pop_first())
             .take(MAX_USAGES)
--- a/src/gossip/message/tests.rs
+++ b/src/gossip/message/tests.rs
@@ -36,10 +36,9 @@
     assert_eq!(message(vec![usage; 100]).encode().len(), 250);
 }
 
-/// Bytes that are no message arrive at the gossip port, or a message of another version. They must not change any
-/// quota.
+/// Arbitrary bytes, or a message of another version, can arrive at the gossip port. They must not change any quota.
 #[test]
-fn each_invalid_message_has_its_error() {
+fn each_invalid_message_is_rejected_with_its_error() {
     let valid = message(vec![Usage {
         customer: 7,
         plan: 0,
--- a/src/gossip/mod.rs
+++ b/src/gossip/mod.rs
@@ -1,4 +1,4 @@
-//! Gossip: messages about customers' usage that gateways exchange, where a site permits it.
+//! Gossip between gateways: messages that state the usage of customers, sent only if the settings permit it.
 
 mod exchange;
 mod message;
--- a/src/wire_settings/conversion.rs
+++ b/src/wire_settings/conversion.rs
@@ -1,4 +1,4 @@
-//! From the settings as they are carried to the library's own.
+//! Conversion of the serialized settings to the library's own.
 
 use super::model::{
     WireClass, WireEndpointListMode, WireIdempotency, WireKeyScope, WireLimits, WirePlan,
@@ -9,7 +9,7 @@
 };
 
 impl WireSettings {
-    /// The library's settings. `limits.max_connections` stays 0, as it depends on the machine.
+    /// Converts to the library's settings. `limits.max_connections` is left at 0, as it depends on the machine.
     #[must_use]
     pub fn to_settings(&self) -> Settings {
         Settings {
@@ -50,7 +50,7 @@
     }
 }
 
-/// Without a scope, which `check_complete` reports, the narrowest one.
+/// Converts the scope. A missing scope, which `check_complete` reports, becomes the narrowest one.
 fn key_scope(wire: Option<WireKeyScope>) -> KeyScope {
     match wire {
         Some(WireKeyScope::All) => KeyScope::All,
--- a/src/wire_settings/error.rs
+++ b/src/wire_settings/error.rs
@@ -1,30 +1,31 @@
-//! What can be wrong with settings whose keys have the right types.
+//! Errors in settings that have the right keys and types.
 
+use super::validation::MAX_DURATION_MS;
 use std::fmt::{Display, Formatter};
 use thiserror::Error;
 
-/// A setting that cannot be used.
+/// A setting with an invalid value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidSetting {
-    /// Which one.
+    /// The setting's path.
     pub path: SettingPath,
-    /// What is wrong with it.
+    /// The reason why its value is invalid.
     pub problem: SettingProblem,
 }
 
-/// Where a setting stands: a key of a section, of an entry of a list, or of the settings themselves. Printed with the
-/// index of an entry in brackets, as paths in JSON are.
+/// The path of a setting: a top-level key, a key of a section, or a key of a list entry. `Display` writes the index of
+/// an entry in brackets, as in JSON paths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SettingPath {
-    /// The section or list; empty for the settings themselves.
+    /// The section or list; empty for a top-level key.
     section: &'static str,
-    /// The entry of a list.
+    /// The index of the list entry; `None` for a key of a section.
     index: Option<usize>,
     key: &'static str,
 }
 
 impl SettingPath {
-    /// A key of the settings themselves.
+    /// A top-level key.
     pub(super) fn top(key: &'static str) -> Self {
         SettingPath {
             section: "",
@@ -42,7 +43,7 @@
         }
     }
 
-    /// A key of an entry of a list.
+    /// A key of a list entry.
     pub(super) fn entry(list: &'static str, index: usize, key: &'static str) -> Self {
         SettingPath {
             section: list,
@@ -51,7 +52,7 @@
         }
     }
 
-    /// The path with dots alone, as the simulator writes it.
+    /// The path with the index of a list entry after a dot, as in the simulator's settings text.
     #[must_use]
     pub fn dotted(&self) -> String {
         match (self.section, self.index) {
@@ -72,28 +73,28 @@
     }
 }
 
-/// What is wrong with a setting.
+/// The reason why a setting is invalid.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum SettingProblem {
-    /// Not from 0 to a day.
-    #[error("out of range")]
+    /// A number that is not from 0 to the longest duration.
+    #[error("out of range, must be from 0 to {MAX_DURATION_MS}")]
     OutOfRange,
     /// The gateway's index is not below the number of gateways.
-    #[error("not below settings.balancers")]
+    #[error("must be less than settings.balancers")]
     NotBelowGatewayCount,
-    /// The gateway's zone is none of the zones.
-    #[error("not a place in settings.zones")]
+    /// The gateway's zone is not an index into the list of zones.
+    #[error("must be an index into settings.zones")]
     NotAZoneIndex,
-    /// There is no class.
-    #[error("empty")]
+    /// The list of classes is empty.
+    #[error("must not be empty")]
     Empty,
     /// A class with an idempotency key has no scope or no window.
-    #[error("missing for a keyed class")]
+    #[error("missing, but required for the effect idempotency_key")]
     MissingForKeyedClass,
-    /// The counter may be called, and a figure of it is missing.
-    #[error("missing, though settings.domain.may-count is true")]
+    /// The counter may be called, and one of its settings is missing.
+    #[error("missing, but required if settings.domain.may-count is true")]
     MissingForCounter,
-    /// A quota that refills and holds nothing, or a rate below 0.
-    #[error("a refill needs a store above 0, and neither is below")]
-    RefillWithoutStore,
+    /// The quota has a rate above 0 but no burst, or a negative rate.
+    #[error("must be above 0 if refill is, and refill must not be negative")]
+    RateWithoutBurst,
 }
--- a/src/wire_settings/mod.rs
+++ b/src/wire_settings/mod.rs
@@ -1,15 +1,16 @@
-//! The operators' settings as they are carried by the configuration file and by the simulator's wire.
+//! The operators' settings in their serialized form: in the configuration file and in the simulator's protocol.
 //!
-//! The keys have themed names (`aim-ms`, `late-worth`, `store-size`). The `serde` attributes in `model` are the only map
-//! from each key of the decision library to the term that the rest of the code uses. Two other places name keys:
+//! The serialized keys (`aim-ms`, `late-worth`, `store-size`) differ from the terms of the code. The `serde` attributes
+//! in `model` are the mapping from keys to terms for all settings of the library. Keys are also named in two other
+//! places:
 //!
-//! - `validation` and `unused_class_keys` name keys in their results. They repeat them as literals, as a `serde`
-//!   attribute can't use a constant: a key is changed there and in its attribute together.
-//! - `config::file` of the gateway's program has the keys of the same objects that concern the program alone, and the
-//!   names in the lists of classes and plans.
+//! - `validation` and `unused_class_keys` return keys. They repeat the keys as literals, as a `serde` attribute can't
+//!   use a constant. A key must be changed there and in its attribute together.
+//! - `config::file` in the gateway's program has the keys of the same objects that only the program uses, and the names
+//!   in the lists of classes and plans.
 //!
-//! A carrier brings a `serde` deserializer of its own (JSON in the gateway's program, `path=value` lines in the
-//! simulator's adapter), reads [`WireSettings`] with it, and gets the library's [`Settings`](crate::Settings) from them.
+//! Each format has its own `serde` deserializer: JSON in the gateway's program, `path=value` lines in the simulator
+//! adapter. Both deserialize [`WireSettings`] and convert them to the library's [`Settings`](crate::Settings).
 
 mod conversion;
 mod error;
--- a/src/wire_settings/model.rs
+++ b/src/wire_settings/model.rs
@@ -1,12 +1,12 @@
-//! The form of the settings. Each field has the name of the concept; `rename` has the key.
+//! The structure of the serialized settings. Fields are named by the terms of the code, `rename` gives their keys.
 //!
-//! Keys whose fields begin with an underscore are checked for presence and type, and their values are not used: the
-//! gateway reads no prices of what it never does, and weighs classes and plans by shares alone.
+//! Keys whose fields begin with an underscore must be present with the right type, but their values are not used: the
+//! gateway needs no prices of actions that it never takes, and weights classes and plans only by shares.
 
 use crate::api::Millis;
 use serde::{Deserialize, Deserializer};
 
-/// The settings of one gateway, before they are checked.
+/// The settings of one gateway, not validated yet.
 #[derive(Debug, Deserialize)]
 pub struct WireSettings {
     /// Request classes, by index.
@@ -17,7 +17,7 @@
     pub(super) plans: Vec<WirePlan>,
     #[serde(rename = "domain")]
     pub(super) quota: WireQuota,
-    /// The names of the zones; elsewhere a zone is an index into them.
+    /// The names of the zones. Other settings refer to a zone by its index in this list.
     #[serde(rename = "zones")]
     pub zone_names: Vec<String>,
     /// This gateway's zone.
@@ -26,7 +26,7 @@
     /// Number of gateways in the fleet.
     #[serde(rename = "balancers")]
     pub(super) gateway_count: u32,
-    /// This gateway's index among them, from 0.
+    /// This gateway's index in the fleet, from 0.
     #[serde(rename = "position")]
     pub(super) gateway_index: u32,
     /// Shortest time between two calls of the library.
@@ -51,8 +51,8 @@
     Polled,
 }
 
-/// The keys of a class that have no meaning for a class of this `effect`. The simulator writes them for every class and
-/// may give them any text; whoever reads its text passes them over.
+/// The keys that have no meaning for a class with this `effect`. The simulator writes these keys for every class, with
+/// arbitrary values, so that a reader of the simulator's settings must ignore them.
 #[must_use]
 pub fn unused_class_keys(effect: &str) -> &'static [&'static str] {
     match effect {
@@ -66,7 +66,8 @@
 pub(super) struct WireClass {
     #[serde(rename = "effect")]
     pub(super) idempotency: WireIdempotency,
-    /// The endpoints that recognise an idempotency key; required with one, as is `key_window_ms`.
+    /// The endpoints that recognise an idempotency key. The scope and `key_window_ms` are required for classes with an
+    /// idempotency key.
     #[serde(rename = "group")]
     pub(super) key_scope: Option<WireKeyScope>,
     #[serde(rename = "window-ms")]
@@ -77,7 +78,7 @@
     pub(super) deadline_ms: Millis,
     #[serde(rename = "value")]
     _priority_weight: f64,
-    /// Share of the weight that a response after the latency objective still earns, from 0 to 1.
+    /// Share of its weight that a response after the latency objective keeps, from 0 to 1.
     #[serde(rename = "late-worth")]
     pub(super) late_weight: f64,
 }
@@ -105,61 +106,61 @@
 /// A customer plan.
 #[derive(Debug, Deserialize)]
 pub(super) struct WirePlan {
-    /// Quota in units per second; 0 for none.
+    /// Rate of the quota in units per second; 0 for no quota.
     #[serde(rename = "refill")]
     pub(super) rate: f64,
-    /// Most units that the quota holds.
+    /// Capacity of the quota, in units.
     #[serde(rename = "store-size")]
     pub(super) burst: f64,
-    /// Most attempts in flight within the quota; 0 for no limit.
+    /// Maximum number of attempts in flight within the quota; 0 for no limit.
     #[serde(rename = "max-out")]
     pub(super) max_concurrency: u32,
     #[serde(rename = "pays")]
     _weight_multiplier: f64,
-    /// Share of its value that a request served beyond the quota earns.
+    /// Share of its value that a request served beyond the quota keeps.
     #[serde(rename = "extra-worth")]
     pub(super) over_quota_weight: f64,
-    /// Share of its value that a request forwarded beyond the quota costs.
+    /// Cost of forwarding a request beyond the quota, as a share of the request's value.
     #[serde(rename = "excess-cost")]
     pub(super) over_quota_cost: f64,
-    /// Hard ceiling in units per second; 0 for none.
+    /// Rate of the hard ceiling in units per second; 0 for no hard ceiling.
     #[serde(rename = "cap-rate")]
     pub(super) ceiling_rate: f64,
-    /// Most units that the hard ceiling holds.
+    /// Capacity of the hard ceiling, in units.
     #[serde(rename = "cap-depth")]
     pub(super) ceiling_burst: f64,
     #[serde(rename = "ceiling-slack")]
     _ceiling_slack: f64,
 }
 
-/// The quota units, and the counter that gateways share for them.
+/// Settings of quota units and of the shared counter.
 #[derive(Debug, Deserialize)]
 pub(super) struct WireQuota {
     /// Whether the shared counter may be called.
     #[serde(rename = "may-count")]
     pub(super) counter_allowed: bool,
-    /// Required where the counter may be called, as is its price; the file always has both.
+    /// Price of a call. The price and the timeout are required if the counter may be called; JSON always has both keys.
     #[serde(rename = "count-fee", deserialize_with = "optional_number")]
     pub(super) counter_call_price: Option<f64>,
     #[serde(rename = "counter-timeout-ms", deserialize_with = "optional_number")]
     pub(super) counter_timeout_ms: Option<Millis>,
-    /// Most units that one request can cost.
+    /// Maximum number of units that one request can cost.
     #[serde(rename = "units-top")]
     pub(super) max_units: f64,
-    /// Whether responses correct the units of their requests.
+    /// Whether a request's units are an estimate that is corrected by the response.
     #[serde(rename = "trued-up")]
     pub(super) settles_units: bool,
 }
 
-/// A number of a key that JSON has to have and the simulator's wire may leave out.
+/// Reads a number whose key is required in JSON and may be absent in the simulator's settings text.
 fn optional_number<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<f64>, D::Error> {
     Option::deserialize(deserializer)
 }
 
-/// What the site permits.
+/// Limits on what the gateway may do.
 #[derive(Debug, Deserialize)]
 pub(super) struct WireLimits {
-    /// Attempts per request.
+    /// Maximum number of attempts per request.
     #[serde(rename = "try-limit")]
     pub(super) max_attempts: u32,
     #[serde(rename = "may-duplicate")]
@@ -177,46 +178,46 @@
     /// Idle time after which a connection to an endpoint is closed.
     #[serde(rename = "idle-close-ms")]
     pub(super) idle_timeout_ms: Millis,
-    /// Attempts on one connection at once. JSON may leave it out.
+    /// Maximum number of attempts in flight on one connection. The key is optional in JSON.
     #[serde(rename = "streams-per-conn", default)]
     pub(super) requests_per_connection: u32,
 }
 
-/// What the site charges for.
+/// Prices, as shares of the value of all requests.
 #[derive(Debug, Deserialize)]
 pub(super) struct WirePrices {
     #[serde(rename = "cross-zone")]
     _cross_zone: f64,
-    /// New connections to endpoints. JSON may leave it out.
+    /// Price of new connections to endpoints. The key is optional in JSON.
     #[serde(default)]
     pub(super) handshake: f64,
-    /// Work of endpoints that led to no response.
+    /// Price of endpoint work that produced no response.
     pub(super) waste: f64,
     #[serde(rename = "probe")]
     _health_check: f64,
-    /// Requests that ended unserved after their latency objective.
+    /// Price of requests that ended unserved after their latency objective.
     #[serde(rename = "late-fail")]
     pub(super) late_failure: f64,
 }
 
-/// Figures of the site's rules.
+/// Parameters of the rules that the gateway must follow.
 #[derive(Debug, Deserialize)]
 pub(super) struct WireRules {
     #[serde(rename = "answer-slack-ms")]
     _response_slack_ms: Millis,
-    /// Least share of its full capacity that an endpoint starts with.
+    /// Minimum share of its full capacity that an endpoint starts with.
     #[serde(rename = "cold-from")]
     pub(super) slow_start_min_capacity: f64,
-    /// Time after which an endpoint has its full capacity.
+    /// Time after its start by which an endpoint has reached its full capacity.
     #[serde(rename = "warm-up-ms")]
     pub(super) slow_start_ms: Millis,
-    /// How long after a notice of draining an attempt may still be sent.
+    /// Time after a notice of draining or removal during which new attempts may still be sent.
     #[serde(rename = "drain-grace-ms")]
     pub(super) drain_grace_ms: Millis,
-    /// Multiple of its present capacity that makes an endpoint fail while it warms up.
+    /// Load that makes an endpoint fail while it warms up, as a multiple of its current capacity.
     #[serde(rename = "fall-multiple")]
     pub(super) overload_multiple: f64,
-    /// Time over which that multiple is measured.
+    /// Time over which the load is compared to `overload_multiple`.
     #[serde(rename = "fall-ms")]
     pub(super) overload_window_ms: Millis,
     #[serde(rename = "ask-within-ms")]
--- a/src/wire_settings/tests.rs
+++ b/src/wire_settings/tests.rs
@@ -1,4 +1,4 @@
-//! Each key of the wire reaches the setting that it stands for.
+//! Tests that each serialized key is converted to the right setting, and that invalid settings are reported.
 
 use super::{SettingProblem, WireSettings};
 use crate::api::{
@@ -6,7 +6,7 @@
 };
 use serde_json::{json, Value};
 
-/// Settings in which each number stands once.
+/// Settings in which no two numbers are equal, so that swapped keys are noticed.
 fn sample() -> Value {
     json!({
         "balancers": 5, "position": 4, "locality": 1, "zones": ["room-a", "room-b"],
@@ -31,7 +31,7 @@
     serde_json::from_value(settings).unwrap()
 }
 
-/// The sample with another value at a place; without the key if the value is null.
+/// The sample with another value at a JSON pointer. A null value removes the key.
 fn changed(pointer: &str, value: Value) -> WireSettings {
     let mut settings = sample();
     let (object, key) = pointer.rsplit_once('/').unwrap();
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn each_key_reaches_the_setting_that_it_stands_for() {
+fn each_key_is_converted_to_its_setting() {
     let keyed = Class {
         latency_objective_ms: 700.0,
         deadline_ms: 2500.0,
@@ -112,15 +112,15 @@
 }
 
 #[test]
-fn a_counter_that_may_not_be_called_is_none() {
+fn the_counter_is_none_if_it_may_not_be_called() {
     let settings = changed("/domain/may-count", json!(false));
     assert_eq!(settings.to_settings().counter, None);
     assert_eq!(settings.check_complete(), Ok(()));
 }
 
-/// The simulator writes paths with dots alone, the file with the index in brackets.
+/// Paths are written with dots only for the simulator, and with the index in brackets for the configuration file.
 #[test]
-fn a_key_that_another_one_makes_necessary_is_reported_by_its_path() {
+fn a_missing_key_that_another_key_requires_is_reported_by_its_path() {
     let missing = changed("/categories/0/window-ms", Value::Null);
     let error = missing.check_complete().unwrap_err();
     assert_eq!(error.problem, SettingProblem::MissingForKeyedClass);
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn durations_beyond_a_day_and_no_classes_are_invalid() {
+fn invalid_values_are_reported() {
     assert_eq!(read(sample()).check_values(), Ok(()));
     for (pointer, value, problem) in [
         (
@@ -145,7 +145,7 @@
         (
             "/tiers-of-service/0/store-size",
             json!(0.0),
-            SettingProblem::RefillWithoutStore,
+            SettingProblem::RateWithoutBurst,
         ),
     ] {
         let error = changed(pointer, value).check_values().unwrap_err();
--- a/src/wire_settings/validation.rs
+++ b/src/wire_settings/validation.rs
@@ -1,21 +1,24 @@
-//! Checks on settings whose keys have the right types. The first problem found is reported. The keys here repeat those
-//! of the attributes in `model`, and change together with them.
+//! Validation of settings that have the right types. Only the first problem found is reported. The keys named here
+//! repeat those of the attributes in `model` and must be changed together with them.
 
 use super::error::{InvalidSetting, SettingPath, SettingProblem};
 use super::model::{WireClass, WireIdempotency, WirePlan, WireSettings};
 
-/// A duration beyond a day is a mistake, and one that `Duration` can't hold would be a crash.
-const MAX_DURATION_MS: f64 = 86_400_000.0;
+/// Longest valid duration: one day, in ms. A longer one is a mistake, and one that exceeds `Duration` would cause a
+/// panic.
+pub(super) const MAX_DURATION_MS: f64 = 86_400_000.0;
 
+/// Key of the list of classes.
 const CLASSES: &str = "categories";
+/// Key of the list of plans.
 const PLANS: &str = "tiers-of-service";
 
 impl WireSettings {
-    /// Checks that the keys are there which other keys make necessary.
+    /// Checks that no key is missing that is required because of another key's value.
     ///
     /// # Errors
     ///
-    /// The first key that is missing.
+    /// The first missing key.
     pub fn check_complete(&self) -> Result<(), InvalidSetting> {
         for (index, class) in self.classes.iter().enumerate() {
             check_class_complete(index, class)?;
@@ -34,11 +37,12 @@
         Ok(())
     }
 
-    /// Checks durations, indexes, classes and plans, as a file may hold any number, and that the settings are complete.
+    /// Checks durations, indexes, classes and plans, which can have any value in a file, and that no required key is
+    /// missing.
     ///
     /// # Errors
     ///
-    /// The first setting that cannot be used.
+    /// The first invalid setting.
     pub fn check_values(&self) -> Result<(), InvalidSetting> {
         self.check_durations()?;
         self.check_position()?;
@@ -104,7 +108,7 @@
     )
 }
 
-/// A class with an idempotency key needs a scope and a window.
+/// Checks that a class with an idempotency key has a scope and a window.
 fn check_class_complete(index: usize, class: &WireClass) -> Result<(), InvalidSetting> {
     if class.idempotency != WireIdempotency::WithKey {
         return Ok(());
@@ -125,10 +129,10 @@
         return Ok(());
     }
     let path = SettingPath::entry(PLANS, index, "store-size");
-    Err(invalid(path, SettingProblem::RefillWithoutStore))
+    Err(invalid(path, SettingProblem::RateWithoutBurst))
 }
 
-/// Also rejects NaN.
+/// Checks a duration in ms. NaN is invalid.
 fn check_duration(path: SettingPath, value_ms: f64) -> Result<(), InvalidSetting> {
     if is_valid_duration(value_ms) {
         return Ok(());
@@ -136,7 +140,7 @@
     Err(invalid(path, SettingProblem::OutOfRange))
 }
 
-/// Whether this is a duration that a setting may have, in ms: from 0 to a day.
+/// Whether a setting may have this duration, in ms: from 0 to one day.
 #[must_use]
 pub fn is_valid_duration(value_ms: f64) -> bool {
     (0.0..=MAX_DURATION_MS).contains(&value_ms)
