--- a/src/bin/simulator-adapter/actions.rs
+++ b/src/bin/simulator-adapter/actions.rs
@@ -1,9 +1,9 @@
-//! Actions as records of the wire.
+//! Encodes actions as action records of the simulator's protocol.
 
 use crate::frame::Reply;
 use quota_gateway::Action;
 
-/// Codes of the action records, by the wire's names.
+/// Codes of the action records, under the names of the protocol.
 mod code {
     pub const ISSUE: u8 = 65;
     pub const BUSY: u8 = 66;
@@ -15,13 +15,13 @@
     pub const ADD_AND_GET: u8 = 77;
 }
 
-/// `TAIL` subscribes to changes; 0 would end the subscription.
+/// Value of a `TAIL` record that subscribes to changes of the endpoint list; 0 would end the subscription.
 const SUBSCRIBE: u8 = 1;
 
-/// Adds the action of an instance to the reply.
+/// Adds a record to the reply for an action of an instance.
 pub fn encode(action: &Action, instance: u32, reply: &mut Reply) {
     match action {
-        // The simulator sends at once.
+        // The start timeout is left out, as the simulator sends an attempt immediately.
         Action::SendAttempt {
             id,
             endpoint,
--- a/src/bin/simulator-adapter/adapter.rs
+++ b/src/bin/simulator-adapter/adapter.rs
@@ -1,4 +1,4 @@
-//! The instances that the simulator has started, and the lists it has defined.
+//! Manages the gateway instances that the simulator has started and the endpoint lists that it has defined.
 
 use crate::actions;
 use crate::events::{self, code, EndpointLists, RecordError};
@@ -8,23 +8,23 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Why a batch has no reply.
+/// Error that ends the adapter: a batch cannot be read, handled or answered.
 #[derive(Debug, Error)]
 pub enum AdapterError {
     #[error(transparent)]
     Frame(#[from] FrameError),
     #[error("batch {batch}: {error}")]
     Record { batch: u32, error: RecordError },
-    #[error("reply to batch {batch} cannot be written: {error}")]
+    #[error("cannot write the reply to batch {batch}: {error}")]
     Write { batch: u32, error: std::io::Error },
 }
 
-/// Hands events to the gateways of a batch's instances and collects their actions.
+/// Passes the events of each batch to their gateway instances and collects the resulting actions.
 #[derive(Default)]
 pub struct Adapter {
     instances: BTreeMap<u32, Gateway>,
     lists: EndpointLists,
-    /// Reused from event to event.
+    /// Buffer for the actions of one event, reused to avoid allocations.
     actions: Vec<Action>,
 }
 
@@ -56,7 +56,7 @@
         }
         let instance = fields.u32()?;
         match code {
-            code::PROVISION => self.start(now, instance, fields),
+            code::PROVISION => self.start_instance(now, instance, fields),
             code::RETIRE => {
                 self.instances.remove(&instance);
                 Ok(())
@@ -65,11 +65,16 @@
         }
     }
 
-    fn start(&mut self, now: f64, instance: u32, fields: &mut Fields) -> Result<(), RecordError> {
+    fn start_instance(
+        &mut self,
+        now: f64,
+        instance: u32,
+        fields: &mut Fields,
+    ) -> Result<(), RecordError> {
         let record = fields.position();
         let seed = fields.u64()?;
         let text = std::str::from_utf8(fields.tail(1)?)
-            .map_err(|error| RecordError::SettingsNotText { record, error })?;
+            .map_err(|error| RecordError::SettingsNotUtf8 { record, error })?;
         let gateway = Gateway::new(setup::read(text)?, seed, now);
         self.instances.insert(instance, gateway);
         Ok(())
@@ -79,23 +84,20 @@
         &mut self,
         now: f64,
         code: u8,
-        number: u32,
+        instance: u32,
         fields: &mut Fields,
         reply: &mut Reply,
     ) -> Result<(), RecordError> {
         let record = fields.position();
-        let Some(gateway) = self.instances.get_mut(&number) else {
-            return Err(RecordError::UnknownInstance {
-                record,
-                instance: number,
-            });
+        let Some(gateway) = self.instances.get_mut(&instance) else {
+            return Err(RecordError::UnknownInstance { record, instance });
         };
         let Some(event) = events::decode(code, fields, &self.lists)? else {
             return Ok(());
         };
         gateway.handle(now, event, &mut self.actions);
         for action in self.actions.drain(..) {
-            actions::encode(&action, number, reply);
+            actions::encode(&action, instance, reply);
         }
         Ok(())
     }
--- a/src/bin/simulator-adapter/events.rs
+++ b/src/bin/simulator-adapter/events.rs
@@ -1,4 +1,4 @@
-//! Records of the wire as events. Fields are read in the order of the wire.
+//! Decodes event records of the simulator's protocol. Fields are read in the order in which they are encoded.
 
 use crate::frame::{FieldError, Fields};
 use crate::settings_text::SettingsError;
@@ -7,7 +7,7 @@
 use std::str::Utf8Error;
 use thiserror::Error;
 
-/// Codes of the event records, by the wire's names.
+/// Codes of the event records, under the names of the protocol.
 pub mod code {
     pub const HEALTH: u8 = 1;
     pub const RETIRE: u8 = 2;
@@ -23,7 +23,7 @@
     pub const INCOMING: u8 = 12;
 }
 
-/// What a `FLEET` record brings.
+/// Scopes of a `FLEET` record: changed entries, a complete list, a cached complete list, or a failed poll.
 mod scope {
     pub const DELTA: u8 = 0;
     pub const FULL: u8 = 1;
@@ -43,14 +43,14 @@
     pub const CANCELLED: u8 = 125;
 }
 
-/// Codes of an endpoint's states.
+/// Codes of endpoint states.
 mod state_code {
     pub const GONE: u8 = 0;
     pub const READY: u8 = 1;
     pub const DRAINING: u8 = 2;
 }
 
-/// Length of one entry of an endpoint list.
+/// Length of one entry of an endpoint list, in bytes.
 const ENTRY_BYTES: usize = 21;
 /// The bit in an incoming request's `attrs` that marks a client's retry.
 const RETRY_BIT: u8 = 2;
@@ -58,37 +58,38 @@
 /// The endpoint lists defined so far, by number.
 pub type EndpointLists = BTreeMap<u32, Vec<Endpoint>>;
 
-/// A record that cannot be understood.
+/// A record that cannot be decoded or handled.
 #[derive(Debug, Error)]
 pub enum RecordError {
     #[error(transparent)]
     Field(#[from] FieldError),
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    #[error("record at byte {record}: settings are not valid text: {error}")]
-    SettingsNotText { record: usize, error: Utf8Error },
-    #[error("record at byte {record} is for unknown instance {instance}")]
+    #[error("record at byte {record}: settings are not valid UTF-8: {error}")]
+    SettingsNotUtf8 { record: usize, error: Utf8Error },
+    #[error("record at byte {record}: unknown instance {instance}")]
     UnknownInstance { record: usize, instance: u32 },
-    #[error("record at byte {record} refers to list {list}, never defined")]
+    #[error("record at byte {record}: endpoint list {list} was not defined")]
     UnknownList { record: usize, list: u32 },
-    #[error("record at byte {record}: unknown list scope {scope}")]
+    #[error("record at byte {record}: unknown scope {scope} of an endpoint list")]
     UnknownScope { record: usize, scope: u8 },
     #[error("record at byte {record}: unknown event code {code}")]
     UnknownCode { record: usize, code: u8 },
     #[error("record at byte {record}: unknown outcome {outcome}")]
     UnknownOutcome { record: usize, outcome: u8 },
-    #[error("list at record {record}: unknown state {state}")]
+    #[error("record at byte {record}: unknown endpoint state {state}")]
     UnknownState { record: usize, state: u8 },
 }
 
-/// Decodes the fields that follow the instance in a record of this code; none if the record is no event for a gateway.
+/// Decodes the fields that follow the instance in a record with this code. Returns `None` if the record is not an event
+/// of the library.
 pub fn decode(
     code: u8,
     fields: &mut Fields,
     lists: &EndpointLists,
 ) -> Result<Option<Event>, RecordError> {
     let event = match code {
-        // Gateways send no health checks, so its result is checked and passed over.
+        // Gateways send no health checks. The result of one is validated and ignored.
         code::HEALTH => {
             outcome(fields)?;
             return Ok(None);
@@ -113,7 +114,7 @@
     Ok(Some(event))
 }
 
-/// Decodes the entries of a `DEFINE_LIST` record, after the number of the list.
+/// Decodes the entries of a `DEFINE_LIST` record. The list's number has been read already.
 pub fn decode_list(fields: &mut Fields) -> Result<Vec<Endpoint>, RecordError> {
     let entries = fields.tail(ENTRY_BYTES)?.chunks_exact(ENTRY_BYTES);
     entries
--- a/src/bin/simulator-adapter/frame.rs
+++ b/src/bin/simulator-adapter/frame.rs
@@ -1,48 +1,51 @@
-//! The bytes of the wire: frames with records of fixed length and a tail, little-endian, without padding.
+//! The frames of the simulator's protocol. A frame has a header, records of fixed length, and a tail for data of
+//! variable length. Numbers are little-endian, and there is no padding between fields.
 
 use std::io::{self, Read};
 use thiserror::Error;
 
-/// Length of an event record.
+/// Length of an event record, in bytes.
 const EVENT_BYTES: usize = 56;
-/// Length of an action record.
+/// Length of an action record, in bytes.
 const ACTION_BYTES: usize = 32;
-/// The longest frame that is read; batches may have several megabytes.
+/// Longest frame that is accepted, in bytes. Batches can have several megabytes.
 const MAX_FRAME_BYTES: u32 = 256 << 20;
-/// Length of the field that gives a frame's length.
+/// Length of the field that states a frame's length, in bytes.
 const LENGTH_BYTES: usize = 4;
-/// Length of the rest of a batch's header.
+/// Length of a batch's header after the length field, in bytes.
 const HEADER_BYTES: usize = 16;
 
 /// A frame that cannot be read.
 #[derive(Debug, Error)]
 pub enum FrameError {
-    #[error("input cannot be read: {0}")]
+    #[error("cannot read the input: {0}")]
     Read(#[source] io::Error),
-    #[error("input ends {found} bytes into a frame's length")]
-    LengthEnds { found: usize },
-    #[error("frame of {length} bytes is over the limit of {MAX_FRAME_BYTES}")]
+    #[error("input ends after {found} of the {LENGTH_BYTES} bytes of a frame's length")]
+    TruncatedLength { found: usize },
+    #[error("frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES} bytes")]
     TooLong { length: u32 },
-    #[error("input ends {found} bytes into a frame of {length}")]
-    FrameEnds { found: usize, length: u32 },
-    #[error("frame of {length} bytes is shorter than its header of {HEADER_BYTES}")]
-    NoHeader { length: u32 },
-    #[error("batch {batch}: the clock at byte 8 is not a finite number")]
-    BadClock { batch: u32 },
-    #[error("batch {batch}: {records} records do not fit; there is room for {capacity}")]
-    RecordsDoNotFit {
+    #[error("input ends after {found} of the {length} bytes of a frame")]
+    TruncatedFrame { found: usize, length: u32 },
+    #[error("frame of {length} bytes is shorter than its header of {HEADER_BYTES} bytes")]
+    MissingHeader { length: u32 },
+    #[error("batch {batch}: the time at byte 8 is not a finite number")]
+    InvalidTime { batch: u32 },
+    #[error(
+        "batch {batch}: header states {records} records, but the frame has room for {capacity}"
+    )]
+    TooManyRecords {
         batch: u32,
         records: usize,
         capacity: usize,
     },
 }
 
-/// A field that cannot be read.
+/// A field of a record that cannot be read.
 #[derive(Debug, Error)]
 pub enum FieldError {
-    #[error("record at byte {record} ends before its field at {at}")]
-    RecordEnds { record: usize, at: usize },
-    #[error("record at byte {record}: {count} items from {offset} lie outside the tail of {length} bytes")]
+    #[error("record at byte {record} ends before the field at offset {offset} is complete")]
+    TruncatedRecord { record: usize, offset: usize },
+    #[error("record at byte {record}: {count} items at offset {offset} are outside the tail of {length} bytes")]
     OutsideTail {
         record: usize,
         offset: usize,
@@ -53,16 +56,18 @@
 
 /// A batch of event records.
 pub struct Batch {
-    /// The frame without its length.
+    /// The frame without its length field.
     bytes: Vec<u8>,
+    /// Number of event records.
     records: usize,
-    /// The clock, in ms.
+    /// Time of all events of the batch, in ms.
     pub now: f64,
+    /// Number of the batch, which its reply repeats.
     pub number: u32,
 }
 
 impl Batch {
-    /// Reads the next batch; none at a clean end of the input.
+    /// Reads the next batch. Returns `None` if the input ends between two frames.
     pub fn read(input: &mut impl Read) -> Result<Option<Batch>, FrameError> {
         let Some(length) = read_length(input)? else {
             return Ok(None);
@@ -72,7 +77,7 @@
         }
         let bytes = read_up_to(input, u64::from(length))?;
         if bytes.len() < length as usize {
-            return Err(FrameError::FrameEnds {
+            return Err(FrameError::TruncatedFrame {
                 found: bytes.len(),
                 length,
             });
@@ -82,16 +87,16 @@
 
     fn new(bytes: Vec<u8>, length: u32) -> Result<Batch, FrameError> {
         let mut header = Fields::new(&bytes, &[], LENGTH_BYTES);
-        let no_header = |_| FrameError::NoHeader { length };
-        let records = header.u32().map_err(no_header)? as usize;
-        let now = header.f64().map_err(no_header)?;
-        let number = header.u32().map_err(no_header)?;
+        let missing_header = |_| FrameError::MissingHeader { length };
+        let records = header.u32().map_err(missing_header)? as usize;
+        let now = header.f64().map_err(missing_header)?;
+        let number = header.u32().map_err(missing_header)?;
         if !now.is_finite() {
-            return Err(FrameError::BadClock { batch: number });
+            return Err(FrameError::InvalidTime { batch: number });
         }
         let capacity = (bytes.len() - HEADER_BYTES) / EVENT_BYTES;
         if records > capacity {
-            return Err(FrameError::RecordsDoNotFit {
+            return Err(FrameError::TooManyRecords {
                 batch: number,
                 records,
                 capacity,
@@ -105,7 +110,7 @@
         })
     }
 
-    /// The event records, in order.
+    /// The event records in their order.
     pub fn events(&self) -> impl Iterator<Item = Fields<'_>> {
         let (records, tail) = self.bytes[HEADER_BYTES..].split_at(self.records * EVENT_BYTES);
         records
@@ -121,7 +126,7 @@
     }
 }
 
-/// The length of the next frame; none at a clean end of the input.
+/// Reads the length of the next frame. Returns `None` if the input ends between two frames.
 fn read_length(input: &mut impl Read) -> Result<Option<u32>, FrameError> {
     let bytes = read_up_to(input, LENGTH_BYTES as u64)?;
     if bytes.is_empty() {
@@ -129,10 +134,11 @@
     }
     match <[u8; LENGTH_BYTES]>::try_from(bytes) {
         Ok(length) => Ok(Some(u32::from_le_bytes(length))),
-        Err(short) => Err(FrameError::LengthEnds { found: short.len() }),
+        Err(short) => Err(FrameError::TruncatedLength { found: short.len() }),
     }
 }
 
+/// Reads `max` bytes, or fewer if the input ends before.
 fn read_up_to(input: &mut impl Read, max: u64) -> Result<Vec<u8>, FrameError> {
     let mut bytes = Vec::new();
     input
@@ -142,18 +148,18 @@
     Ok(bytes)
 }
 
-/// Reads the fields of a record one after the other.
+/// Reads the fields of a record in sequence.
 pub struct Fields<'a> {
     record: &'a [u8],
     tail: &'a [u8],
-    /// Where the record starts in the frame, for messages.
+    /// Offset of the record in the frame, for error messages.
     position: usize,
-    /// Where the next field starts in the record.
+    /// Offset of the next field in the record.
     next: usize,
 }
 
 impl<'a> Fields<'a> {
-    /// The record found at `position` of a frame with this tail.
+    /// Starts to read a record at the offset `position` of a frame with this tail.
     pub fn new(record: &'a [u8], tail: &'a [u8], position: usize) -> Self {
         Fields {
             record,
@@ -163,7 +169,7 @@
         }
     }
 
-    /// Where the record starts in the frame.
+    /// Offset of the record in the frame.
     pub fn position(&self) -> usize {
         self.position
     }
@@ -193,7 +199,7 @@
         self.take().map(f64::from_le_bytes)
     }
 
-    /// The items of this length in the tail that the next field refers to.
+    /// Reads a reference to the tail, an offset and a number of items, and returns the bytes of these items.
     pub fn tail(&mut self, item_bytes: usize) -> Result<&'a [u8], FieldError> {
         let offset = self.u32()? as usize;
         let count = self.u32()? as usize;
@@ -210,20 +216,20 @@
     }
 
     fn take<const N: usize>(&mut self) -> Result<[u8; N], FieldError> {
-        let at = self.next;
+        let offset = self.next;
         self.next += N;
         let bytes = self
             .record
-            .get(at..at + N)
+            .get(offset..offset + N)
             .and_then(|bytes| bytes.try_into().ok());
-        bytes.ok_or(FieldError::RecordEnds {
+        bytes.ok_or(FieldError::TruncatedRecord {
             record: self.position,
-            at,
+            offset,
         })
     }
 }
 
-/// A reply under construction.
+/// A reply that is being built.
 #[derive(Default)]
 pub struct Reply {
     records: Vec<u8>,
@@ -231,14 +237,14 @@
 }
 
 impl Reply {
-    /// Starts an action record; what its fields leave free is zero.
+    /// Starts an action record. Bytes without a field are zero.
     pub fn record(&mut self, code: u8, instance: u32) -> RecordWriter<'_> {
         let next = self.records.len();
         self.records.resize(next + ACTION_BYTES, 0);
         RecordWriter { reply: self, next }.u8(code).u32(instance)
     }
 
-    /// The complete frame, in answer to the batch of this number.
+    /// Encodes the reply to the batch with this number as a complete frame.
     pub fn frame(&self, batch: u32) -> Vec<u8> {
         let records = (self.records.len() / ACTION_BYTES) as u32;
         let length =
@@ -253,10 +259,10 @@
     }
 }
 
-/// Writes the fields of an action record one after the other.
+/// Writes the fields of an action record in sequence.
 pub struct RecordWriter<'a> {
     reply: &'a mut Reply,
-    /// Where the next field starts in the reply's records.
+    /// Offset of the next field in the reply's records.
     next: usize,
 }
 
@@ -281,7 +287,7 @@
         self.put(&value.to_le_bytes())
     }
 
-    /// Adds the bytes to the tail and writes the field that refers to them.
+    /// Appends bytes to the tail and writes a reference to them.
     pub fn tail(self, bytes: &[u8]) -> Self {
         let offset = self.reply.tail.len() as u32;
         self.reply.tail.extend(bytes);
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -1,5 +1,6 @@
-//! Puts the decisions on the simulator's wire: batches of events on standard input, one reply to each on standard
-//! output. It only translates.
+//! Connects the library to the simulator. The adapter reads batches of events from standard input and writes one reply
+//! with actions for each batch to standard output. It only translates between the simulator's binary protocol and the
+//! library's types, and decides nothing.
 
 mod actions;
 mod adapter;
@@ -13,15 +14,15 @@
 use std::io::{self, BufReader, Write};
 use std::process::ExitCode;
 
-/// The exit code after input that cannot be understood.
-const BAD_INPUT: u8 = 2;
+/// Exit code after invalid input or a failed read or write.
+const EXIT_FAILURE: u8 = 2;
 
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("simulator-adapter: {error}");
-            ExitCode::from(BAD_INPUT)
+            ExitCode::from(EXIT_FAILURE)
         }
     }
 }
--- a/src/bin/simulator-adapter/settings_text.rs
+++ b/src/bin/simulator-adapter/settings_text.rs
@@ -1,8 +1,8 @@
-//! The settings text, one `path=value` a line, as a `serde` deserializer.
+//! A `serde` deserializer for the settings text, which has one `path=value` pair per line.
 //!
-//! A path is a chain of keys and indexes with dots between them. A list has its length under `PATH.count` and its entries
-//! under `PATH.0`, `PATH.1` and so on; a list of names is one value with commas between them. A value is read when its
-//! type is known, so an error says which path has to be what.
+//! A path consists of keys and indexes separated by dots. A list has its length at `PATH.count` and its entries at
+//! `PATH.0`, `PATH.1` and so on. A list of names is a single value, separated by commas. Values are parsed only when
+//! their type is known, so that an error can state the path and the expected type.
 
 use serde::de::value::{SeqDeserializer, StrDeserializer};
 use serde::de::{self, DeserializeSeed, MapAccess, SeqAccess, Visitor};
@@ -12,7 +12,7 @@
 use std::ops::Range;
 use thiserror::Error;
 
-/// Settings that cannot be used.
+/// An error in the settings text.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     #[error("setting {path} is missing")]
@@ -25,24 +25,24 @@
     NotABoolean { path: String, text: String },
     #[error("setting {path} has an unknown value: {text:?}")]
     UnknownValue { path: String, text: String },
-    #[error("setting locality names zone {zone} of {zones}")]
+    #[error("setting locality is {zone}, must be less than the number of zones, {zones}")]
     UnknownZone { zone: u32, zones: usize },
-    /// The type that is read has a form that the text cannot have.
+    /// An error reported by `serde`, or a type that the text cannot represent.
     #[error("settings: {0}")]
-    Form(String),
+    Deserialize(String),
 }
 
 impl de::Error for SettingsError {
     fn custom<T: Display>(message: T) -> Self {
-        SettingsError::Form(message.to_string())
+        SettingsError::Deserialize(message.to_string())
     }
 }
 
-/// The values of the text by their paths.
+/// The values of the settings text by path.
 pub struct SettingsText<'a>(HashMap<&'a str, &'a str>);
 
 impl<'a> SettingsText<'a> {
-    /// Lines without `=` are passed over. Of two values for one path the last one counts.
+    /// Parses the text. Lines without `=` are ignored. If a path occurs more than once, the last value is used.
     pub fn new(text: &'a str) -> Self {
         SettingsText(
             text.lines()
@@ -51,12 +51,12 @@
         )
     }
 
-    /// Takes a value out, if there is one.
+    /// Removes the value of a path, if there is one.
     pub fn remove(&mut self, path: &str) {
         self.0.remove(path);
     }
 
-    /// Reads a value of any type, usually a struct, from all of the text.
+    /// Deserializes the whole text into a value, usually a struct.
     pub fn read<'de, T: de::Deserialize<'de>>(&'de self) -> Result<T, SettingsError> {
         T::deserialize(Value {
             text: self,
@@ -64,7 +64,7 @@
         })
     }
 
-    /// The text of a value.
+    /// The unparsed value of a path.
     pub fn raw(&self, path: &str) -> Result<&'a str, SettingsError> {
         let value = self.0.get(path).copied();
         value.ok_or_else(|| SettingsError::Missing {
@@ -72,16 +72,16 @@
         })
     }
 
-    /// Whether any path goes on below this one.
-    fn has_below(&self, path: &str) -> bool {
-        let is_below = |other: &&str| {
+    /// Whether the text has any path that begins with this one and a dot.
+    fn has_children(&self, path: &str) -> bool {
+        let is_child = |other: &&str| {
             let rest = other.strip_prefix(path);
             rest.is_some_and(|rest| rest.starts_with('.'))
         };
-        self.0.keys().any(is_below)
+        self.0.keys().any(is_child)
     }
 
-    /// A finite number of 0 or more.
+    /// Parses a finite number of 0 or more.
     fn number(&self, path: &str) -> Result<f64, SettingsError> {
         let text = self.raw(path)?;
         match text.parse::<f64>() {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// An integer of 0 or more.
+    /// Parses an integer of 0 or more.
     pub fn integer(&self, path: &str) -> Result<u32, SettingsError> {
         let text = self.raw(path)?;
         text.parse().map_err(|_| SettingsError::NotAnInteger {
@@ -102,7 +102,7 @@
         })
     }
 
-    /// `true` or `false`.
+    /// Parses `true` or `false`.
     pub fn boolean(&self, path: &str) -> Result<bool, SettingsError> {
         let text = self.raw(path)?;
         text.parse().map_err(|_| SettingsError::NotABoolean {
@@ -111,8 +111,8 @@
         })
     }
 
-    /// One of these words.
-    pub fn word(&self, path: &str, known: &[&str]) -> Result<&'a str, SettingsError> {
+    /// Returns the value if it is one of the known ones.
+    pub fn one_of(&self, path: &str, known: &[&str]) -> Result<&'a str, SettingsError> {
         let text = self.raw(path)?;
         if known.contains(&text) {
             return Ok(text);
@@ -124,7 +124,7 @@
     }
 }
 
-/// What stands at a path of the text, or below it.
+/// The value at a path of the text, or the object or list whose parts have paths below it.
 struct Value<'de, 'a> {
     text: &'de SettingsText<'a>,
     path: String,
@@ -148,8 +148,8 @@
     type Error = SettingsError;
 
     fn deserialize_any<V: Visitor<'de>>(self, _: V) -> Result<V::Value, SettingsError> {
-        let message = format!("the type of {} is not one that the text has", self.path);
-        Err(SettingsError::Form(message))
+        let message = format!("the type of setting {} is not supported", self.path);
+        Err(SettingsError::Deserialize(message))
     }
 
     fn deserialize_f64<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, SettingsError> {
@@ -177,15 +177,15 @@
         variants: &'static [&'static str],
         visitor: V,
     ) -> Result<V::Value, SettingsError> {
-        let word = self.text.word(&self.path, variants)?;
-        visitor.visit_enum(StrDeserializer::new(word))
+        let variant = self.text.one_of(&self.path, variants)?;
+        visitor.visit_enum(StrDeserializer::new(variant))
     }
 
     fn deserialize_seq<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, SettingsError> {
         if let Ok(names) = self.text.raw(&self.path) {
             return visitor.visit_seq(SeqDeserializer::new(names.split(',')));
         }
-        if !self.text.has_below(&self.path) {
+        if !self.text.has_children(&self.path) {
             return Err(SettingsError::Missing { path: self.path });
         }
         let count = self.text.integer(&self.child("count").path)?;
@@ -214,7 +214,7 @@
     }
 }
 
-/// The entries of a list.
+/// Access to the entries of a list.
 struct Entries<'de, 'a> {
     list: Value<'de, 'a>,
     indexes: Range<u32>,
@@ -234,7 +234,8 @@
     }
 }
 
-/// The fields of an object, all that its type has: the value of each says whether it may be absent.
+/// Access to the fields of an object. All fields of the object's type are visited; the type of each field determines
+/// whether it may be absent.
 struct Fields<'de, 'a> {
     object: Value<'de, 'a>,
     keys: std::slice::Iter<'static, &'static str>,
--- a/src/bin/simulator-adapter/settings_text/tests.rs
+++ b/src/bin/simulator-adapter/settings_text/tests.rs
@@ -1,4 +1,4 @@
-//! Values of each form, and the error of each that cannot be read.
+//! Tests the deserialization of each supported type, and the error for each invalid value.
 
 #![allow(clippy::unwrap_used)]
 
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,24 +1,24 @@
-//! The adapter's frames, through the real program.
+//! Tests the adapter's frames by running the program.
 // Tests fail by panicking.
 #![allow(clippy::unwrap_used)]
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-/// Codes of event records, by the wire's names.
+/// Codes of event records, under the names of the protocol.
 const PROVISION: u8 = 5;
 const FLEET: u8 = 8;
 const DEFINE_LIST: u8 = 11;
 const INCOMING: u8 = 12;
 /// Code of the action record that sends an attempt.
 const ISSUE: u8 = 65;
-/// Length of an event record.
+/// Length of an event record, in bytes.
 const EVENT_BYTES: usize = 56;
-/// Length of an action record.
+/// Length of an action record, in bytes.
 const ACTION_BYTES: usize = 32;
-/// Length of a reply without actions.
+/// Length of a reply without actions, in bytes.
 const EMPTY_REPLY_BYTES: usize = 12;
-/// A gateway instance.
+/// Number of the gateway instance.
 const INSTANCE: u32 = 3;
 
 fn run(input: &[u8]) -> Output {
@@ -28,11 +28,12 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // The adapter may leave before it has read all of a bad input.
+    // The adapter may exit before it has read all of an invalid input.
     let _ = child.stdin.take().expect("a pipe").write_all(input);
     child.wait_with_output().expect("the adapter ends")
 }
 
+/// Encodes a batch with the time 5 ms and the number 7.
 fn batch(records: &[Vec<u8>], tail: &[u8]) -> Vec<u8> {
     let mut body = (records.len() as u32).to_le_bytes().to_vec();
     body.extend(5.0f64.to_le_bytes());
@@ -48,17 +49,17 @@
     frame
 }
 
-/// A batch that starts the instance with these settings.
+/// Encodes a batch that starts the instance with these settings.
 fn provision(settings: &str) -> Vec<u8> {
     let mut record = vec![PROVISION];
     record.extend(INSTANCE.to_le_bytes());
     record.extend(9u64.to_le_bytes()); // the seed
-    record.extend(0u32.to_le_bytes()); // start of the settings in the tail
+    record.extend(0u32.to_le_bytes()); // offset of the settings in the tail
     record.extend((settings.len() as u32).to_le_bytes());
     batch(&[record], settings.as_bytes())
 }
 
-/// One plain line on standard error that has these words, no panic trace, a code that is not zero.
+/// Asserts that the adapter exits with an error code and prints a single line that contains `words`, without a panic.
 fn assert_fails_with(input: &[u8], words: &str) {
     let output = run(input);
     let error = String::from_utf8(output.stderr).expect("text");
@@ -95,25 +96,25 @@
     assert_eq!(output.stdout, [8u32, 0, 7].map(u32::to_le_bytes).concat());
 }
 
-/// Defines list 0 with one entry, which is in the tail.
+/// Encodes a record that defines list 0 with one entry, which is in the tail.
 fn define_list() -> Vec<u8> {
     let mut record = vec![DEFINE_LIST];
     record.extend(0u32.to_le_bytes()); // number of the list
-    record.extend(0u32.to_le_bytes()); // start of the entries in the tail
+    record.extend(0u32.to_le_bytes()); // offset of the entries in the tail
     record.extend(1u32.to_le_bytes()); // number of entries
     record
 }
 
-/// A ready endpoint of zone 0.
+/// Encodes the list entry of a ready endpoint in zone 0.
 fn list_entry(endpoint: u32) -> Vec<u8> {
     let mut entry = endpoint.to_le_bytes().to_vec();
     entry.extend([0, 0, 0, 0, 1]); // zone, kind, cell, state
     entry.extend(1f32.to_le_bytes()); // weight
-    entry.extend(0f64.to_le_bytes()); // start
+    entry.extend(0f64.to_le_bytes()); // time of its start
     entry
 }
 
-/// Gives list 0 to the instance.
+/// Encodes a record that passes list 0 to the instance.
 fn fleet() -> Vec<u8> {
     let mut record = vec![FLEET];
     record.extend(INSTANCE.to_le_bytes());
@@ -123,6 +124,7 @@
     record
 }
 
+/// Encodes a record of a client's request.
 fn incoming(request: u64) -> Vec<u8> {
     let mut record = vec![INCOMING];
     record.extend(INSTANCE.to_le_bytes());
@@ -133,7 +135,7 @@
     record.extend(1f32.to_le_bytes()); // units
     record.extend(8u64.to_le_bytes()); // customer
     record.push(0); // class
-    record.extend(1000f64.to_le_bytes()); // time-out
+    record.extend(1000f64.to_le_bytes()); // timeout
     record.extend(0u16.to_le_bytes()); // plan
     record
 }
@@ -156,14 +158,23 @@
 }
 
 #[test]
-fn bad_frames_get_one_plain_line() {
-    assert_fails_with(&[1, 2], "2 bytes into a frame's length");
-    assert_fails_with(&u32::MAX.to_le_bytes(), "over the limit");
-    assert_fails_with(&batch(&[], &[])[..9], "5 bytes into a frame of 16");
+fn each_invalid_frame_is_reported_in_one_line() {
+    assert_fails_with(
+        &[1, 2],
+        "input ends after 2 of the 4 bytes of a frame's length",
+    );
+    assert_fails_with(&u32::MAX.to_le_bytes(), "exceeds the limit");
+    assert_fails_with(
+        &batch(&[], &[])[..9],
+        "input ends after 5 of the 16 bytes of a frame",
+    );
     assert_fails_with(&[4, 0, 0, 0, 0, 0, 0, 0], "shorter than its header");
     let mut too_many_records = batch(&[], &[]);
     too_many_records[4] = 9;
-    assert_fails_with(&too_many_records, "9 records do not fit");
+    assert_fails_with(
+        &too_many_records,
+        "header states 9 records, but the frame has room for 0",
+    );
     assert_fails_with(&batch(&[vec![200, 0, 0, 0, 0]], &[]), "unknown instance");
     let mut outside_tail = vec![PROVISION];
     outside_tail.extend([0; 12]); // instance and seed
@@ -173,7 +184,7 @@
 }
 
 #[test]
-fn bad_settings_are_reported_by_name() {
+fn invalid_settings_are_reported_by_path() {
     assert_fails_with(
         &provision(&SETTINGS.replace("balancers=2\n", "")),
         "setting balancers is missing",
@@ -188,10 +199,10 @@
     );
 }
 
-/// The simulator writes the scope and the window of an idempotency key for classes that have none, too: whatever stands
-/// there must not keep the instance from starting.
+/// The simulator writes the scope and the window of an idempotency key for all classes, also those without a key. The
+/// arbitrary values of these settings must not prevent the instance from starting.
 #[test]
-fn the_figures_of_an_idempotency_key_count_for_a_class_with_one_alone() {
+fn idempotency_key_settings_are_ignored_for_a_class_without_a_key() {
     let unused = format!("{SETTINGS}categories.0.group=none\ncategories.0.window-ms=-1\n");
     assert!(run(&provision(&unused)).status.success());
     let keyed = unused.replace("read_like", "idempotency_key");
--- a/tests/common.rs
+++ b/tests/common.rs
@@ -1,10 +1,10 @@
-//! Helpers for driving a gateway through its public interface.
-// Each test file uses some of them.
+//! Helpers that drive a gateway through its public interface.
+// Each test file uses only some of the helpers.
 #![allow(dead_code, missing_docs, clippy::must_use_candidate)]
 
 use quota_gateway::*;
 
-/// A gateway with its own clock.
+/// A gateway and the current time of its events.
 pub struct TestGateway {
     pub gateway: Gateway,
     pub now: f64,
@@ -70,7 +70,7 @@
 }
 
 impl TestGateway {
-    /// A gateway that knows no endpoints yet.
+    /// A gateway without endpoints.
     pub fn without_endpoints(settings: Settings, seed: u64, now: f64) -> TestGateway {
         TestGateway {
             gateway: Gateway::new(settings, seed, now),
@@ -78,7 +78,7 @@
         }
     }
 
-    /// A gateway with three endpoints, 1 and 2 in zone 0, 3 in zone 1.
+    /// A gateway with three endpoints: 1 and 2 in zone 0, 3 in zone 1.
     pub fn new(settings: Settings) -> TestGateway {
         let mut gateway = TestGateway::without_endpoints(settings, 1, 1000.0);
         let entries = [(1, 0), (2, 0), (3, 1)]
@@ -91,7 +91,7 @@
         gateway
     }
 
-    /// Hands in an event and returns the resulting actions.
+    /// Handles an event at the current time and returns the resulting actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.gateway.handle(self.now, event, &mut actions);
@@ -148,7 +148,7 @@
     })
 }
 
-/// The endpoint of the first attempt.
+/// The endpoint that the first attempt is sent to.
 pub fn sent_to(actions: &[Action]) -> Option<u32> {
     actions.iter().find_map(|a| match a {
         Action::SendAttempt { endpoint, .. } => Some(*endpoint),
@@ -164,12 +164,12 @@
     })
 }
 
-/// Whether a request was failed.
+/// Whether the actions contain the final response "failed".
 pub fn failed(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
 
-/// A first request of one unit.
+/// A request of one unit that is not a retry.
 pub fn request(id: u64, customer: u64) -> Request {
     Request {
         id,
@@ -183,12 +183,13 @@
     }
 }
 
-/// A counter that gateways share.
+/// A shared counter that always succeeds.
 #[derive(Default)]
 pub struct SharedCounter(std::collections::BTreeMap<u64, f64>);
 
 impl SharedCounter {
-    /// Answers the calls among the actions, and the calls that follow from the answers; returns all actions.
+    /// Replies to the counter calls among the actions, and to the calls that result from the replies. Returns all
+    /// actions.
     pub fn answer_calls(
         &mut self,
         gateway: &mut TestGateway,
--- a/tests/policy_files.rs
+++ b/tests/policy_files.rs
@@ -1,4 +1,4 @@
-//! The deploy file names all files that decide something.
+//! Checks the policy source files: the deploy file must list all of them, and each must follow the formatting rules.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -11,7 +11,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// The files that the deploy file names under `policy`.
+/// The files that the deploy file lists under the key `policy`.
 fn named_policy_files() -> BTreeSet<PathBuf> {
     let deploy = fs::read_to_string(root().join("deploy/balancer.toml"))
         .expect("the deploy file can be read");
@@ -26,7 +26,7 @@
         .collect()
 }
 
-/// The source files in `src/policy` and its folders, without those of tests.
+/// All source files below `src/policy`, without the files of tests.
 fn policy_files() -> BTreeSet<PathBuf> {
     let mut files = BTreeSet::new();
     let mut folders = vec![root().join("src/policy")];
@@ -44,12 +44,12 @@
 }
 
 #[test]
-fn the_deploy_file_names_every_policy_file() {
+fn the_deploy_file_lists_exactly_the_policy_files() {
     assert_eq!(named_policy_files(), policy_files());
 }
 
 #[test]
-fn the_policy_files_are_readable() {
+fn the_policy_files_follow_the_formatting_rules() {
     let texts: Vec<_> = policy_files()
         .iter()
         .map(|path| fs::read_to_string(path).expect("a policy file is text"))
@@ -59,12 +59,12 @@
     assert!(lines.all(|line| line.chars().count() <= MAX_LINE_LENGTH));
     assert!(
         texts.iter().all(|text| text.starts_with("//! ")),
-        "each file says what it is for"
+        "a policy file does not begin with a module comment"
     );
 }
 
 #[test]
-fn the_entry_point_says_where_its_types_are() {
+fn the_head_of_the_entry_point_refers_to_the_public_types() {
     let text = fs::read_to_string(root().join("src/gateway.rs")).expect("gateway.rs can be read");
     assert!(text.lines().take(3).any(|line| line.contains("src/api")));
 }
