--- a/src/api/endpoint.rs
+++ b/src/api/endpoint.rs
@@ -7,7 +7,8 @@
 pub struct Endpoint {
     /// Identifies the endpoint at this gateway.
     pub id: EndpointId,
-    /// Position of the endpoint on the hash ring that subsets are selected from. All gateways must use the same key.
+    /// Key that determines the endpoint's position on the hash ring from which subsets are selected. All gateways must
+    /// use the same key for an endpoint.
     pub hash_key: u64,
     /// The endpoint's zone, an index that all gateways share.
     pub zone: u32,
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -126,7 +126,7 @@
 /// Prices that the operators set, as shares of the value of all requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Prices {
-    /// Price of endpoint work that produced no response, relative to all endpoint work.
+    /// Price of endpoint work that led to no response, relative to all endpoint work.
     pub waste: f64,
     /// Price of opening one new connection to an endpoint for each request.
     pub handshake: f64,
--- a/src/bin/simulator-adapter/frame.rs
+++ b/src/bin/simulator-adapter/frame.rs
@@ -8,11 +8,11 @@
 const EVENT_BYTES: usize = 56;
 /// Length of an action record, in bytes.
 const ACTION_BYTES: usize = 32;
-/// Longest frame that is accepted, in bytes. Batches can have several megabytes.
+/// Longest frame that is accepted, in bytes. Batches of several megabytes occur.
 const MAX_FRAME_BYTES: u32 = 256 << 20;
 /// Length of the field that states a frame's length, in bytes.
 const LENGTH_BYTES: usize = 4;
-/// Length of a batch's header after the length field, in bytes.
+/// Length of a batch's header (number of records, time, number of the batch) in bytes, without the length field.
 const HEADER_BYTES: usize = 16;
 
 /// A frame that cannot be read.
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -15,14 +15,14 @@
 use std::process::ExitCode;
 
 /// Exit code after invalid input or a failed read or write.
-const EXIT_FAILURE: u8 = 2;
+const ERROR_EXIT_CODE: u8 = 2;
 
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("simulator-adapter: {error}");
-            ExitCode::from(EXIT_FAILURE)
+            ExitCode::from(ERROR_EXIT_CODE)
         }
     }
 }
--- a/src/bin/simulator-adapter/settings_text.rs
+++ b/src/bin/simulator-adapter/settings_text.rs
@@ -234,8 +234,8 @@
     }
 }
 
-/// Access to the fields of an object. All fields of the object's type are visited; the type of each field determines
-/// whether it may be absent.
+/// Access to the fields of an object. All fields of the object's type are visited, and the type of each field
+/// determines whether the field may be absent.
 struct Fields<'de, 'a> {
     object: Value<'de, 'a>,
     keys: std::slice::Iter<'static, &'static str>,
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -112,7 +112,7 @@
     }
 }
 
-/// Starts the periodic housekeeping and, unless changes of the endpoint list are pushed, its polling.
+/// Starts the periodic housekeeping, and watches the endpoint list if it has to be polled.
 fn start(cx: &mut Context) {
     cx.set_timer(Timer::Housekeeping, HOUSEKEEPING_INTERVAL_MS);
     if cx.settings.endpoints_polled {
@@ -120,6 +120,7 @@
     }
 }
 
+/// Handles a timer that has fired.
 fn timer_fired(
     cx: &mut Context,
     timer: Timer,
--- a/src/state/charge.rs
+++ b/src/state/charge.rs
@@ -1,4 +1,7 @@
 //! Charges to the shared counter, and the counter's replies.
+//!
+//! The counter keeps one count for each customer and window of time. The usage that a charge adds is weighted by
+//! forward decay (`primitives::forward_decay`).
 
 use crate::api::{CustomerId, Millis, Outcome, Request, RequestId};
 use std::collections::{BTreeMap, VecDeque};
@@ -28,7 +31,7 @@
     pub(crate) window: u64,
     /// Time until the window ends, in ms.
     pub(crate) window_remaining_ms: Millis,
-    /// Amount added to the count: the request's units and those not settled before, weighted by forward decay.
+    /// Amount added to the count: the request's units and the customer's unsettled units, weighted by forward decay.
     pub(crate) weighted_units: f64,
     /// Units of the request alone, without a weight.
     pub(crate) units: f64,
@@ -49,6 +52,7 @@
     pub(crate) outcome: Outcome,
     /// The count after the call, in weighted units; only meaningful after a success.
     pub(crate) total: f64,
+    /// Time since the call was made.
     pub(crate) elapsed_ms: Millis,
 }
 
--- a/src/state/customer.rs
+++ b/src/state/customer.rs
@@ -19,6 +19,7 @@
     pub(crate) reserved_units: f64,
     /// Number of calls to the counter in flight.
     pub(crate) pending_calls: u32,
+    /// Time of the last call to the counter.
     pub(crate) last_call_at: Millis,
     /// Number of the customer's attempts in flight at this gateway.
     pub(crate) in_flight: u32,
@@ -45,9 +46,9 @@
     }
 }
 
-/// Number of customers from which on idle customers are evicted before another one is added. Clients can send any
-/// customer id, so that without a limit invented ids would exhaust the memory. Customers with work in flight are never
-/// evicted: the table can exceed the limit while all customers are active.
+/// Maximum number of customers before idle ones are evicted to add another one. Clients can send any customer id, so
+/// that without a limit invented ids would exhaust the memory. Customers with work in flight are never evicted: the
+/// table can exceed this number while all of its customers are active.
 const MAX_CUSTOMERS: usize = 16_384;
 
 /// The customers by id. When the table is full, the half of the idle customers that was seen least recently is evicted.
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -25,8 +25,8 @@
     NoTimeLeft,
 }
 
-/// Of a request's attempts that may have been executed, the one that ended first. Retries that rely on an idempotency
-/// key must stay in the zone or cell of that attempt's endpoint, and within a window after that attempt's start.
+/// The first attempt of a request to end with an outcome after which it may have been executed. Retries that rely on an
+/// idempotency key must stay in the zone or cell of this attempt's endpoint, and within a window after its start.
 #[derive(Clone, Copy)]
 pub(crate) struct FirstExecution {
     pub(crate) started_at: Millis,
@@ -47,7 +47,7 @@
     /// Whether the units, which are taken from the quota when the request is forwarded, have not been settled or
     /// refunded yet.
     pub(crate) settlement_due: bool,
-    /// Whether an attempt has ended that was sent, that is, with another outcome than [`Outcome::NotSent`].
+    /// Whether an attempt has ended with another outcome than [`Outcome::NotSent`], that is, after it was sent.
     pub(crate) has_ended_sent_attempt: bool,
     /// Whether the final response was given, or the client has disconnected.
     pub(crate) closed: bool,
@@ -116,7 +116,7 @@
         self.closed && !self.has_attempt_in_flight()
     }
 
-    /// Whether no attempt was sent and none that is in flight may still be sent.
+    /// Whether no attempt was sent: every attempt so far has ended with [`Outcome::NotSent`].
     pub(crate) fn was_never_sent(&self) -> bool {
         !self.has_ended_sent_attempt && !self.has_attempt_in_flight()
     }
--- a/src/state/shared_quota.rs
+++ b/src/state/shared_quota.rs
@@ -18,6 +18,8 @@
     pub(crate) window: u64,
     /// Usage at all gateways according to the last total, decayed to `last_total_at`; `None` before the first total.
     pub(crate) last_usage: Option<f64>,
+    /// Time of the last total, or the start of the current window if that is later. Before the first total, the time at
+    /// which the record was created.
     pub(crate) last_total_at: Millis,
     /// Weighted units that this gateway has added to the count of the current window.
     pub(crate) own_count: f64,
--- a/src/state/warm_up.rs
+++ b/src/state/warm_up.rs
@@ -12,6 +12,7 @@
     ramp: Option<Box<LinearRamp>>,
     /// Each attempt takes one token.
     pub(crate) tokens: TokenBucket,
+    /// Time of the last refill.
     pub(crate) refilled_at: Millis,
 }
 
--- a/src/wire_settings/error.rs
+++ b/src/wire_settings/error.rs
@@ -4,12 +4,12 @@
 use std::fmt::{Display, Formatter};
 use thiserror::Error;
 
-/// A setting with an invalid value.
+/// A setting that is missing or has an invalid value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidSetting {
     /// The setting's path.
     pub path: SettingPath,
-    /// The reason why its value is invalid.
+    /// The reason why the setting is invalid.
     pub problem: SettingProblem,
 }
 
--- a/src/wire_settings/mod.rs
+++ b/src/wire_settings/mod.rs
@@ -1,8 +1,7 @@
 //! The operators' settings in their serialized form: in the configuration file and in the simulator's protocol.
 //!
 //! The serialized keys (`aim-ms`, `late-worth`, `store-size`) differ from the terms of the code. The `serde` attributes
-//! in `model` are the mapping from keys to terms for all settings of the library. Keys are also named in two other
-//! places:
+//! in `model` are the only mapping between keys and terms for the library's settings. Two other places name keys:
 //!
 //! - `validation` and `unused_class_keys` return keys. They repeat the keys as literals, as a `serde` attribute can't
 //!   use a constant. A key must be changed there and in its attribute together.
--- a/src/wire_settings/validation.rs
+++ b/src/wire_settings/validation.rs
@@ -37,7 +37,7 @@
         Ok(())
     }
 
-    /// Checks durations, indexes, classes and plans, which can have any value in a file, and that no required key is
+    /// Checks durations, indexes, classes and plans, as a file can contain any number, and that no required key is
     /// missing.
     ///
     /// # Errors
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -29,8 +29,12 @@
         .spawn()
         .expect("the adapter starts");
     // The adapter may exit before it has read all of an invalid input.
-    let _ = child.stdin.take().expect("a pipe").write_all(input);
-    child.wait_with_output().expect("the adapter ends")
+    let _ = child
+        .stdin
+        .take()
+        .expect("standard input is piped")
+        .write_all(input);
+    child.wait_with_output().expect("the adapter exits")
 }
 
 /// Encodes a batch with the time 5 ms and the number 7.
@@ -62,7 +66,7 @@
 /// Asserts that the adapter exits with an error code and prints a single line that contains `words`, without a panic.
 fn assert_fails_with(input: &[u8], words: &str) {
     let output = run(input);
-    let error = String::from_utf8(output.stderr).expect("text");
+    let error = String::from_utf8(output.stderr).expect("standard error is UTF-8");
     assert!(!output.status.success(), "{error}");
     assert_eq!(error.lines().count(), 1, "{error}");
     assert!(
@@ -85,7 +89,7 @@
     rules.ask-within-ms=10000\nreport.how=off\nmembership-mode=push\nsome.unknown-key=whatever\n";
 
 #[test]
-fn a_clean_end_of_input_is_a_success() {
+fn an_empty_input_is_a_success() {
     assert!(run(&[]).status.success());
 }
 
@@ -151,7 +155,9 @@
     );
     let second_reply = &output.stdout[EMPTY_REPLY_BYTES..];
     let mut actions = second_reply[EMPTY_REPLY_BYTES..].chunks_exact(ACTION_BYTES);
-    let issue = actions.find(|record| record[0] == ISSUE).expect("an ISSUE");
+    let issue = actions
+        .find(|record| record[0] == ISSUE)
+        .expect("the reply has an ISSUE record");
     assert_eq!(issue[1..5], INSTANCE.to_le_bytes());
     assert_eq!(issue[5..13], 42u64.to_le_bytes());
     assert_eq!(issue[21..25], 77u32.to_le_bytes());
--- a/tests/example_config.rs
+++ b/tests/example_config.rs
@@ -6,12 +6,12 @@
 const EXAMPLE: &str = include_str!("../deploy/example-config.json");
 
 /// The gateway's process, which is killed when the test ends.
-struct Gateway(Child);
+struct GatewayProcess(Child);
 
-impl Drop for Gateway {
+impl Drop for GatewayProcess {
     fn drop(&mut self) {
         self.0.kill().expect("the gateway can be killed");
-        self.0.wait().expect("the gateway ends");
+        self.0.wait().expect("the gateway exits");
     }
 }
 
@@ -27,12 +27,12 @@
         .env("RELAY_CONFIG", &path)
         .stderr(Stdio::piped())
         .spawn();
-    let mut gateway = Gateway(child.expect("the gateway's program starts"));
+    let mut gateway = GatewayProcess(child.expect("the gateway's program starts"));
     let log = BufReader::new(gateway.0.stderr.take().expect("the gateway's log is piped"));
-    let listens = log
+    let is_listening = log
         .lines()
         .map_while(Result::ok)
         .any(|line| line.contains("listening on "));
     std::fs::remove_file(&path).expect("the configuration can be removed");
-    assert!(listens);
+    assert!(is_listening);
 }
--- a/tests/policy_files.rs
+++ b/tests/policy_files.rs
@@ -18,7 +18,7 @@
     let line = deploy
         .lines()
         .find(|line| line.starts_with("policy"))
-        .expect("a policy key");
+        .expect("the deploy file has a policy key");
     line.split('"')
         .skip(1)
         .step_by(2)
@@ -29,12 +29,12 @@
 /// All source files below `src/policy`, without the files of tests.
 fn policy_files() -> BTreeSet<PathBuf> {
     let mut files = BTreeSet::new();
-    let mut folders = vec![root().join("src/policy")];
-    while let Some(folder) = folders.pop() {
-        for entry in fs::read_dir(folder).expect("a folder of src/policy") {
-            let path = entry.expect("an entry of src/policy").path();
+    let mut directories = vec![root().join("src/policy")];
+    while let Some(directory) = directories.pop() {
+        for entry in fs::read_dir(directory).expect("a directory below src/policy can be read") {
+            let path = entry.expect("an entry below src/policy can be read").path();
             if path.is_dir() {
-                folders.push(path);
+                directories.push(path);
             } else if path.file_name().is_some_and(|name| name != "tests.rs") {
                 files.insert(path);
             }
@@ -52,7 +52,7 @@
 fn the_policy_files_follow_the_formatting_rules() {
     let texts: Vec<_> = policy_files()
         .iter()
-        .map(|path| fs::read_to_string(path).expect("a policy file is text"))
+        .map(|path| fs::read_to_string(path).expect("a policy file can be read as text"))
         .collect();
     assert!(!texts.is_empty());
     let mut lines = texts.iter().flat_map(|text| text.lines());
