--- a/src/api/action.rs
+++ b/src/api/action.rs
@@ -54,8 +54,8 @@
         /// Time to live of the entry, if this call creates it.
         ttl_ms: Millis,
     },
-    /// Watch the endpoint list: report it as [`Event::EndpointUpdate`](crate::Event::EndpointUpdate) from now on. A host
-    /// that repeats failed polls by itself can ignore this action.
+    /// Watch the endpoint list: report it as [`Event::EndpointUpdate`](crate::Event::EndpointUpdate) from now on. Hosts
+    /// that watch the list by themselves can ignore this action.
     WatchEndpoints,
     /// Send a gossip message to other gateways. Delivery is not guaranteed.
     Gossip {
