--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -18,7 +18,7 @@
     LoadInputs {
         expected_latency_ms: 100.0,
         latency_objective_ms: 1000.0,
-        usable_time_ms: 1000.0,
+        latency_budget_ms: 1000.0,
         over_quota_weight: 0.5,
         over_quota_cost: 0.5,
     }
@@ -89,8 +89,8 @@
 }
 
 #[test]
-fn a_request_is_rejected_if_its_expected_latency_is_too_large_a_share_of_its_usable_time() {
-    for (expected_latency_ms, usable_time_ms, admission) in [
+fn a_request_is_rejected_if_its_expected_latency_is_too_large_a_share_of_its_latency_budget() {
+    for (expected_latency_ms, latency_budget_ms, admission) in [
         (400.0, 1000.0, Admission::Charge),
         (401.0, 1000.0, Admission::Reject(RejectReason::Overloaded)),
         // For a client that gives up early, its own timeout limits the expected latency.
@@ -104,13 +104,13 @@
     ] {
         let load = LoadInputs {
             expected_latency_ms,
-            usable_time_ms,
+            latency_budget_ms,
             ..load()
         };
         let decided = decide_on_arrival(&customer(), &load);
         assert_eq!(
             decided, admission,
-            "expected {expected_latency_ms} ms of {usable_time_ms} ms"
+            "expected {expected_latency_ms} ms of {latency_budget_ms} ms"
         );
         assert!(!decided.is_over_limit());
     }
