--- a/emulator/src/clients.rs
+++ b/emulator/src/clients.rs
@@ -1,7 +1,7 @@
 //! Clients: which customer asks for what, at which gateway, and what clients do without a response.
 
 use crate::experiment::{Experiment, ExperimentError};
-use crate::{micros, stream, Micros};
+use crate::{micros, seeded_rng, Micros};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, Zipf};
@@ -61,7 +61,7 @@
             }
         })?;
         Ok(Clients {
-            rng: stream(seed, "clients", 0),
+            rng: seeded_rng(seed, "clients", 0),
             arrival_gap_ms,
             customers: load.customers,
             customer_popularity: customer_popularity(experiment)?,
--- a/emulator/src/endpoint.rs
+++ b/emulator/src/endpoint.rs
@@ -1,7 +1,7 @@
 //! The endpoints that requests are forwarded to: slots and a queue, slow start, draining, and overload in slow start.
 
 use crate::experiment::{Experiment, ExperimentError};
-use crate::{micros, stream, Micros};
+use crate::{micros, seeded_rng, Micros};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, LogNormal};
 use std::collections::VecDeque;
@@ -133,7 +133,7 @@
             busy_slots: 0,
             queue: VecDeque::new(),
             recent_arrivals: VecDeque::new(),
-            rng: stream(seed, "backend", index),
+            rng: seeded_rng(seed, "backend", index),
         }
     }
 
--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -38,7 +38,7 @@
 
 /// The random stream of one part: its kind and number set it apart from all others of the same experiment.
 #[must_use]
-pub fn stream(seed: u64, kind: &str, number: u64) -> rand_chacha::ChaCha8Rng {
+pub fn seeded_rng(seed: u64, kind: &str, number: u64) -> rand_chacha::ChaCha8Rng {
     use rand::SeedableRng;
     let mut key = [0; 32];
     key[..8].copy_from_slice(&seed.to_le_bytes());
--- a/emulator/src/simulation/mod.rs
+++ b/emulator/src/simulation/mod.rs
@@ -20,7 +20,7 @@
 use crate::experiment::{Experiment, ExperimentError};
 use crate::network::Network;
 use crate::report::Report;
-use crate::{micros, stream, Micros};
+use crate::{micros, seeded_rng, Micros};
 use attempts::Attempt;
 use counter_calls::CounterCall;
 use event::{Event, GatewayProcess};
@@ -88,7 +88,11 @@
         let list = (0..endpoint_count)
             .map(|index| endpoint_list::list_entry(index, index % zones, EndpointState::Ready, 0.0))
             .collect();
-        let discovery = Discovery::new(&experiment.discovery, list, stream(seed, "discovery", 0));
+        let discovery = Discovery::new(
+            &experiment.discovery,
+            list,
+            seeded_rng(seed, "discovery", 0),
+        );
         Ok(Simulation {
             experiment,
             seed,
@@ -142,7 +146,7 @@
             ..self.settings.clone()
         };
         self.gateway_starts += 1;
-        let seed = stream(self.seed, "gateway", self.gateway_starts).random();
+        let seed = seeded_rng(self.seed, "gateway", self.gateway_starts).random();
         let library = Gateway::new(settings, seed, self.gateway_clock_ms());
         EmulatedGateway::new(library, process, zone)
     }
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -35,4 +35,4 @@
 pub use rules::{Rule, Violation};
 pub use scenario::Scenario;
 
-use fleet_emulator::stream as seeded_rng;
+use fleet_emulator::seeded_rng;
