--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -4,7 +4,7 @@
 
 use criterion::{black_box, criterion_group, criterion_main, BatchSize, BenchmarkId, Criterion};
 use fleet_emulator::measured_gateway::{
-    complete_list, endpoint, gateway, request, sent_to, success,
+    complete_list, endpoint, first_attempt_endpoint, gateway, request, success,
 };
 use quota_gateway::{Endpoint, EndpointState, Event};
 
@@ -26,7 +26,7 @@
                 id += 1;
                 let now = id as f64 * REQUEST_INTERVAL_MS;
                 gateway.handle(now, Event::Request(request(id)), &mut actions);
-                let Some(endpoint) = sent_to(&actions) else {
+                let Some(endpoint) = first_attempt_endpoint(&actions) else {
                     panic!("not sent")
                 };
                 actions.clear();
--- a/emulator/src/measured_gateway.rs
+++ b/emulator/src/measured_gateway.rs
@@ -77,7 +77,7 @@
 
 /// The endpoint that the first attempt among these actions goes to.
 #[must_use]
-pub fn sent_to(actions: &[Action]) -> Option<EndpointId> {
+pub fn first_attempt_endpoint(actions: &[Action]) -> Option<EndpointId> {
     actions.iter().find_map(|action| match action {
         Action::SendAttempt { endpoint, .. } => Some(*endpoint),
         _ => None,
--- a/emulator/src/scaling/measurements.rs
+++ b/emulator/src/scaling/measurements.rs
@@ -1,6 +1,8 @@
 //! The quantities that are measured, each for one number of endpoints.
 
-use crate::measured_gateway::{complete_list, endpoint, gateway, request, sent_to, success, CELLS};
+use crate::measured_gateway::{
+    complete_list, endpoint, first_attempt_endpoint, gateway, request, success, CELLS,
+};
 use crate::process_memory::resident_memory_kb;
 use crate::report::Distribution;
 use quota_gateway::{Action, Endpoint, EndpointState, Event, Gateway};
@@ -125,7 +127,7 @@
         self.actions.clear();
         self.gateway
             .handle(now, Event::Request(request(id)), &mut self.actions);
-        let endpoint = sent_to(&self.actions)?;
+        let endpoint = first_attempt_endpoint(&self.actions)?;
         self.in_flight.push_back(InFlight {
             request: id,
             endpoint,
