--- a/emulator/src/clients.rs
+++ b/emulator/src/clients.rs
@@ -146,7 +146,7 @@
     }
 
     /// When a client disconnects, if it will not wait for its response.
-    pub(crate) fn disconnects_after(&mut self, deadline: Micros) -> Option<Micros> {
+    pub(crate) fn draw_disconnect_delay(&mut self, deadline: Micros) -> Option<Micros> {
         if self.rng.random::<f64>() >= self.disconnect_share {
             return None;
         }
@@ -193,9 +193,9 @@
         sum += share;
         sums.push(sum);
     }
-    let whole = sums.last().copied().unwrap_or(1.0);
+    let total = sums.last().copied().unwrap_or(1.0);
     for sum in &mut sums {
-        *sum /= whole;
+        *sum /= total;
     }
     sums
 }
--- a/emulator/src/counter.rs
+++ b/emulator/src/counter.rs
@@ -32,7 +32,7 @@
 
 /// A call that the counter has served.
 pub(crate) struct ServedCall {
-    pub(crate) at: Micros,
+    pub(crate) completed_at: Micros,
     pub(crate) total: f64,
 }
 
@@ -79,7 +79,7 @@
         }
         total.value += amount;
         Some(ServedCall {
-            at: shard.free_at,
+            completed_at: shard.free_at,
             total: total.value,
         })
     }
--- a/emulator/src/endpoint.rs
+++ b/emulator/src/endpoint.rs
@@ -30,7 +30,7 @@
     /// The connection is refused.
     Refused,
     /// Nothing ever comes back.
-    Silent,
+    NoResponse,
     /// The endpoint, in slow start, has failed under the load.
     Overloaded {
         /// Requests that arrived within the rule's window.
@@ -147,7 +147,7 @@
         match self.state {
             EndpointStatus::Running => {}
             EndpointStatus::Draining => return Arrival::Rejected,
-            EndpointStatus::Unreachable => return Arrival::Silent,
+            EndpointStatus::Unreachable => return Arrival::NoResponse,
             EndpointStatus::Stopped => return Arrival::Refused,
         }
         if let Some(overloaded) = self.check_overload(parameters, now) {
--- a/emulator/src/experiment/validation.rs
+++ b/emulator/src/experiment/validation.rs
@@ -16,15 +16,15 @@
 const MAX_LIST_LENGTH: usize = 64;
 const MAX_SHARE: f64 = 1e6;
 /// Smallest figure of what has to be above 0.
-const ABOVE_ZERO: f64 = 0.001;
+const MIN_POSITIVE: f64 = 0.001;
 /// Messages between gateways have room for customer numbers below this.
 const MAX_CUSTOMERS: f64 = (1u64 << 33) as f64 - 1.0;
 
-type Checked = Result<(), ExperimentError>;
+type CheckResult = Result<(), ExperimentError>;
 
 /// Checks all figures; the first that is outside its range is the error.
-pub(super) fn check(experiment: &Experiment) -> Checked {
-    within("seconds", experiment.seconds, ABOVE_ZERO, DAY_S)?;
+pub(super) fn check(experiment: &Experiment) -> CheckResult {
+    within("seconds", experiment.seconds, MIN_POSITIVE, DAY_S)?;
     within(
         "measure_from_s",
         experiment.measure_from_s,
@@ -47,7 +47,7 @@
     Ok(())
 }
 
-fn within(field: &str, value: f64, min: f64, max: f64) -> Checked {
+fn within(field: &str, value: f64, min: f64, max: f64) -> CheckResult {
     if (min..=max).contains(&value) {
         return Ok(());
     }
@@ -59,7 +59,7 @@
     })
 }
 
-fn check_topology(topology: &Topology) -> Checked {
+fn check_topology(topology: &Topology) -> CheckResult {
     within(
         "topology.regions",
         topology.regions.into(),
@@ -92,7 +92,7 @@
     )
 }
 
-fn check_gateways(gateways: &GatewayModel) -> Checked {
+fn check_gateways(gateways: &GatewayModel) -> CheckResult {
     within("gateways.count", gateways.count.into(), 1.0, MAX_GATEWAYS)?;
     within("gateways.hot_share", gateways.hot_share, 0.0, 1.0)?;
     within(
@@ -109,7 +109,7 @@
     )
 }
 
-fn check_endpoints(endpoints: &EndpointModel) -> Checked {
+fn check_endpoints(endpoints: &EndpointModel) -> CheckResult {
     within(
         "endpoints.count",
         endpoints.count.into(),
@@ -120,7 +120,7 @@
     within(
         "endpoints.service_ms",
         endpoints.service_ms,
-        ABOVE_ZERO,
+        MIN_POSITIVE,
         DAY_MS,
     )?;
     within("endpoints.service_sigma", endpoints.service_sigma, 0.0, 3.0)?;
@@ -139,11 +139,21 @@
     )
 }
 
-fn check_counter(counter: &CounterModel, topology: &Topology) -> Checked {
+fn check_counter(counter: &CounterModel, topology: &Topology) -> CheckResult {
     within("counter.shards", counter.shards.into(), 1.0, 1024.0)?;
-    within("counter.calls_per_s", counter.calls_per_s, ABOVE_ZERO, 1e9)?;
+    within(
+        "counter.calls_per_s",
+        counter.calls_per_s,
+        MIN_POSITIVE,
+        1e9,
+    )?;
     within("counter.max_queue", counter.max_queue.into(), 0.0, 1e7)?;
-    within("counter.timeout_ms", counter.timeout_ms, ABOVE_ZERO, DAY_MS)?;
+    within(
+        "counter.timeout_ms",
+        counter.timeout_ms,
+        MIN_POSITIVE,
+        DAY_MS,
+    )?;
     within(
         "counter.zone",
         counter.zone.into(),
@@ -152,7 +162,7 @@
     )
 }
 
-fn check_discovery(discovery: &DiscoveryModel) -> Checked {
+fn check_discovery(discovery: &DiscoveryModel) -> CheckResult {
     check_interval("discovery.propagation_ms", discovery.propagation_ms)?;
     check_interval(
         "discovery.failure_detection_ms",
@@ -160,13 +170,18 @@
     )
 }
 
-fn check_interval(field: &str, [shortest, longest]: [f64; 2]) -> Checked {
+fn check_interval(field: &str, [shortest, longest]: [f64; 2]) -> CheckResult {
     within(field, shortest, 0.0, longest.min(DAY_MS))?;
     within(field, longest, shortest, DAY_MS)
 }
 
-fn check_load(load: &LoadModel, gateways: &GatewayModel) -> Checked {
-    within("load.requests_per_s", load.requests_per_s, ABOVE_ZERO, 1e7)?;
+fn check_load(load: &LoadModel, gateways: &GatewayModel) -> CheckResult {
+    within(
+        "load.requests_per_s",
+        load.requests_per_s,
+        MIN_POSITIVE,
+        1e7,
+    )?;
     within("load.customers", load.customers as f64, 1.0, MAX_CUSTOMERS)?;
     within("load.zipf_exponent", load.zipf_exponent, 0.0, 5.0)?;
     within(
@@ -180,7 +195,7 @@
     within("load.disconnect_share", load.disconnect_share, 0.0, 1.0)
 }
 
-fn check_classes_and_plans(experiment: &Experiment) -> Checked {
+fn check_classes_and_plans(experiment: &Experiment) -> CheckResult {
     check_length("classes", experiment.classes.len())?;
     check_length("plans", experiment.plans.len())?;
     for (index, class) in experiment.classes.iter().enumerate() {
@@ -191,11 +206,11 @@
             MAX_SHARE,
         )?;
         let objective = format!("classes[{index}].latency_objective_ms");
-        within(&objective, class.latency_objective_ms, ABOVE_ZERO, DAY_MS)?;
+        within(&objective, class.latency_objective_ms, MIN_POSITIVE, DAY_MS)?;
         within(
             &format!("classes[{index}].deadline_ms"),
             class.deadline_ms,
-            ABOVE_ZERO,
+            MIN_POSITIVE,
             DAY_MS,
         )?;
     }
@@ -205,7 +220,7 @@
         within(
             &format!("plans[{index}].burst"),
             plan.burst,
-            ABOVE_ZERO,
+            MIN_POSITIVE,
             1e9,
         )?;
     }
@@ -219,7 +234,7 @@
     )
 }
 
-fn check_length(list: &'static str, length: usize) -> Checked {
+fn check_length(list: &'static str, length: usize) -> CheckResult {
     if (1..=MAX_LIST_LENGTH).contains(&length) {
         return Ok(());
     }
@@ -229,14 +244,14 @@
     })
 }
 
-fn check_shares(list: &'static str, sum: f64) -> Checked {
+fn check_shares(list: &'static str, sum: f64) -> CheckResult {
     if sum > 0.0 {
         return Ok(());
     }
     Err(ExperimentError::NoShares { list })
 }
 
-fn check_rules(rules: &RulesModel) -> Checked {
+fn check_rules(rules: &RulesModel) -> CheckResult {
     within("rules.max_attempts", rules.max_attempts.into(), 1.0, 100.0)?;
     within(
         "rules.slow_start_min_capacity",
@@ -274,7 +289,7 @@
     )
 }
 
-fn check_fault(index: usize, fault: &Fault, topology: &Topology) -> Checked {
+fn check_fault(index: usize, fault: &Fault, topology: &Topology) -> CheckResult {
     within(
         &format!("faults[{index}].start_s"),
         fault.start_s(),
@@ -284,7 +299,7 @@
     within(
         &format!("faults[{index}].duration_s"),
         fault.duration_s(),
-        ABOVE_ZERO,
+        MIN_POSITIVE,
         DAY_S,
     )?;
     match *fault {
--- a/emulator/src/main.rs
+++ b/emulator/src/main.rs
@@ -75,7 +75,7 @@
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
     start_log(arguments.log_format);
-    match carry_out(arguments.command) {
+    match execute(arguments.command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("fleet-emulator: {error}");
@@ -94,7 +94,7 @@
     }
 }
 
-fn carry_out(command: Command) -> Result<(), CommandError> {
+fn execute(command: Command) -> Result<(), CommandError> {
     match command {
         Command::Run {
             experiment,
@@ -103,8 +103,8 @@
         } => run_experiment(&experiment, seed, report),
         Command::Scaling { quick, report } => measure_scaling(quick, report),
         Command::Real(real_run) => {
-            let figures = real_run.run()?;
-            print!("{figures}");
+            let report = real_run.run()?;
+            print!("{report}");
             Ok(())
         }
     }
--- a/emulator/src/real/clients.rs
+++ b/emulator/src/real/clients.rs
@@ -17,18 +17,18 @@
 
 /// What clients got.
 #[derive(Default)]
-pub(super) struct ResponseFigures {
+pub(super) struct ResponseStats {
     pub(super) served: u64,
     /// Rejected, failed or not answered.
-    pub(super) other: u64,
+    pub(super) not_served: u64,
     /// Times of the served ones.
     pub(super) latencies_ms: Vec<f64>,
 }
 
-impl ResponseFigures {
-    fn add(&mut self, more: ResponseFigures) {
+impl ResponseStats {
+    fn add(&mut self, more: ResponseStats) {
         self.served += more.served;
-        self.other += more.other;
+        self.not_served += more.not_served;
         self.latencies_ms.extend(more.latencies_ms);
     }
 }
@@ -38,7 +38,7 @@
     gateways: &[SocketAddr],
     requests_per_s: u32,
     duration: Duration,
-) -> ResponseFigures {
+) -> ResponseStats {
     let interval =
         Duration::from_secs_f64(f64::from(CLIENTS_PER_GATEWAY) / f64::from(requests_per_s));
     let mut clients = JoinSet::new();
@@ -57,11 +57,11 @@
             number += 1;
         }
     }
-    let mut figures = ResponseFigures::default();
+    let mut stats = ResponseStats::default();
     while let Some(ended) = clients.join_next().await {
-        figures.add(ended.unwrap_or_default());
+        stats.add(ended.unwrap_or_default());
     }
-    figures
+    stats
 }
 
 struct Client {
@@ -74,31 +74,31 @@
 
 impl Client {
     /// Makes requests at even times; those that fell due while one took follow at once.
-    async fn run(self) -> ResponseFigures {
+    async fn run(self) -> ResponseStats {
         sleep(self.start_delay).await;
         let count = (self.duration.as_secs_f64() / self.interval.as_secs_f64()).floor() as u64;
         let mut due = interval(self.interval);
         let mut connection = ClientConnection::new(self.gateway);
-        let mut figures = ResponseFigures::default();
-        for turn in 0..count {
+        let mut stats = ResponseStats::default();
+        for index in 0..count {
             due.tick().await;
             let started_at = Instant::now();
-            match self.request(&mut connection, turn).await {
+            match self.request(&mut connection, index).await {
                 Ok(STATUS_OK) => {
-                    figures.served += 1;
-                    figures
+                    stats.served += 1;
+                    stats
                         .latencies_ms
                         .push(started_at.elapsed().as_secs_f64() * 1000.0);
                 }
-                _ => figures.other += 1,
+                _ => stats.not_served += 1,
             }
         }
-        figures
+        stats
     }
 
-    async fn request(&self, connection: &mut ClientConnection, turn: u64) -> io::Result<u16> {
-        let customer = self.number * CUSTOMER_STRIDE + turn % CUSTOMERS_PER_CLIENT;
-        let transaction = self.number << 32 | turn;
+    async fn request(&self, connection: &mut ClientConnection, index: u64) -> io::Result<u16> {
+        let customer = self.number * CUSTOMER_STRIDE + index % CUSTOMERS_PER_CLIENT;
+        let transaction = self.number << 32 | index;
         let request = format!(
             "GET /look?account={customer:016x} HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: {transaction:016x}\r\n\
              X-Lane: look\r\nX-Plan: plus\r\nX-Remaining-Ms: 2500\r\nX-Quota: units=1,spread=1,first=0\r\n\r\n"
--- a/emulator/src/real/figures.rs
+++ b/emulator/src/real/figures.rs
@@ -1,7 +1,7 @@
 //! What a run has shown.
 
 use super::arguments::RealRun;
-use super::clients::ResponseFigures;
+use super::clients::ResponseStats;
 use super::gateway_process::{GatewayProcess, Usage};
 use super::stand_ins::{StandIns, TrafficCounts};
 use crate::report::Distribution;
@@ -26,13 +26,13 @@
         self.usage.iter().map(|usage| usage.processor_s).sum()
     }
 
-    fn largest(&self, figure: fn(&Usage) -> f64) -> f64 {
-        self.usage.iter().map(figure).fold(0.0, f64::max)
+    fn largest(&self, value: fn(&Usage) -> f64) -> f64 {
+        self.usage.iter().map(value).fold(0.0, f64::max)
     }
 }
 
 /// The figures of a run. Rates and shares are means over the gateways.
-pub struct RealRunFigures {
+pub struct RealRunReport {
     gateways: u32,
     endpoints: u32,
     requests_per_s: u32,
@@ -47,31 +47,31 @@
     peak_memory_mb: f64,
     descriptors: f64,
     served: u64,
-    other: u64,
+    not_served: u64,
     latency_ms: Distribution,
     counter_calls_per_request: f64,
     bytes_per_counter_call: f64,
     counter_bytes_per_s: f64,
 }
 
-impl RealRunFigures {
+impl RealRunReport {
     /// From the snapshots at the start, after the time without load, and after the time under load.
     pub(super) fn new(
         run: &RealRun,
         ready_s: f64,
-        [at_start, at_rest, after_load]: [Snapshot; 3],
-        responses: ResponseFigures,
+        [at_start, after_idle, after_load]: [Snapshot; 3],
+        responses: ResponseStats,
     ) -> Self {
         let gateway_seconds = f64::from(run.seconds) * f64::from(run.gateways);
-        let requests = (responses.served + responses.other).max(1) as f64;
-        let idle_processor_s = at_rest.processor_s() - at_start.processor_s();
-        let load_processor_s = after_load.processor_s() - at_rest.processor_s();
+        let requests = (responses.served + responses.not_served).max(1) as f64;
+        let idle_processor_s = after_idle.processor_s() - at_start.processor_s();
+        let load_processor_s = after_load.processor_s() - after_idle.processor_s();
         let counter_calls =
-            (after_load.traffic.counter.calls - at_rest.traffic.counter.calls) as f64;
+            (after_load.traffic.counter.calls - after_idle.traffic.counter.calls) as f64;
         let counter_bytes =
-            (after_load.traffic.counter.bytes - at_rest.traffic.counter.bytes) as f64;
-        let idle_list_bytes = (at_rest.traffic.list.bytes - at_start.traffic.list.bytes) as f64;
-        RealRunFigures {
+            (after_load.traffic.counter.bytes - after_idle.traffic.counter.bytes) as f64;
+        let idle_list_bytes = (after_idle.traffic.list.bytes - at_start.traffic.list.bytes) as f64;
+        RealRunReport {
             gateways: run.gateways,
             endpoints: run.endpoints,
             requests_per_s: run.requests_per_s,
@@ -86,7 +86,7 @@
             peak_memory_mb: after_load.largest(|usage| usage.peak_memory_kb) / 1000.0,
             descriptors: after_load.largest(|usage| usage.descriptors),
             served: responses.served,
-            other: responses.other,
+            not_served: responses.not_served,
             latency_ms: Distribution::of(responses.latencies_ms),
             counter_calls_per_request: counter_calls / requests,
             bytes_per_counter_call: counter_bytes / counter_calls.max(1.0),
@@ -95,7 +95,7 @@
     }
 }
 
-impl Display for RealRunFigures {
+impl Display for RealRunReport {
     fn fmt(&self, f: &mut Formatter<'_>) -> std::fmt::Result {
         writeln!(
             f,
@@ -120,7 +120,7 @@
         writeln!(
             f,
             "requests: {} served, {} other; p50 {:.1} ms, p99 {:.1} ms, of which the endpoint takes {} ms",
-            self.served, self.other, self.latency_ms.p50, self.latency_ms.p99, self.service_ms
+            self.served, self.not_served, self.latency_ms.p50, self.latency_ms.p99, self.service_ms
         )?;
         writeln!(
             f,
--- a/emulator/src/real/gateway_process.rs
+++ b/emulator/src/real/gateway_process.rs
@@ -19,12 +19,12 @@
 const READY_REQUEST: &str = "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n";
 const STATUS_OK: u16 = 200;
 /// What the gateway logs before the address that it listens on.
-const LISTENING: &str = "listening on ";
+const LISTENING_PREFIX: &str = "listening on ";
 /// Ticks of processor time a second, as the system counts them for processes.
 const TICKS_PER_S: f64 = 100.0;
 /// Places of the processor times behind the name in `/proc/PID/stat`.
-const USER_TICKS: usize = 11;
-const SYSTEM_TICKS: usize = 12;
+const USER_TICKS_FIELD: usize = 11;
+const SYSTEM_TICKS_FIELD: usize = 12;
 
 /// A running gateway. Its process and its configuration file go with this value.
 pub(super) struct GatewayProcess {
@@ -114,13 +114,13 @@
         .unwrap_or("")
         .split_whitespace()
         .collect();
-    let ticks = |place: usize| {
+    let ticks = |index: usize| {
         fields
-            .get(place)
+            .get(index)
             .and_then(|field| field.parse::<f64>().ok())
             .unwrap_or(0.0)
     };
-    (ticks(USER_TICKS) + ticks(SYSTEM_TICKS)) / TICKS_PER_S
+    (ticks(USER_TICKS_FIELD) + ticks(SYSTEM_TICKS_FIELD)) / TICKS_PER_S
 }
 
 /// Reads a gateway's log up to the address that it listens on.
@@ -128,7 +128,7 @@
     lines: &mut Lines<impl AsyncBufRead + Unpin>,
 ) -> Result<SocketAddr, RealRunError> {
     while let Some(line) = lines.next_line().await? {
-        if let Some((_, address)) = line.split_once(LISTENING) {
+        if let Some((_, address)) = line.split_once(LISTENING_PREFIX) {
             return address
                 .trim()
                 .parse()
--- a/emulator/src/real/mod.rs
+++ b/emulator/src/real/mod.rs
@@ -12,4 +12,4 @@
 
 pub use arguments::RealRun;
 pub use error::RealRunError;
-pub use figures::RealRunFigures;
+pub use figures::RealRunReport;
--- a/emulator/src/real/run.rs
+++ b/emulator/src/real/run.rs
@@ -1,9 +1,9 @@
 //! One run: start, a time without load, a time under load.
 
 use super::arguments::RealRun;
-use super::clients::{run_clients, ResponseFigures};
+use super::clients::{run_clients, ResponseStats};
 use super::error::RealRunError;
-use super::figures::{RealRunFigures, Snapshot};
+use super::figures::{RealRunReport, Snapshot};
 use super::gateway_config::gateway_config;
 use super::gateway_process::GatewayProcess;
 use super::stand_ins::StandIns;
@@ -12,7 +12,7 @@
 use tokio::time::{sleep, Instant};
 
 /// After the gateways are ready, their start may still use processor time for this long.
-const START_COST_TIME: Duration = Duration::from_secs(1);
+const STARTUP_SETTLE_TIME: Duration = Duration::from_secs(1);
 
 impl RealRun {
     /// Makes the run.
@@ -21,7 +21,7 @@
     ///
     /// Fails if an argument is out of range, the program is not there or does not become ready, or the system refuses
     /// a socket, a file or a process.
-    pub fn run(&self) -> Result<RealRunFigures, RealRunError> {
+    pub fn run(&self) -> Result<RealRunReport, RealRunError> {
         self.check()?;
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -29,7 +29,7 @@
         LocalSet::new().block_on(&runtime, self.measure())
     }
 
-    async fn measure(&self) -> Result<RealRunFigures, RealRunError> {
+    async fn measure(&self) -> Result<RealRunReport, RealRunError> {
         let stand_ins = StandIns::start(self.endpoints, self.service_time()).await?;
         let started_at = Instant::now();
         let gateways = self.start_gateways(&stand_ins).await?;
@@ -37,16 +37,16 @@
             gateway.wait_until_ready().await?;
         }
         let ready_s = started_at.elapsed().as_secs_f64();
-        sleep(START_COST_TIME).await;
+        sleep(STARTUP_SETTLE_TIME).await;
         let at_start = Snapshot::take(&gateways, &stand_ins);
         sleep(self.duration()).await;
-        let at_rest = Snapshot::take(&gateways, &stand_ins);
+        let after_idle = Snapshot::take(&gateways, &stand_ins);
         let responses = self.apply_load(&gateways).await;
         let after_load = Snapshot::take(&gateways, &stand_ins);
-        Ok(RealRunFigures::new(
+        Ok(RealRunReport::new(
             self,
             ready_s,
-            [at_start, at_rest, after_load],
+            [at_start, after_idle, after_load],
             responses,
         ))
     }
@@ -63,7 +63,7 @@
         Ok(gateways)
     }
 
-    async fn apply_load(&self, gateways: &[GatewayProcess]) -> ResponseFigures {
+    async fn apply_load(&self, gateways: &[GatewayProcess]) -> ResponseStats {
         let addresses: Vec<_> = gateways.iter().map(GatewayProcess::address).collect();
         run_clients(&addresses, self.requests_per_s, self.duration()).await
     }
--- a/emulator/src/report/mod.rs
+++ b/emulator/src/report/mod.rs
@@ -20,19 +20,19 @@
     /// The part of it that is measured.
     pub measured_s: f64,
     /// Requests by how they ended.
-    pub requests: RequestFigures,
+    pub requests: RequestStats,
     /// Attempts by how they ended.
-    pub attempts: AttemptFigures,
+    pub attempts: AttemptStats,
     /// Time from a request's arrival to its successful response at the gateway, in ms.
     pub latency_ms: Distribution,
     /// The gateways.
-    pub gateways: GatewayFigures,
+    pub gateways: GatewayStats,
     /// The endpoints that were running at the end.
-    pub endpoints: EndpointFigures,
+    pub endpoints: EndpointStats,
     /// The shared counter.
-    pub counter: CounterFigures,
+    pub counter: CounterStats,
     /// The endpoint list.
-    pub discovery: DiscoveryFigures,
+    pub discovery: DiscoveryStats,
     /// Violations of the rules, from the start of the experiment.
     pub violations: Violations,
     /// Requests by how they ended in windows of 5 s, from the start of the experiment.
@@ -41,7 +41,7 @@
 
 /// Requests by how they ended.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct RequestFigures {
+pub struct RequestStats {
     /// Clients' first requests.
     pub initial: u64,
     /// All requests, clients' retries included.
@@ -62,7 +62,7 @@
 
 /// Attempts by how they ended.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct AttemptFigures {
+pub struct AttemptStats {
     /// Attempts sent.
     pub sent: u64,
     /// Those of them that were not a request's first.
@@ -85,7 +85,7 @@
 
 /// The gateways.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct GatewayFigures {
+pub struct GatewayStats {
     /// Requests that arrived at each.
     pub requests: Distribution,
     /// Endpoints that each sent attempts to.
@@ -98,7 +98,7 @@
 
 /// The endpoints that were running at the end.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct EndpointFigures {
+pub struct EndpointStats {
     /// Requests that arrived at each.
     pub requests: Distribution,
     /// Endpoints that no request arrived at.
@@ -111,7 +111,7 @@
 
 /// The shared counter.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct CounterFigures {
+pub struct CounterStats {
     /// Calls made.
     pub calls: u64,
     /// Calls made for each request.
@@ -126,7 +126,7 @@
 
 /// The endpoint list.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct DiscoveryFigures {
+pub struct DiscoveryStats {
     /// Changes of an entry.
     pub changes: u64,
     /// Entries delivered to all gateways, complete lists at their starts included.
--- a/emulator/src/scaling/measurements.rs
+++ b/emulator/src/scaling/measurements.rs
@@ -16,10 +16,10 @@
 /// What a request takes, in ms.
 const SERVICE_MS: f64 = REQUEST_INTERVAL_MS * IN_FLIGHT as f64;
 /// Requests after which the endpoints used are counted.
-const REQUESTS_FOR_USE: u64 = 2000;
+const REQUESTS_FOR_ENDPOINTS_USED: u64 = 2000;
 /// Gateways measured together, so that pages and the allocator's own needs are small beside them.
-const ENDPOINTS_TOGETHER: u32 = 100_000;
-const MIN_GATEWAYS_TOGETHER: u32 = 20;
+const TOTAL_ENDPOINTS: u32 = 100_000;
+const MIN_GATEWAYS: u32 = 20;
 /// Complete lists measured at least.
 const MIN_LISTS: u64 = 3;
 
@@ -69,10 +69,10 @@
 
 /// Memory of one gateway, in KB. The gateways go to `kept`, as freed memory would be used again.
 pub(super) fn memory_kb(endpoints: u32, kept: &mut Vec<Gateway>) -> f64 {
-    let together = (ENDPOINTS_TOGETHER / endpoints).max(MIN_GATEWAYS_TOGETHER);
+    let gateway_count = (TOTAL_ENDPOINTS / endpoints).max(MIN_GATEWAYS);
     let before = resident_memory_kb();
-    kept.extend((0..together).map(|_| gateway(endpoints)));
-    (resident_memory_kb() - before) / f64::from(together)
+    kept.extend((0..gateway_count).map(|_| gateway(endpoints)));
+    (resident_memory_kb() - before) / f64::from(gateway_count)
 }
 
 /// Size of a complete list in the protocol's form, in KB.
@@ -94,7 +94,7 @@
 /// Number of endpoints that some requests are sent to.
 pub(super) fn endpoints_used(endpoints: u32) -> f64 {
     let mut load = Load::new(endpoints);
-    let used: BTreeSet<u32> = (1..=REQUESTS_FOR_USE)
+    let used: BTreeSet<u32> = (1..=REQUESTS_FOR_ENDPOINTS_USED)
         .filter_map(|id| load.request(id))
         .collect();
     used.len() as f64
--- a/emulator/src/simulation/actions.rs
+++ b/emulator/src/simulation/actions.rs
@@ -1,7 +1,7 @@
 //! Notifies gateways of events and carries out what they decide.
 
 use super::event::{Event, GatewayProcess};
-use super::requests::Refusal;
+use super::requests::UnsuccessfulResponse;
 use super::Simulation;
 use crate::micros;
 use quota_gateway::{Action, Event as GatewayEvent, Outcome};
@@ -18,13 +18,13 @@
                 .library
                 .handle(now_ms, event, &mut actions);
             for action in actions.drain(..) {
-                events.extend(self.carry_out(gateway, &action));
+                events.extend(self.execute_action(gateway, &action));
             }
         }
     }
 
     /// Carries out an action. Returns an event that follows from it at once.
-    fn carry_out(&mut self, gateway: u32, action: &Action) -> Option<GatewayEvent> {
+    fn execute_action(&mut self, gateway: u32, action: &Action) -> Option<GatewayEvent> {
         match *action {
             // Attempts are sent at once here.
             Action::SendAttempt {
@@ -37,9 +37,9 @@
             }
             Action::CancelAttempt { id, attempt } => self.cancel_attempt(id, attempt),
             Action::Reject { id, retry_after_ms } => {
-                self.refuse(id, Refusal::Rejected { retry_after_ms });
+                self.respond_unsuccessfully(id, UnsuccessfulResponse::Rejected { retry_after_ms });
             }
-            Action::Fail { id } => self.refuse(id, Refusal::Failed),
+            Action::Fail { id } => self.respond_unsuccessfully(id, UnsuccessfulResponse::Failed),
             Action::SetTimer { token, after_ms } => {
                 let process = self.gateways[gateway as usize].process;
                 self.queue
--- a/emulator/src/simulation/attempts.rs
+++ b/emulator/src/simulation/attempts.rs
@@ -122,19 +122,19 @@
             return;
         }
         let gateway = &mut self.gateways[gateway as usize];
-        let figures = &mut self.recorder.report.attempts;
-        figures.sent += 1;
+        let stats = &mut self.recorder.report.attempts;
+        stats.sent += 1;
         if number > 0 {
-            figures.retries += 1;
+            stats.retries += 1;
         }
         if connection.is_new {
-            figures.new_connections += 1;
+            stats.new_connections += 1;
         }
         if self.endpoints[endpoint as usize].zone != gateway.zone {
-            figures.cross_zone += 1;
+            stats.cross_zone += 1;
         }
         *gateway
-            .figures
+            .stats
             .attempts_by_endpoint
             .entry(endpoint)
             .or_default() += 1;
@@ -166,11 +166,11 @@
             Arrival::Queued => attempt.at_endpoint = true,
             Arrival::Rejected => self.respond(id, Outcome::Rejected),
             Arrival::Refused => self.respond(id, Outcome::ConnectFailed),
-            Arrival::Silent => {}
+            Arrival::NoResponse => {}
             Arrival::Overloaded { arrived, allowed } => {
                 self.record_overload(index, arrived, allowed);
                 self.respond(id, Outcome::ConnectionReset);
-                self.detect_endpoint_status_later(index);
+                self.schedule_endpoint_status_detection(index);
             }
         }
     }
@@ -282,14 +282,14 @@
         if !self.is_measuring() {
             return;
         }
-        let figures = &mut self.recorder.report.attempts;
+        let stats = &mut self.recorder.report.attempts;
         match outcome {
-            Outcome::Success => figures.succeeded += 1,
-            Outcome::Rejected => figures.rejected += 1,
-            Outcome::ConnectFailed => figures.connect_failed += 1,
-            Outcome::Timeout | Outcome::ConnectionReset => figures.timed_out += 1,
+            Outcome::Success => stats.succeeded += 1,
+            Outcome::Rejected => stats.rejected += 1,
+            Outcome::ConnectFailed => stats.connect_failed += 1,
+            Outcome::Timeout | Outcome::ConnectionReset => stats.timed_out += 1,
             Outcome::ErrorResponse | Outcome::Cancelled | Outcome::NotSent => {
-                figures.cancelled += 1;
+                stats.cancelled += 1;
             }
         }
     }
--- a/emulator/src/simulation/counter_calls.rs
+++ b/emulator/src/simulation/counter_calls.rs
@@ -38,12 +38,12 @@
             self.queue
                 .schedule_in(delay, Event::CounterCallArrives { call, amount, ttl });
         }
-        let given_up = Event::CounterCallEnds {
+        let timed_out = Event::CounterCallEnds {
             call,
             outcome: Outcome::Timeout,
             total: 0.0,
         };
-        self.queue.schedule_in(timeout, given_up);
+        self.queue.schedule_in(timeout, timed_out);
     }
 
     /// A call has arrived at the counter.
@@ -76,7 +76,7 @@
             outcome: Outcome::Success,
             total: served.total,
         };
-        self.queue.schedule(served.at + delay, reply);
+        self.queue.schedule(served.completed_at + delay, reply);
     }
 
     /// A call has ended for its gateway.
@@ -90,10 +90,10 @@
             return;
         };
         if self.is_measuring() {
-            let figures = &mut self.recorder.report.counter;
+            let stats = &mut self.recorder.report.counter;
             match outcome {
-                Outcome::Timeout => figures.timed_out += 1,
-                Outcome::Rejected => figures.rejected += 1,
+                Outcome::Timeout => stats.timed_out += 1,
+                Outcome::Rejected => stats.rejected += 1,
                 _ => {}
             }
         }
--- a/emulator/src/simulation/endpoint_list.rs
+++ b/emulator/src/simulation/endpoint_list.rs
@@ -40,7 +40,7 @@
     }
 
     /// Discovery will notice the endpoint's state after a while.
-    pub(super) fn detect_endpoint_status_later(&mut self, endpoint: u32) {
+    pub(super) fn schedule_endpoint_status_detection(&mut self, endpoint: u32) {
         let delay = self.discovery.draw_detection_delay();
         self.queue
             .schedule_in(delay, Event::EndpointStatusDetected { endpoint });
--- a/emulator/src/simulation/faults.rs
+++ b/emulator/src/simulation/faults.rs
@@ -57,7 +57,7 @@
             );
             if endpoint.zone == zone && is_up {
                 endpoint.stop(EndpointStatus::Unreachable);
-                self.detect_endpoint_status_later(index as u32);
+                self.schedule_endpoint_status_detection(index as u32);
             }
         }
     }
@@ -102,7 +102,7 @@
     /// The former process ends with what it has not answered, and a new one takes its place.
     pub(super) fn restart_gateway(&mut self, index: u32) {
         let process = self.gateways[index as usize].process;
-        self.lose_open_requests(process);
+        self.discard_open_requests(process);
         for (endpoint, open) in self.gateways[index as usize].connections.open_by_endpoint() {
             self.endpoints[endpoint as usize].connections -= open;
         }
@@ -111,7 +111,7 @@
             incarnation: process.incarnation + 1,
         };
         let mut gateway = self.start_gateway(next);
-        gateway.figures = std::mem::take(&mut self.gateways[index as usize].figures);
+        gateway.stats = std::mem::take(&mut self.gateways[index as usize].stats);
         self.gateways[index as usize] = gateway;
         self.deliver_complete_list(index);
     }
@@ -129,11 +129,11 @@
     /// A share of the endpoints begin to drain, and as many new ones start.
     pub(super) fn replace_endpoints(&mut self, share: f64) {
         let count = (f64::from(self.experiment.endpoints.count) * share).round() as usize;
-        let is_old = |endpoint: &EmulatedEndpoint| {
+        let is_initial = |endpoint: &EmulatedEndpoint| {
             endpoint.state == EndpointStatus::Running && endpoint.started_at.is_none()
         };
         let replaced: Vec<usize> = (0..self.endpoints.len())
-            .filter(|index| is_old(&self.endpoints[*index]))
+            .filter(|index| is_initial(&self.endpoints[*index]))
             .take(count)
             .collect();
         for index in replaced {
--- a/emulator/src/simulation/gateway.rs
+++ b/emulator/src/simulation/gateway.rs
@@ -17,12 +17,12 @@
     /// Endpoints that must get no new attempts, and when the gateway was notified of that.
     pub(super) draining_since: FxHashMap<u32, Micros>,
     pub(super) connections: Connections,
-    pub(super) figures: LifetimeFigures,
+    pub(super) stats: LifetimeStats,
 }
 
 /// What the report says of a gateway, over all its processes.
 #[derive(Default)]
-pub(super) struct LifetimeFigures {
+pub(super) struct LifetimeStats {
     pub(super) requests: u64,
     pub(super) max_connections: u32,
     pub(super) attempts_by_endpoint: FxHashMap<u32, u32>,
@@ -38,7 +38,7 @@
             list_version: 0,
             draining_since: FxHashMap::default(),
             connections: Connections::default(),
-            figures: LifetimeFigures::default(),
+            stats: LifetimeStats::default(),
         }
     }
 
@@ -50,7 +50,7 @@
         idle_timeout: Micros,
     ) -> Checkout {
         let checkout = self.connections.take(endpoint, now, idle_timeout);
-        self.figures.max_connections = self.figures.max_connections.max(self.connections.open);
+        self.stats.max_connections = self.stats.max_connections.max(self.connections.open);
         checkout
     }
 }
--- a/emulator/src/simulation/mod.rs
+++ b/emulator/src/simulation/mod.rs
@@ -52,7 +52,7 @@
 pub fn run(experiment: &Experiment, seed: u64) -> Result<Report, ExperimentError> {
     let mut simulation = Simulation::new(experiment, seed)?;
     simulation.schedule_start();
-    simulation.play();
+    simulation.process_events();
     Ok(simulation.into_report())
 }
 
@@ -151,7 +151,7 @@
         EmulatedGateway::new(library, process, zone)
     }
 
-    fn play(&mut self) {
+    fn process_events(&mut self) {
         let deadlines_ms = self
             .experiment
             .classes
--- a/emulator/src/simulation/recorder.rs
+++ b/emulator/src/simulation/recorder.rs
@@ -75,39 +75,38 @@
     }
 
     fn finish_gateways(&mut self, gateways: &[EmulatedGateway]) {
-        let over_gateways = |figure: fn(&EmulatedGateway) -> f64| {
-            Distribution::of(gateways.iter().map(figure).collect())
+        let over_gateways = |value: fn(&EmulatedGateway) -> f64| {
+            Distribution::of(gateways.iter().map(value).collect())
         };
-        let figures = &mut self.report.gateways;
-        figures.requests = over_gateways(|gateway| gateway.figures.requests as f64);
-        figures.endpoints_used =
-            over_gateways(|gateway| gateway.figures.attempts_by_endpoint.len() as f64);
-        figures.max_connections =
-            over_gateways(|gateway| f64::from(gateway.figures.max_connections));
-        figures.customers = over_gateways(|gateway| gateway.library.customer_count() as f64);
+        let stats = &mut self.report.gateways;
+        stats.requests = over_gateways(|gateway| gateway.stats.requests as f64);
+        stats.endpoints_used =
+            over_gateways(|gateway| gateway.stats.attempts_by_endpoint.len() as f64);
+        stats.max_connections = over_gateways(|gateway| f64::from(gateway.stats.max_connections));
+        stats.customers = over_gateways(|gateway| gateway.library.customer_count() as f64);
     }
 
     fn finish_endpoints(&mut self, gateways: &[EmulatedGateway], endpoints: &[EmulatedEndpoint]) {
         let mut gateways_by_endpoint = vec![0u32; endpoints.len()];
         for gateway in gateways {
-            for endpoint in gateway.figures.attempts_by_endpoint.keys() {
+            for endpoint in gateway.stats.attempts_by_endpoint.keys() {
                 gateways_by_endpoint[*endpoint as usize] += 1;
             }
         }
         let running: Vec<usize> = (0..endpoints.len())
             .filter(|index| endpoints[*index].state == EndpointStatus::Running)
             .collect();
-        let over_running = |figure: &dyn Fn(usize) -> f64| {
-            Distribution::of(running.iter().map(|index| figure(*index)).collect())
+        let over_running = |value: &dyn Fn(usize) -> f64| {
+            Distribution::of(running.iter().map(|index| value(*index)).collect())
         };
-        let figures = &mut self.report.endpoints;
-        figures.requests = over_running(&|index| endpoints[index].requests as f64);
-        figures.idle = running
+        let stats = &mut self.report.endpoints;
+        stats.requests = over_running(&|index| endpoints[index].requests as f64);
+        stats.idle = running
             .iter()
             .filter(|index| endpoints[**index].requests == 0)
             .count() as u64;
-        figures.gateways = over_running(&|index| f64::from(gateways_by_endpoint[index]));
-        figures.connections = over_running(&|index| f64::from(endpoints[index].connections));
+        stats.gateways = over_running(&|index| f64::from(gateways_by_endpoint[index]));
+        stats.connections = over_running(&|index| f64::from(endpoints[index].connections));
     }
 }
 
--- a/emulator/src/simulation/requests.rs
+++ b/emulator/src/simulation/requests.rs
@@ -29,7 +29,7 @@
 
 /// A gateway's final response without success.
 #[derive(Clone, Copy)]
-pub(super) enum Refusal {
+pub(super) enum UnsuccessfulResponse {
     /// Rejected; the advice when to try again is 0 if there is none.
     Rejected { retry_after_ms: f64 },
     /// Failed.
@@ -66,7 +66,7 @@
             deadline + RESPONSE_SLACK,
             Event::DeadlinePasses { request: id },
         );
-        if let Some(delay) = self.clients.disconnects_after(deadline) {
+        if let Some(delay) = self.clients.draw_disconnect_delay(deadline) {
             self.queue
                 .schedule_in(delay, Event::ClientDisconnects { request: id });
         }
@@ -100,12 +100,12 @@
         if !self.is_measuring() {
             return;
         }
-        let figures = &mut self.recorder.report.requests;
-        figures.total += 1;
+        let stats = &mut self.recorder.report.requests;
+        stats.total += 1;
         if client_request.retry == 0 {
-            figures.initial += 1;
+            stats.initial += 1;
         }
-        self.gateways[gateway].figures.requests += 1;
+        self.gateways[gateway].stats.requests += 1;
     }
 
     pub(super) fn client_disconnects(&mut self, id: u64) {
@@ -142,7 +142,8 @@
         let at_s = self.queue.now() as f64 / 1e6;
         let violations = &mut self.recorder.report.violations;
         violations.unanswered += 1;
-        violations.describe(|| format!("lost: gateway {gateway}, class {class}, at {at_s:.3} s"));
+        violations
+            .describe_first(|| format!("lost: gateway {gateway}, class {class}, at {at_s:.3} s"));
         self.drop_if_ended(id);
     }
 
@@ -164,7 +165,7 @@
         if after_deadline {
             let violations = &mut self.recorder.report.violations;
             violations.unanswered += 1;
-            violations.describe(|| format!("lost: served after {latency} us"));
+            violations.describe_first(|| format!("lost: served after {latency} us"));
         }
     }
 
@@ -178,17 +179,17 @@
         if !self.is_measuring() {
             return;
         }
-        let figures = &mut self.recorder.report.requests;
+        let stats = &mut self.recorder.report.requests;
         if on_time {
-            figures.served_on_time += 1;
+            stats.served_on_time += 1;
         } else {
-            figures.served_late += 1;
+            stats.served_late += 1;
         }
         self.recorder.record_latency(latency);
     }
 
     /// The gateway gives its final response without success.
-    pub(super) fn refuse(&mut self, id: u64, refusal: Refusal) {
+    pub(super) fn respond_unsuccessfully(&mut self, id: u64, response: UnsuccessfulResponse) {
         let Some(open) = self.open_requests.get_mut(&id) else {
             return;
         };
@@ -197,10 +198,10 @@
         }
         open.answered = true;
         let client_request = open.client_request.clone();
-        self.record_refusal(refusal);
-        let retry_after_ms = match refusal {
-            Refusal::Rejected { retry_after_ms } => retry_after_ms,
-            Refusal::Failed => 0.0,
+        self.record_unsuccessful_response(response);
+        let retry_after_ms = match response {
+            UnsuccessfulResponse::Rejected { retry_after_ms } => retry_after_ms,
+            UnsuccessfulResponse::Failed => 0.0,
         };
         if let Some((retry, delay)) = self.clients.retry(&client_request, retry_after_ms) {
             self.queue.schedule_in(delay, Event::ClientRetries(retry));
@@ -208,20 +209,20 @@
         self.drop_if_ended(id);
     }
 
-    fn record_refusal(&mut self, refusal: Refusal) {
+    fn record_unsuccessful_response(&mut self, response: UnsuccessfulResponse) {
         let is_measuring = self.is_measuring();
         let window = self.recorder.window(self.queue.now());
-        match refusal {
-            Refusal::Rejected { .. } => window.rejected += 1,
-            Refusal::Failed => window.failed += 1,
+        match response {
+            UnsuccessfulResponse::Rejected { .. } => window.rejected += 1,
+            UnsuccessfulResponse::Failed => window.failed += 1,
         }
         if !is_measuring {
             return;
         }
-        let figures = &mut self.recorder.report.requests;
-        match refusal {
-            Refusal::Rejected { .. } => figures.rejected += 1,
-            Refusal::Failed => figures.failed += 1,
+        let stats = &mut self.recorder.report.requests;
+        match response {
+            UnsuccessfulResponse::Rejected { .. } => stats.rejected += 1,
+            UnsuccessfulResponse::Failed => stats.failed += 1,
         }
     }
 
@@ -237,7 +238,7 @@
     }
 
     /// Requests that end without a response together with the gateway's process.
-    pub(super) fn lose_open_requests(&mut self, process: GatewayProcess) {
+    pub(super) fn discard_open_requests(&mut self, process: GatewayProcess) {
         let of_process = self
             .open_requests
             .iter()
@@ -257,7 +258,7 @@
             report.violations.unanswered += 1;
             report
                 .violations
-                .describe(|| format!("lost: gateway {gateway} ended with request {id} open"));
+                .describe_first(|| format!("lost: gateway {gateway} ended with request {id} open"));
         }
     }
 
--- a/emulator/src/simulation/rule_checks.rs
+++ b/emulator/src/simulation/rule_checks.rs
@@ -22,7 +22,7 @@
         let late_ms = (now - disconnected_at) / 1000;
         let violations = &mut self.recorder.report.violations;
         violations.sent_after_disconnect += 1;
-        violations.describe(|| {
+        violations.describe_first(|| {
             format!("left: gateway {gateway} sent {late_ms} ms after the client had disconnected")
         });
     }
@@ -35,7 +35,8 @@
         }
         let violations = &mut self.recorder.report.violations;
         violations.duplicated += 1;
-        violations.describe(|| format!("doubled: gateway {gateway} sent request {request} again"));
+        violations
+            .describe_first(|| format!("doubled: gateway {gateway} sent request {request} again"));
     }
 
     fn would_duplicate(&self, open: &OpenRequest, endpoint: u32) -> bool {
@@ -72,7 +73,7 @@
         let late_ms = (now - notified_at) / 1000;
         let violations = &mut self.recorder.report.violations;
         violations.sent_after_drain += 1;
-        violations.describe(|| {
+        violations.describe_first(|| {
             format!("drain: gateway {gateway} sent to endpoint {endpoint} {late_ms} ms after it was notified")
         });
     }
@@ -82,7 +83,7 @@
         let at_s = self.queue.now() as f64 / 1e6;
         let violations = &mut self.recorder.report.violations;
         violations.overloaded_endpoints += 1;
-        violations.describe(|| {
+        violations.describe_first(|| {
             format!("cold: endpoint {endpoint} got {arrived} requests of {allowed:.1} allowed, at {at_s:.3} s")
         });
     }
--- a/emulator/src/violations.rs
+++ b/emulator/src/violations.rs
@@ -24,7 +24,7 @@
 
 impl Violations {
     /// Keeps the description of the first violation.
-    pub(crate) fn describe(&mut self, description: impl FnOnce() -> String) {
+    pub(crate) fn describe_first(&mut self, description: impl FnOnce() -> String) {
         self.first.get_or_insert_with(description);
     }
 
