--- a/emulator/src/clients.rs
+++ b/emulator/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: which customer asks for what, at which gateway, and what clients do without a response.
+//! Model of the clients: arrivals of requests, their customer and gateway, retries, and disconnects.
 
 use crate::experiment::{Experiment, ExperimentError};
 use crate::{micros, seeded_rng, Micros};
@@ -6,44 +6,46 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, Zipf};
 
-/// Requests that a client makes at most, its retries included.
+/// Maximum number of requests of one client, retries included.
 const MAX_REQUESTS_PER_CLIENT: u32 = 4;
-/// Actual units of a request, as multiples of its estimate.
+/// Range of the actual units of a request, as a ratio of its estimated units.
 const COST_RATIO: std::ops::Range<f64> = 0.7..1.3;
-/// Range of the delay before a retry, as shares of its mean.
+/// Range of the delay before a retry, as a ratio of its mean.
 const RETRY_DELAY_RATIO: std::ops::Range<f64> = 0.5..1.5;
 
-/// What a client asks for; the same over all its retries.
+/// A client's request. Its retries differ in `retry` only.
 #[derive(Clone, Debug)]
 pub(crate) struct ClientRequest {
     pub(crate) customer: u64,
     pub(crate) plan: u32,
     pub(crate) class: u32,
-    /// Units that the request names.
+    /// Units that the request declares.
     pub(crate) estimated_units: f64,
-    /// Units that it turns out to cost.
+    /// Units that the executed request costs.
     pub(crate) actual_units: f64,
-    /// Counts the client's retries; 0 for its first request.
+    /// Number of the retry; 0 for the client's first request.
     pub(crate) retry: u32,
 }
 
-/// Properties that a customer keeps, each drawn by a hash of its own.
+/// Properties that are constant for a customer. Each is derived from a separate hash.
 #[derive(Clone, Copy)]
 enum CustomerProperty {
     Plan = 1,
     FirstGateway = 2,
 }
 
-/// All clients.
+/// The clients of all gateways.
 pub(crate) struct Clients {
     rng: ChaCha8Rng,
     arrival_gap_ms: Exp<f64>,
     customers: u64,
-    /// `None` where all customers ask equally often.
+    /// Distribution of requests over customers; `None` if it is uniform.
     customer_popularity: Option<Zipf<f64>>,
-    /// Shares of the classes, plans and gateways, each summed up with those before it.
+    /// Cumulative shares of the classes; the last is 1.
     cumulative_classes: Vec<f64>,
+    /// Cumulative shares of the plans; the last is 1.
     cumulative_plans: Vec<f64>,
+    /// Cumulative shares of the requests by gateway; the last is 1.
     cumulative_gateways: Vec<f64>,
     gateway_set_size: u32,
     retry_share: f64,
@@ -77,12 +79,12 @@
         })
     }
 
-    /// Time to the next client's first request.
+    /// Draws the time until the next client's first request.
     pub(crate) fn next_arrival_in(&mut self) -> Micros {
         micros(self.arrival_gap_ms.sample(&mut self.rng))
     }
 
-    /// What the next client asks for.
+    /// Draws the next client's first request.
     pub(crate) fn next_request(&mut self) -> ClientRequest {
         let customer = match &self.customer_popularity {
             Some(popularity) => popularity.sample(&mut self.rng) as u64 - 1,
@@ -105,8 +107,8 @@
         }
     }
 
-    /// The gateway that the load balancer before the fleet picks: one of the customer's set, or any other if none of
-    /// the set accepts requests.
+    /// Picks a gateway as the load balancer in front of the fleet does: one of the customer's set, or any other if none
+    /// of the set accepts requests. `None` if no gateway accepts requests.
     pub(crate) fn pick_gateway(
         &mut self,
         customer: u64,
@@ -125,8 +127,8 @@
         set.chain(all).find(|index| accepts(*index))
     }
 
-    /// Whether a client retries after a request that was not served, and after which delay. `retry_after_ms` is the
-    /// advice that it got, 0 for none.
+    /// Draws whether the client retries a request that was not served, and the delay until the retry. `retry_after_ms`
+    /// is the delay that the gateway advised; 0 if it advised none.
     pub(crate) fn retry(
         &mut self,
         request: &ClientRequest,
@@ -145,7 +147,7 @@
         Some((retry, micros(retry_after_ms.max(own_delay_ms))))
     }
 
-    /// When a client disconnects, if it will not wait for its response.
+    /// Draws the delay after which a client disconnects; `None` if it waits for its response until the deadline.
     pub(crate) fn draw_disconnect_delay(&mut self, deadline: Micros) -> Option<Micros> {
         if self.rng.random::<f64>() >= self.disconnect_share {
             return None;
@@ -168,7 +170,7 @@
         })
 }
 
-/// Relative numbers of requests; hot gateways are spread evenly among the others.
+/// Relative request rates of the gateways. Hot gateways are spread evenly over the fleet.
 fn gateway_weights(experiment: &Experiment) -> Vec<f64> {
     let gateways = &experiment.gateways;
     let count = u64::from(gateways.count);
@@ -185,7 +187,7 @@
         .collect()
 }
 
-/// Running sums, as shares of the total.
+/// Running sums of the shares, divided by their total.
 fn cumulative_shares(shares: impl Iterator<Item = f64>) -> Vec<f64> {
     let mut sum = 0.0;
     let mut sums = Vec::new();
@@ -200,14 +202,14 @@
     sums
 }
 
-/// The entry whose part of the total contains `draw`, a number from 0 to 1.
+/// Index of the entry whose interval of the cumulative shares contains `draw`, a number from 0 to 1.
 fn index_of(cumulative: &[f64], draw: f64) -> usize {
     cumulative
         .partition_point(|sum| *sum <= draw)
         .min(cumulative.len() - 1)
 }
 
-/// A number from 0 to 1 that stays the customer's own.
+/// A number from 0 to 1 derived from a hash of the customer and the property, the same in every experiment.
 fn customer_draw(customer: u64, property: CustomerProperty) -> f64 {
     let key = customer ^ (property as u64) << 40;
     let mixed = key
--- a/emulator/src/counter.rs
+++ b/emulator/src/counter.rs
@@ -1,17 +1,17 @@
-//! The shared counter: totals by key, on shards that serve calls one after another.
+//! Model of the shared counter: totals by key, on shards that serve one call at a time.
 
 use crate::experiment::CounterModel;
 use crate::{micros, Micros};
 use rustc_hash::FxHashMap;
 
-/// Expired keys are dropped this often.
+/// Interval at which a shard drops expired keys.
 const CLEANUP_INTERVAL: Micros = 10_000_000;
 
-/// The counter.
+/// The shared counter with all its shards.
 pub(crate) struct Counter {
     shards: Vec<Shard>,
     service_time: Micros,
-    /// Longest time that a call waits for its turn; beyond that it is rejected.
+    /// Maximum queueing time of a call. A call that would wait longer is rejected.
     max_wait: Micros,
     pub(crate) zone: u32,
     pub(crate) timeout: Micros,
@@ -20,6 +20,7 @@
 
 #[derive(Default)]
 struct Shard {
+    /// Time at which the shard has served all queued calls.
     free_at: Micros,
     totals: FxHashMap<u64, Total>,
     cleaned_up_at: Micros,
@@ -30,7 +31,7 @@
     expires_at: Micros,
 }
 
-/// A call that the counter has served.
+/// Result of a call that the counter accepted.
 pub(crate) struct ServedCall {
     pub(crate) completed_at: Micros,
     pub(crate) total: f64,
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Serves a call that has arrived; `None` if it is rejected, as its shard's queue is full.
+    /// Adds the amount to the key's total. Returns `None` if the call is rejected because its shard's queue is full.
     pub(crate) fn add(
         &mut self,
         now: Micros,
@@ -85,20 +86,20 @@
     }
 
     fn shard(&mut self, key: u64) -> &mut Shard {
-        // Keys differ in their lowest bits by window and in the higher ones by customer.
+        // The low bits of a key identify the window and the high bits the customer, so both are mixed into the hash.
         let hash = (key ^ key >> 30).wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 33;
         let count = self.shards.len() as u64;
         &mut self.shards[(hash % count) as usize]
     }
 
-    /// Drops all keys, as a counter does that comes back elsewhere.
+    /// Drops all keys, like a counter that is restarted elsewhere.
     pub(crate) fn clear(&mut self) {
         for shard in &mut self.shards {
             shard.totals.clear();
         }
     }
 
-    /// Number of keys held, those that have expired since the last clean-up included.
+    /// Number of keys held, including those that expired after the last clean-up.
     pub(crate) fn key_count(&self) -> usize {
         self.shards.iter().map(|shard| shard.totals.len()).sum()
     }
--- a/emulator/src/discovery.rs
+++ b/emulator/src/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery: the endpoint list, its changes in order, and the delays until gateways' agents have them.
+//! Model of discovery: the endpoint list, the sequence of its changes, and the delays until the gateways' agents have
+//! them.
 
 use crate::experiment::DiscoveryModel;
 use crate::{micros, Micros};
@@ -9,9 +10,9 @@
 use std::ops::RangeInclusive;
 
 pub(crate) struct Discovery {
-    /// The list as discovery knows it now.
+    /// The current entries, including removed endpoints.
     endpoints: Vec<Endpoint>,
-    /// All changes, oldest first; a gateway's version is the number of changes that it has.
+    /// All changes, oldest first. The version of a list is the number of changes that it includes.
     changes: Vec<Endpoint>,
     propagation: RangeInclusive<Micros>,
     failure_detection: RangeInclusive<Micros>,
@@ -31,17 +32,17 @@
         }
     }
 
-    /// Time until one agent has a change.
+    /// Draws the time until one agent has a change.
     pub(crate) fn draw_propagation_delay(&mut self) -> Micros {
         self.rng.random_range(self.propagation.clone())
     }
 
-    /// Time until discovery notices that an endpoint has become unreachable.
+    /// Draws the time until discovery detects that an endpoint has become unreachable.
     pub(crate) fn draw_detection_delay(&mut self) -> Micros {
         self.rng.random_range(self.failure_detection.clone())
     }
 
-    /// Records a change of one entry.
+    /// Records a changed or new entry.
     pub(crate) fn record_change(&mut self, changed: Endpoint) {
         self.changes.push(changed.clone());
         match self
@@ -55,12 +56,12 @@
         }
     }
 
-    /// The version of the list: the number of its changes.
+    /// The current version of the list.
     pub(crate) fn version(&self) -> usize {
         self.changes.len()
     }
 
-    /// The entries that changed after this version, each as it is now.
+    /// The current state of the entries that changed after the given version.
     pub(crate) fn changes_since(&self, version: usize) -> Vec<Endpoint> {
         let recent = &self.changes[version..];
         let mut last_change: FxHashMap<u32, usize> = FxHashMap::default();
@@ -76,7 +77,7 @@
             .collect()
     }
 
-    /// The complete list, without removed endpoints.
+    /// The current complete list, without removed endpoints.
     pub(crate) fn complete_list(&self) -> Vec<Endpoint> {
         let listed = |endpoint: &&Endpoint| endpoint.state != EndpointState::Removed;
         self.endpoints.iter().filter(listed).cloned().collect()
--- a/emulator/src/endpoint.rs
+++ b/emulator/src/endpoint.rs
@@ -1,4 +1,5 @@
-//! The endpoints that requests are forwarded to: slots and a queue, slow start, draining, and overload in slow start.
+//! Model of the endpoints that requests are forwarded to: service slots, a queue, slow start, draining, and failure by
+//! overload in slow start.
 
 use crate::experiment::{Experiment, ExperimentError};
 use crate::{micros, seeded_rng, Micros};
@@ -6,41 +7,41 @@
 use rand_distr::{Distribution, LogNormal};
 use std::collections::VecDeque;
 
-/// What an endpoint does with requests.
+/// State of an endpoint, which decides how it treats requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EndpointStatus {
-    /// Serves requests.
+    /// The endpoint serves requests.
     Running,
-    /// Completes its requests and rejects new ones.
+    /// The endpoint completes its accepted requests and rejects new ones.
     Draining,
-    /// Its machine is lost or cut off: nothing is answered.
+    /// The endpoint's host is down or partitioned: requests get no response.
     Unreachable,
-    /// Its process has ended: connections are refused.
+    /// The endpoint's process has ended: connections are refused.
     Stopped,
 }
 
-/// What an endpoint does with a request that has arrived.
+/// Result of a request's arrival at an endpoint.
 pub(crate) enum Arrival {
-    /// It works on the request for this time.
+    /// A slot was free; the service takes this time.
     Started(Micros),
-    /// The request waits in the queue.
+    /// All slots are busy; the request waits in the queue.
     Queued,
-    /// The request is rejected.
+    /// The endpoint is draining or its queue is full.
     Rejected,
-    /// The connection is refused.
+    /// The endpoint's process has ended and the connection is refused.
     Refused,
-    /// Nothing ever comes back.
+    /// The endpoint is unreachable; no response follows.
     NoResponse,
-    /// The endpoint, in slow start, has failed under the load.
+    /// The endpoint is in slow start and the request has overloaded it, so that it stops.
     Overloaded {
-        /// Requests that arrived within the rule's window.
+        /// Requests that arrived within the overload window.
         arrived: usize,
-        /// How many the rule allows.
+        /// Requests that the overload rule allows within that window.
         allowed: f64,
     },
 }
 
-/// What all endpoints have in common.
+/// Parameters shared by all endpoints.
 pub(crate) struct EndpointParameters {
     slots: u32,
     max_queue: usize,
@@ -59,7 +60,7 @@
         let endpoints = &experiment.endpoints;
         let rules = &experiment.rules;
         let sigma = endpoints.service_sigma;
-        // The mean of a lognormal distribution is e to the power of mu and half the square of sigma.
+        // The mean of a lognormal distribution is exp(mu + sigma^2 / 2).
         let mu = endpoints.service_ms.ln() - sigma * sigma / 2.0;
         let service_time_ms =
             LogNormal::new(mu, sigma).map_err(|error| ExperimentError::Distribution {
@@ -80,7 +81,7 @@
         })
     }
 
-    /// Share of its full capacity that an endpoint has at `now`.
+    /// Share of the full capacity that an endpoint has at `now`. The share grows linearly in slow start.
     fn capacity(&self, started_at: Option<Micros>, now: Micros) -> f64 {
         let Some(started_at) = started_at else {
             return 1.0;
@@ -93,8 +94,9 @@
         min + (1.0 - min) * age as f64 / self.slow_start as f64
     }
 
-    /// Most requests within the rule's window that an endpoint with this share of its capacity survives. The allowance
-    /// for chance grows with the root of the expected number.
+    /// Maximum number of requests within the overload window that an endpoint at this share of its capacity survives.
+    /// The limit exceeds the expected number by an allowance for random variation, which grows with the square
+    /// root of that number.
     fn overload_limit(&self, capacity: f64) -> f64 {
         let served_per_s = f64::from(self.slots) * 1000.0 / self.mean_service_ms * capacity;
         let expected = self.overload_multiple * served_per_s * self.overload_window as f64 / 1e6;
@@ -102,21 +104,21 @@
     }
 }
 
-/// One endpoint.
+/// One emulated endpoint.
 pub(crate) struct EmulatedEndpoint {
     pub(crate) zone: u32,
     pub(crate) state: EndpointStatus,
-    /// When its process started; `None` if that is long past.
+    /// Start time of the endpoint's process; `None` if it started long before the experiment.
     pub(crate) started_at: Option<Micros>,
-    /// Counts the times that it lost the requests it had: completions of an earlier generation are void.
+    /// Number of times that the endpoint lost its requests. Completions of an earlier generation are ignored.
     pub(crate) generation: u32,
-    /// Connections that gateways hold to it.
+    /// Open connections from gateways to the endpoint.
     pub(crate) connections: u32,
-    /// Requests that arrived while the report counts.
+    /// Requests that arrived while the endpoint was running, in the measured part of the experiment.
     pub(crate) requests: u64,
     busy_slots: u32,
     queue: VecDeque<u64>,
-    /// Arrivals in slow start within the rule's window.
+    /// Times of the arrivals in slow start within the overload window.
     recent_arrivals: VecDeque<Micros>,
     rng: ChaCha8Rng,
 }
@@ -137,7 +139,7 @@
         }
     }
 
-    /// An attempt's request has arrived.
+    /// Handles the arrival of an attempt.
     pub(crate) fn arrive(
         &mut self,
         parameters: &EndpointParameters,
@@ -164,7 +166,7 @@
         Arrival::Rejected
     }
 
-    /// In slow start: counts the arrival, and stops the endpoint if there were too many.
+    /// Counts the arrival if the endpoint is in slow start, and stops the endpoint if the overload limit is exceeded.
     fn check_overload(&mut self, parameters: &EndpointParameters, now: Micros) -> Option<Arrival> {
         let capacity = parameters.capacity(self.started_at, now);
         if capacity >= 1.0 || parameters.overload_window == 0 {
@@ -193,7 +195,7 @@
         micros(sample_ms / capacity).max(1)
     }
 
-    /// A request is complete. Returns the next attempt from the queue, if any, and its service time.
+    /// Frees the slot of a completed request. Returns the next attempt from the queue, if any, and its service time.
     pub(crate) fn complete(
         &mut self,
         parameters: &EndpointParameters,
@@ -207,7 +209,7 @@
         Some((next, service_time))
     }
 
-    /// The endpoint loses all requests that it has.
+    /// Sets the state and drops all requests that the endpoint has.
     pub(crate) fn stop(&mut self, state: EndpointStatus) {
         self.state = state;
         self.generation += 1;
@@ -216,7 +218,7 @@
         self.recent_arrivals.clear();
     }
 
-    /// The endpoint is back, in slow start.
+    /// Restarts the endpoint, which begins in slow start.
     pub(crate) fn restart(&mut self, now: Micros) {
         self.stop(EndpointStatus::Running);
         self.started_at = Some(now);
--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -1,10 +1,11 @@
-//! An emulator of what surrounds a fleet of gateways: discovery, the shared counter, endpoints, clients, and the network
-//! between zones and regions, after the published protocol.
+//! Emulates the environment of a fleet of gateways: discovery, the shared counter, endpoints, clients, and the network
+//! between zones and regions, according to the published protocol.
 //!
-//! An experiment ([`experiment`], [`run`]) plays real instances of the decision library, many in one process, on an
-//! event clock: the same experiment and seed give the same [`report`], byte for byte. Each part draws from a random
-//! stream of its own. [`scaling`] measures what grows with the size of the fleet, and [`real`] runs the gateway's
-//! program against stand-ins on loopback.
+//! - [`run`] runs an [`experiment`]: a discrete-event simulation of many instances of the decision library in one
+//!   process. The same experiment and seed give the same [`report`], byte for byte. Each emulated component draws from
+//!   its own random stream.
+//! - [`scaling`] measures the costs that grow with the size of the fleet.
+//! - [`real`] runs the gateway's program against stand-ins on loopback.
 
 mod clients;
 mod counter;
@@ -23,20 +24,21 @@
 pub use process_memory::peak_memory_kb;
 pub use simulation::run;
 
-/// A moment on the event clock or a span of it, in microseconds.
+/// A time on the event clock or a duration, in microseconds.
 pub(crate) type Micros = u64;
 
-/// Longest time that the event clock takes, in ms.
+/// Upper limit of a time on the event clock, in ms.
 const MAX_MS: f64 = 1e12;
-/// Bytes of a stream's key that its kind takes.
+/// Bytes reserved for the kind of a random stream in the stream's key.
 const KIND_BYTES: usize = 16;
 
-/// Milliseconds as the event clock has them; negative and absurd figures are bounded.
+/// Converts milliseconds to microseconds of the event clock. The value is limited to 0 to `MAX_MS`.
 pub(crate) fn micros(ms: f64) -> Micros {
     (ms.clamp(0.0, MAX_MS) * 1000.0).round() as Micros
 }
 
-/// The random stream of one part: its kind and number set it apart from all others of the same experiment.
+/// Returns the random number generator of one emulated component. The kind and number of the component distinguish its
+/// random stream from all others of the same seed. Only the first 16 bytes of `kind` count.
 #[must_use]
 pub fn seeded_rng(seed: u64, kind: &str, number: u64) -> rand_chacha::ChaCha8Rng {
     use rand::SeedableRng;
--- a/emulator/src/main.rs
+++ b/emulator/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of the emulator.
+//! Command line of the emulator.
 
 use clap::{Parser, Subcommand, ValueEnum};
 use fleet_emulator::experiment::{self, ExperimentError};
@@ -9,14 +9,14 @@
 use std::time::Instant;
 use thiserror::Error;
 
-/// Exit code of a run that could not be made.
+/// Exit code of a command that failed.
 const EXIT_FAILURE: u8 = 2;
 
-/// Emulates what surrounds a fleet of gateways.
+/// Emulates the environment of a fleet of gateways.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
-    /// The form of the log, which goes to standard error.
+    /// Format of the log on standard error.
     #[arg(long, value_enum, default_value = "text", global = true)]
     log_format: LogFormat,
     #[command(subcommand)]
@@ -25,47 +25,47 @@
 
 #[derive(Clone, Copy, ValueEnum)]
 enum LogFormat {
-    /// Lines for people.
+    /// Human-readable lines.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays an experiment with instances of the decision library on an event clock.
+    /// Runs an experiment with instances of the decision library on an event clock.
     Run {
-        /// The experiment's file.
+        /// TOML file of the experiment.
         experiment: PathBuf,
-        /// Seed of all random streams.
+        /// Seed of all random streams of the experiment.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Writes the report to this file as JSON.
+        /// File that the report is written to as JSON.
         #[arg(long)]
         report: Option<PathBuf>,
     },
-    /// Measures what grows with the size of the fleet, at several sizes.
+    /// Measures the costs that grow with the number of endpoints, at several sizes.
     #[command(alias = "slopes")]
     Scaling {
-        /// Fewer rounds: a look, for tests.
+        /// Measures fewer rounds, for tests.
         #[arg(long)]
         quick: bool,
-        /// Writes the lines to this file as JSON.
+        /// File that the fitted lines are written to as JSON.
         #[arg(long)]
         report: Option<PathBuf>,
     },
-    /// Runs the gateway's program against stand-ins on loopback and measures its processor time, memory and bytes.
+    /// Runs the gateway's program against stand-ins on loopback and measures its CPU time, memory and traffic.
     Real(RealRun),
 }
 
-/// Why a command failed; printed as one line.
+/// Error of a command, printed as one line.
 #[derive(Debug, Error)]
 enum CommandError {
     #[error(transparent)]
     Experiment(#[from] ExperimentError),
     #[error(transparent)]
     RealRun(#[from] RealRunError),
-    #[error("{}: {source}", path.display())]
+    #[error("{}: cannot write the report: {source}", path.display())]
     WriteReport {
         path: PathBuf,
         source: std::io::Error,
@@ -122,7 +122,7 @@
     let memory_mb = peak_memory_kb("self") / 1000.0;
     print!("{report}");
     println!(
-        "{emulated_per_real_s:.3} emulated seconds for each real second, {memory_mb:.0} MB at most"
+        "{emulated_per_real_s:.3} emulated seconds per real second, memory: {memory_mb:.0} MB at most"
     );
     write_report(report_path, &report)
 }
--- a/emulator/src/measured_gateway.rs
+++ b/emulator/src/measured_gateway.rs
@@ -1,20 +1,20 @@
-//! One gateway of the decision library with a fleet before it and an even load, for measurements of the library alone:
-//! the scaling measurements and the benchmarks build the same one.
+//! One instance of the decision library that knows a large fleet of endpoints, for measurements of the library alone.
+//! The scaling measurements and the benchmarks share it.
 
 use quota_gateway::{
     Action, AttemptEnd, Class, CounterSettings, Endpoint, EndpointId, EndpointState, Event,
     Gateway, Idempotency, Limits, Outcome, Plan, Prices, Request, RequestId, Rules, Settings,
 };
 
-/// Gateways in the fleet: the next size that the operators name.
+/// Number of gateways in the fleet: the next fleet size named by the operators.
 const GATEWAYS: u32 = 720;
 const GATEWAY_SEED: u64 = 7;
 const ZONES: u32 = 8;
-/// Cells that endpoints are spread over.
+/// Number of cells that the endpoints are spread over.
 pub const CELLS: u32 = 64;
 const CUSTOMERS: u64 = 500;
 
-/// A gateway that knows this number of ready endpoints.
+/// Creates a gateway that knows this number of ready endpoints.
 #[must_use]
 pub fn gateway(endpoints: u32) -> Gateway {
     let mut gateway = Gateway::new(settings(), GATEWAY_SEED, 0.0);
@@ -22,7 +22,7 @@
     gateway
 }
 
-/// The complete endpoint list.
+/// The update with the complete list of this number of endpoints.
 #[must_use]
 pub fn complete_list(endpoints: u32) -> Event {
     Event::EndpointUpdate {
@@ -31,7 +31,7 @@
     }
 }
 
-/// The entry of an endpoint that is ready and warm.
+/// The list entry of an endpoint that is ready and past its slow start.
 #[must_use]
 pub fn endpoint(id: EndpointId) -> Endpoint {
     Endpoint {
@@ -46,7 +46,7 @@
     }
 }
 
-/// A request within its quota.
+/// A request of 1 unit whose plan has no quota.
 #[must_use]
 pub fn request(id: RequestId) -> Request {
     Request {
@@ -61,7 +61,7 @@
     }
 }
 
-/// The end of the request's first attempt, which took `elapsed_ms`.
+/// The event that the request's first attempt succeeded after `elapsed_ms`.
 #[must_use]
 pub fn success(id: RequestId, endpoint: EndpointId, elapsed_ms: f64) -> Event {
     Event::AttemptEnded(AttemptEnd {
@@ -75,7 +75,7 @@
     })
 }
 
-/// The endpoint that the first attempt among these actions goes to.
+/// The endpoint of the first attempt among the actions; `None` if no attempt is sent.
 #[must_use]
 pub fn first_attempt_endpoint(actions: &[Action]) -> Option<EndpointId> {
     actions.iter().find_map(|action| match action {
--- a/emulator/src/network.rs
+++ b/emulator/src/network.rs
@@ -1,4 +1,4 @@
-//! The network between zones and regions: delays, and regions that are partitioned off.
+//! Model of the network between zones and regions: one-way delays and network partitions.
 
 use crate::experiment::Topology;
 use crate::{micros, Micros};
@@ -8,7 +8,7 @@
     same_zone: Micros,
     same_region: Micros,
     cross_region: Micros,
-    /// For each region, whether it is cut off from the others.
+    /// Whether each region is partitioned from the others, by region.
     partitioned: Vec<bool>,
 }
 
@@ -27,7 +27,7 @@
         self.partitioned[region as usize] = partitioned;
     }
 
-    /// One-way delay between two zones; `None` if no bytes pass between them.
+    /// One-way delay between two zones; `None` if a partition separates them.
     pub(crate) fn delay(&self, from_zone: u32, to_zone: u32) -> Option<Micros> {
         if from_zone == to_zone {
             return Some(self.same_zone);
--- a/emulator/src/process_memory.rs
+++ b/emulator/src/process_memory.rs
@@ -1,12 +1,11 @@
-//! Memory of processes, as the system reports it in `/proc`.
+//! Memory usage of processes, as Linux reports it in `/proc`.
 
-/// Present resident memory of this process, in KB; 0 where the system does not report it.
+/// Current resident memory of this process, in KB; 0 if the system does not report it.
 pub(crate) fn resident_memory_kb() -> f64 {
     status_kb("self", "VmRSS")
 }
 
-/// Peak resident memory of a process, in KB; 0 where the system does not report it. `process` is a process id or
-/// `self`.
+/// Peak resident memory of a process, in KB; 0 if the system does not report it. `process` is a process id or `self`.
 #[must_use]
 pub fn peak_memory_kb(process: &str) -> f64 {
     status_kb(process, "VmHWM")
--- a/emulator/src/violations.rs
+++ b/emulator/src/violations.rs
@@ -1,34 +1,35 @@
-//! Violations of the rules, counted over the fleet.
+//! Counts of rule violations over the whole fleet.
 
 use serde::Serialize;
 
-/// Attempts after a disconnect that may be chance: the client's close and the attempt can cross on the way.
+/// Attempts after a disconnect that do not count as a violation, as the client's close and an attempt can cross on the
+/// network.
 const TOLERATED_AFTER_DISCONNECT: u64 = 2;
 
-/// How often each rule was violated.
+/// Number of violations of each rule.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Violations {
-    /// Requests without a final response in time.
+    /// Requests that got no final response in time.
     pub unanswered: u64,
-    /// Requests that were sent again although they may have been executed and must not be retried there.
+    /// Attempts of a request that may already have been executed, sent to an endpoint that must not execute it again.
     pub duplicated: u64,
-    /// Attempts sent to an endpoint later than the grace time after the gateway was notified of its draining or removal.
+    /// Attempts sent to an endpoint after the grace period that follows the notice of its draining or removal.
     pub sent_after_drain: u64,
-    /// Endpoints in slow start that failed under the load.
+    /// Endpoints in slow start that failed under overload.
     pub overloaded_endpoints: u64,
-    /// Attempts that began more than 0.1 s after the client had disconnected.
+    /// Attempts sent more than 0.1 s after the client disconnected.
     pub sent_after_disconnect: u64,
-    /// The first violation, in words.
+    /// Description of the first violation; `None` if there was none.
     pub first: Option<String>,
 }
 
 impl Violations {
-    /// Keeps the description of the first violation.
+    /// Stores the description if it is that of the first violation.
     pub(crate) fn describe_first(&mut self, description: impl FnOnce() -> String) {
         self.first.get_or_insert_with(description);
     }
 
-    /// Whether no rule was violated.
+    /// Whether no rule was violated, apart from the tolerated number of attempts after a disconnect.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.unanswered == 0
