--- a/emulator/src/simulation/actions.rs
+++ b/emulator/src/simulation/actions.rs
@@ -1,4 +1,4 @@
-//! Notifies gateways of events and carries out what they decide.
+//! Passes events to the gateways' library instances and executes the actions that these return.
 
 use super::event::{Event, GatewayProcess};
 use super::requests::UnsuccessfulResponse;
@@ -8,7 +8,8 @@
 use std::collections::VecDeque;
 
 impl Simulation<'_> {
-    /// Hands an event to a gateway and carries out its actions, and so on with the events that these lead to at once.
+    /// Passes an event to a gateway and executes its actions, then does the same with the events that these actions
+    /// cause immediately.
     pub(super) fn notify_gateway(&mut self, gateway: u32, event: GatewayEvent) {
         let now_ms = self.gateway_clock_ms();
         let mut events = VecDeque::from([event]);
@@ -23,10 +24,10 @@
         }
     }
 
-    /// Carries out an action. Returns an event that follows from it at once.
+    /// Executes an action. Returns the event that the action causes immediately, if any.
     fn execute_action(&mut self, gateway: u32, action: &Action) -> Option<GatewayEvent> {
         match *action {
-            // Attempts are sent at once here.
+            // The simulated gateway sends each attempt without delay.
             Action::SendAttempt {
                 id,
                 endpoint,
@@ -50,7 +51,7 @@
                 amount,
                 ttl_ms,
             } => self.call_counter(gateway, key, amount, ttl_ms),
-            // Changes of the list are pushed in any case; gossip is not permitted here.
+            // Agents push changes of the endpoint list without being asked. Gossip is disabled in the settings.
             Action::WatchEndpoints | Action::Gossip { .. } => {}
         }
         None
@@ -72,7 +73,7 @@
         );
     }
 
-    /// A timer has run out; those of former processes are void.
+    /// Notifies the gateway that a timer has fired. Timers of earlier processes are ignored.
     pub(super) fn gateway_timer(&mut self, process: GatewayProcess, token: u64) {
         if self.is_running(process) {
             self.notify_gateway(process.index, GatewayEvent::TimerFired { token });
--- a/emulator/src/simulation/attempts.rs
+++ b/emulator/src/simulation/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: from a gateway over the network to an endpoint, and back.
+//! Attempts: sending from a gateway, transmission to an endpoint, and the response.
 
 use super::connections::ConnectionUse;
 use super::event::{Event, GatewayProcess};
@@ -8,23 +8,23 @@
 use crate::{micros, Micros};
 use quota_gateway::{AttemptEnd, Event as GatewayEvent, Outcome};
 
-/// An attempt that its gateway awaits, or that its endpoint still has.
+/// An attempt whose end the gateway awaits, or that its endpoint has not completed.
 pub(super) struct Attempt {
     request: u64,
-    /// Counts the request's attempts from 0.
+    /// Index of the attempt within its request, from 0.
     number: u8,
     process: GatewayProcess,
     endpoint: u32,
     sent_at: Micros,
-    /// Whether the gateway still awaits its end.
+    /// Whether the gateway still awaits the end of the attempt.
     awaited: bool,
-    /// Whether the endpoint works on it or has it in its queue.
+    /// Whether the endpoint is serving the attempt or has it in its queue.
     at_endpoint: bool,
     actual_units: f64,
 }
 
 impl Simulation<'_> {
-    /// A gateway sends an attempt. Returns the end of one that is not sent at all.
+    /// Sends an attempt from a gateway. If the attempt cannot be sent, returns its end instead.
     pub(super) fn send_attempt(
         &mut self,
         gateway: u32,
@@ -79,7 +79,7 @@
         None
     }
 
-    /// Schedules what becomes of an attempt on its way to the endpoint.
+    /// Schedules the arrival of an attempt at its endpoint, or the failure of its connection.
     fn transmit(&mut self, attempt: u64, gateway: u32, endpoint: u32, connection: ConnectionUse) {
         let target = &self.endpoints[endpoint as usize];
         let reachable = target.state != EndpointStatus::Unreachable;
@@ -87,7 +87,8 @@
             .network
             .delay(self.gateways[gateway as usize].zone, target.zone);
         let Some(delay) = delay.filter(|_| reachable) else {
-            // A new connection never opens; on an old one there is silence until the attempt times out.
+            // Opening a new connection fails after the connect timeout. On an open connection no response arrives until
+            // the attempt times out.
             if connection.is_new {
                 let connect_timeout = micros(self.experiment.rules.connect_timeout_ms);
                 let outcome = Outcome::ConnectFailed;
@@ -140,7 +141,7 @@
             .or_default() += 1;
     }
 
-    /// An attempt has arrived at its endpoint.
+    /// Handles the arrival of an attempt at its endpoint.
     pub(super) fn attempt_arrives(&mut self, id: u64) {
         let is_measuring = self.is_measuring();
         let now = self.queue.now();
@@ -175,7 +176,7 @@
         }
     }
 
-    /// An endpoint has completed an attempt.
+    /// Handles the completion of an attempt by its endpoint.
     pub(super) fn service_completed(&mut self, index: u32, generation: u32, attempt: u64) {
         let now = self.queue.now();
         let endpoint = &mut self.endpoints[index as usize];
@@ -195,7 +196,7 @@
         }
     }
 
-    /// A response goes back to the gateway, if the network lets it through.
+    /// Sends a response to the gateway. The response is lost if a partition separates the two.
     fn respond(&mut self, id: u64, outcome: Outcome) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
@@ -218,7 +219,7 @@
         }
     }
 
-    /// An attempt has ended for its gateway: by a response, a time-out or a cancellation.
+    /// Ends an attempt for its gateway: by a response, a timeout, a failed connection or a cancellation.
     pub(super) fn attempt_ends(&mut self, id: u64, outcome: Outcome) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
@@ -251,7 +252,7 @@
         self.request_attempt_ended(end, process, sent_at);
     }
 
-    /// Updates the request of an attempt that has ended, and notifies its gateway.
+    /// Updates the request of an attempt that has ended, and notifies the request's gateway.
     fn request_attempt_ended(
         &mut self,
         mut end: AttemptEnd,
@@ -295,7 +296,7 @@
     }
 }
 
-/// The end of an attempt that was not sent.
+/// The event that an attempt ended without being sent.
 fn not_sent(request: u64, number: u8, endpoint: u32, request_answered: bool) -> GatewayEvent {
     GatewayEvent::AttemptEnded(AttemptEnd {
         id: request,
--- a/emulator/src/simulation/connections.rs
+++ b/emulator/src/simulation/connections.rs
@@ -1,25 +1,25 @@
-//! Connections from gateways to endpoints: opened or reused for an attempt, released after it, closed when idle.
+//! Connections from gateways to endpoints: opened or reused for an attempt, released afterwards, closed when idle.
 
 use super::event::Event;
 use super::{Simulation, IDLE_CHECK_INTERVAL};
 use crate::{micros, Micros};
 use quota_gateway::Outcome;
 
-/// What opening or reusing a connection meant for an attempt.
+/// Connection that an attempt uses.
 #[derive(Clone, Copy)]
 pub(super) struct ConnectionUse {
     pub(super) is_new: bool,
-    /// The endpoint holds as many connections as it accepts.
+    /// Whether the endpoint refuses the new connection, as it holds its maximum number of connections.
     pub(super) refused: bool,
 }
 
 impl Simulation<'_> {
-    /// Takes an idle connection or opens a new one.
+    /// Takes an idle connection to the endpoint or opens a new one.
     pub(super) fn take_connection(&mut self, gateway: u32, endpoint: u32) -> ConnectionUse {
         let now = self.queue.now();
-        // As the program has it: a connection counts as closed from half the time-out on.
-        let idle_timeout = self.idle_timeout();
-        let checkout = self.gateways[gateway as usize].take_connection(endpoint, now, idle_timeout);
+        let max_idle_time = self.max_idle_time();
+        let checkout =
+            self.gateways[gateway as usize].take_connection(endpoint, now, max_idle_time);
         let target = &mut self.endpoints[endpoint as usize];
         target.connections -= checkout.closed;
         if !checkout.is_new {
@@ -36,11 +36,13 @@
         }
     }
 
-    fn idle_timeout(&self) -> Micros {
+    /// Idle time after which a gateway closes a connection: half of the idle timeout of the rules, as in the gateway's
+    /// program. Later the endpoint may be about to close the connection.
+    fn max_idle_time(&self) -> Micros {
         micros(self.experiment.rules.idle_timeout_ms / 2.0)
     }
 
-    /// After a response the connection is idle again; without one it is closed.
+    /// Returns the connection of an ended attempt to the idle ones after a response; closes it otherwise.
     pub(super) fn release_connection(&mut self, gateway: u32, endpoint: u32, outcome: Outcome) {
         let connections = &mut self.gateways[gateway as usize].connections;
         if matches!(outcome, Outcome::Success | Outcome::Rejected) {
@@ -50,12 +52,12 @@
         }
     }
 
-    /// A gateway closes connections that have been idle for too long.
+    /// Closes the gateway's connections that have been idle for `max_idle_time`, and schedules the next check.
     pub(super) fn close_idle_connections(&mut self, gateway: u32) {
         let now = self.queue.now();
-        let idle_timeout = self.idle_timeout();
+        let max_idle_time = self.max_idle_time();
         let connections = &mut self.gateways[gateway as usize].connections;
-        for (endpoint, closed) in connections.close_idle(now, idle_timeout) {
+        for (endpoint, closed) in connections.close_idle(now, max_idle_time) {
             self.endpoints[endpoint as usize].connections -= closed;
         }
         if now < self.ends_at {
--- a/emulator/src/simulation/counter_calls.rs
+++ b/emulator/src/simulation/counter_calls.rs
@@ -5,7 +5,7 @@
 use crate::{micros, Micros};
 use quota_gateway::{Event as GatewayEvent, Outcome};
 
-/// A call that its gateway still awaits.
+/// A call whose reply the gateway awaits.
 pub(super) struct CounterCall {
     process: GatewayProcess,
     key: u64,
@@ -13,7 +13,7 @@
 }
 
 impl Simulation<'_> {
-    /// A gateway calls the counter.
+    /// Sends a call from a gateway to the counter and schedules its timeout.
     pub(super) fn call_counter(&mut self, gateway: u32, key: u64, amount: f64, ttl_ms: f64) {
         let Some(counter) = &self.counter else { return };
         let counter_zone = counter.zone;
@@ -46,7 +46,7 @@
         self.queue.schedule_in(timeout, timed_out);
     }
 
-    /// A call has arrived at the counter.
+    /// Handles the arrival of a call at the counter and schedules the reply.
     pub(super) fn counter_call_arrives(&mut self, call: u64, amount: f64, ttl: Micros) {
         let now = self.queue.now();
         let Some(CounterCall { process, key, .. }) = self.counter_calls.get(&call) else {
@@ -79,7 +79,7 @@
         self.queue.schedule(served.completed_at + delay, reply);
     }
 
-    /// A call has ended for its gateway.
+    /// Ends a call for its gateway, by a reply or a timeout. Later ends of the same call are ignored.
     pub(super) fn counter_call_ends(&mut self, call: u64, outcome: Outcome, total: f64) {
         let Some(CounterCall {
             process,
--- a/emulator/src/simulation/endpoint_list.rs
+++ b/emulator/src/simulation/endpoint_list.rs
@@ -1,11 +1,11 @@
-//! How changes of the endpoints reach the gateways: discovery, the agent beside each gateway, the gateway.
+//! Distribution of endpoint list changes: from discovery to the agent of each gateway, and on to the gateway.
 
 use super::event::{Event, GatewayProcess};
 use super::{Simulation, CLOCK_START_MS};
 use crate::endpoint::EndpointStatus;
 use quota_gateway::{Endpoint, EndpointState, Event as GatewayEvent};
 
-/// An entry of the endpoint list; `started_at_ms` is on the gateways' clock.
+/// Creates an entry of the endpoint list; `started_at_ms` is a time of the gateways' clock.
 pub(super) fn list_entry(
     endpoint: u32,
     zone: u32,
@@ -25,7 +25,7 @@
 }
 
 impl Simulation<'_> {
-    /// A new process gets the complete list that its agent has.
+    /// Delivers the complete list to a new gateway process, whose agent already has it.
     pub(super) fn deliver_complete_list(&mut self, gateway: u32) {
         let entries = self.discovery.complete_list();
         self.gateways[gateway as usize].list_version = self.discovery.version();
@@ -39,14 +39,14 @@
         );
     }
 
-    /// Discovery will notice the endpoint's state after a while.
+    /// Schedules the time at which discovery detects the endpoint's state.
     pub(super) fn schedule_endpoint_status_detection(&mut self, endpoint: u32) {
         let delay = self.discovery.draw_detection_delay();
         self.queue
             .schedule_in(delay, Event::EndpointStatusDetected { endpoint });
     }
 
-    /// Discovery records the state that the endpoint has now, and distributes it.
+    /// Records the endpoint's current state in discovery and distributes the change.
     pub(super) fn endpoint_status_detected(&mut self, endpoint: u32) {
         let detected = &self.endpoints[endpoint as usize];
         let state = match detected.state {
@@ -63,7 +63,7 @@
         self.distribute_endpoint_list();
     }
 
-    /// Each agent has the list's changes after a delay of its own.
+    /// Schedules the arrival of the latest changes at each agent, after a random delay for each.
     pub(super) fn distribute_endpoint_list(&mut self) {
         if self.discovery.down {
             return;
@@ -79,7 +79,7 @@
         }
     }
 
-    /// An agent has what discovery has, and passes the changes on to its gateway.
+    /// Delivers the changes that a gateway does not have yet, as its agent has received discovery's current list.
     pub(super) fn endpoint_list_arrives(&mut self, process: GatewayProcess) {
         let now = self.queue.now();
         let gateway = &mut self.gateways[process.index as usize];
--- a/emulator/src/simulation/event.rs
+++ b/emulator/src/simulation/event.rs
@@ -1,49 +1,49 @@
-//! The events of a simulation.
+//! Events of the simulation.
 
 use crate::clients::ClientRequest;
 use crate::Micros;
 use quota_gateway::Outcome;
 
-/// One process of a gateway: the gateway's index, and how many processes it had before.
+/// A process of a gateway. `incarnation` is the number of the gateway's earlier processes.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) struct GatewayProcess {
     pub(super) index: u32,
     pub(super) incarnation: u32,
 }
 
-/// Something that happens.
+/// An event of the simulation.
 pub(super) enum Event {
     /// The next client makes its first request.
     ClientArrives,
     /// A client retries.
     ClientRetries(ClientRequest),
-    /// The client of this request disconnects, if it still waits.
+    /// The client of a request disconnects, if it still awaits the response.
     ClientDisconnects { request: u64 },
-    /// A timer that a gateway has set.
+    /// A timer set by a gateway fires.
     GatewayTimer { process: GatewayProcess, token: u64 },
     /// An attempt arrives at its endpoint.
     AttemptArrives { attempt: u64 },
-    /// An endpoint has completed an attempt, unless it has lost its requests meanwhile.
+    /// An endpoint completes an attempt, unless the endpoint has lost its requests in the meantime.
     ServiceCompleted {
         endpoint: u32,
         generation: u32,
         attempt: u64,
     },
-    /// An attempt's response is at the gateway, or the gateway knows that there is none.
+    /// An attempt ends for its gateway: with a response, or without one.
     AttemptEnds { attempt: u64, outcome: Outcome },
     /// A call arrives at the counter.
     CounterCallArrives { call: u64, amount: f64, ttl: Micros },
-    /// A counter's reply is at the gateway, or the gateway gives the call up.
+    /// The counter's reply arrives at the gateway, or the call times out.
     CounterCallEnds {
         call: u64,
         outcome: Outcome,
         total: f64,
     },
-    /// The agent beside a gateway has what discovery has.
+    /// The agent of a gateway receives discovery's current endpoint list.
     EndpointListArrives { process: GatewayProcess },
-    /// Discovery notices the state that an endpoint has now.
+    /// Discovery detects the current state of an endpoint.
     EndpointStatusDetected { endpoint: u32 },
-    /// The time within which a request must have its final response is up.
+    /// The time by which a request must have its final response passes.
     DeadlinePasses { request: u64 },
     /// A gateway closes connections that have been idle for too long.
     IdleConnectionCheck { gateway: u32 },
@@ -55,7 +55,7 @@
     GatewayShutsDown { gateway: u32 },
     /// A gateway's next process starts.
     GatewayStarts { gateway: u32 },
-    /// A share of the endpoints begin to drain, and as many new ones start.
+    /// A share of the endpoints begin to drain, and the same number of new ones start.
     EndpointsReplaced { share: f64 },
     /// An endpoint that has drained stops.
     EndpointStops { endpoint: u32 },
--- a/emulator/src/simulation/event_queue.rs
+++ b/emulator/src/simulation/event_queue.rs
@@ -1,23 +1,23 @@
-//! What is going to happen, in order of time.
+//! The event clock and the queue of scheduled events.
 
 use super::event::Event;
 use crate::Micros;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// The event clock and the events that are still to come. Events of one moment happen in the order in which they were
-/// scheduled.
+/// Scheduled events in order of time. Events of the same time occur in the order in which they were scheduled.
 #[derive(Default)]
 pub(super) struct EventQueue {
+    /// Time of the last event taken from the queue.
     now: Micros,
     serial: u64,
     heap: BinaryHeap<Reverse<Scheduled>>,
-    /// The events themselves; slots are reused, so that the heap moves small entries only.
+    /// The scheduled events. They are stored outside of the heap, so that the heap moves small entries only.
     slots: Vec<Option<Event>>,
     free_slots: Vec<usize>,
 }
 
-/// Ordered by time first, then by the order of scheduling.
+/// Heap entry of an event, ordered by time, then by the order of scheduling.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Scheduled {
     at: Micros,
@@ -26,18 +26,18 @@
 }
 
 impl EventQueue {
-    /// The time of the event that happens now.
+    /// Time of the current event.
     pub(super) fn now(&self) -> Micros {
         self.now
     }
 
-    /// A number that was not used before, for requests, attempts and calls.
+    /// Returns an unused number, as the id of a request, attempt or call.
     pub(super) fn next_id(&mut self) -> u64 {
         self.serial += 1;
         self.serial
     }
 
-    /// Schedules an event; one whose time has passed happens now.
+    /// Schedules an event. An event whose time has passed occurs at the current time.
     pub(super) fn schedule(&mut self, at: Micros, event: Event) {
         let serial = self.next_id();
         let slot = self.free_slots.pop().unwrap_or_else(|| {
@@ -57,7 +57,7 @@
         self.schedule(self.now + delay, event);
     }
 
-    /// Moves the clock on to the next event.
+    /// Takes the next event and advances the clock to its time.
     pub(super) fn pop(&mut self) -> Option<Event> {
         loop {
             let Reverse(next) = self.heap.pop()?;
--- a/emulator/src/simulation/faults.rs
+++ b/emulator/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Faults: outages, partitions, and rollouts of gateways and endpoints.
+//! Injection of faults: outages, partitions, and rollouts of gateways and endpoints.
 
 use super::event::{Event, GatewayProcess};
 use super::Simulation;
@@ -6,13 +6,13 @@
 use crate::experiment::Fault;
 use crate::{micros, Micros};
 
-/// How long a gateway that shuts down completes its requests.
+/// Time that a gateway in shutdown has to complete its requests.
 const GATEWAY_SHUTDOWN: Micros = 3_200_000;
-/// Time from the end of a gateway's process to the start of its next one.
+/// Time from the end of a gateway's process to the start of the gateway's next one.
 const GATEWAY_START_DELAY: Micros = 300_000;
-/// Steps in which a rollout replaces endpoints.
+/// Number of steps in which a rollout replaces endpoints.
 const ENDPOINT_ROLLOUT_STEPS: u32 = 10;
-/// How long a draining endpoint lives on.
+/// Time from the start of an endpoint's draining to its stop.
 const ENDPOINT_DRAIN_TIME: Micros = 6_000_000;
 
 impl Simulation<'_> {
@@ -43,7 +43,7 @@
                     counter.clear();
                 }
             }
-            // Rollouts end with their last step.
+            // Each step of a rollout is a scheduled event; nothing remains to be undone.
             Fault::GatewayRollout { .. } | Fault::EndpointRollout { .. } => {}
         }
     }
@@ -91,7 +91,8 @@
         }
     }
 
-    /// The gateway gets no new requests; its next process starts once this one has ended.
+    /// Begins the graceful shutdown of a gateway: no new requests are routed to it. The gateway's next process starts
+    /// after the current one has ended.
     pub(super) fn shut_down_gateway(&mut self, index: u32) {
         self.gateways[index as usize].accepts_requests = false;
         let starts_in = GATEWAY_SHUTDOWN + GATEWAY_START_DELAY;
@@ -99,7 +100,7 @@
             .schedule_in(starts_in, Event::GatewayStarts { gateway: index });
     }
 
-    /// The former process ends with what it has not answered, and a new one takes its place.
+    /// Ends the gateway's process, which loses its open requests and connections, and starts the next one.
     pub(super) fn restart_gateway(&mut self, index: u32) {
         let process = self.gateways[index as usize].process;
         self.discard_open_requests(process);
@@ -126,7 +127,8 @@
         }
     }
 
-    /// A share of the endpoints begin to drain, and as many new ones start.
+    /// Drains a share of the endpoints and starts the same number of new ones. Only endpoints that have run since the
+    /// start of the experiment are replaced.
     pub(super) fn replace_endpoints(&mut self, share: f64) {
         let count = (f64::from(self.experiment.endpoints.count) * share).round() as usize;
         let is_initial = |endpoint: &EmulatedEndpoint| {
@@ -158,7 +160,7 @@
         self.endpoint_status_detected(index as u32);
     }
 
-    /// An endpoint that has drained stops.
+    /// Stops an endpoint that has drained.
     pub(super) fn stop_drained_endpoint(&mut self, index: u32) {
         self.endpoints[index as usize].stop(EndpointStatus::Stopped);
         self.endpoint_status_detected(index);
--- a/emulator/src/simulation/gateway.rs
+++ b/emulator/src/simulation/gateway.rs
@@ -1,26 +1,26 @@
-//! One emulated gateway: an instance of the decision library and its connections to endpoints.
+//! One emulated gateway: an instance of the decision library and the gateway's connections to endpoints.
 
 use super::event::GatewayProcess;
 use crate::Micros;
 use quota_gateway::Gateway;
 use rustc_hash::FxHashMap;
 
-/// A gateway's present process, with figures that last over its restarts.
+/// A gateway's current process, with statistics that are kept over restarts.
 pub(super) struct EmulatedGateway {
     pub(super) library: Gateway,
     pub(super) process: GatewayProcess,
     pub(super) zone: u32,
-    /// Whether clients' requests are routed to it.
+    /// Whether clients' requests are routed to the gateway.
     pub(super) accepts_requests: bool,
-    /// The version of the endpoint list that it has.
+    /// Version of the endpoint list that the gateway has.
     pub(super) list_version: usize,
-    /// Endpoints that must get no new attempts, and when the gateway was notified of that.
+    /// Draining and removed endpoints, with the time at which the gateway was notified of each.
     pub(super) draining_since: FxHashMap<u32, Micros>,
     pub(super) connections: Connections,
     pub(super) stats: LifetimeStats,
 }
 
-/// What the report says of a gateway, over all its processes.
+/// Statistics of a gateway for the report, over all its processes.
 #[derive(Default)]
 pub(super) struct LifetimeStats {
     pub(super) requests: u64,
@@ -42,20 +42,20 @@
         }
     }
 
-    /// Takes a connection to an endpoint: an idle one that is still open, or a new one.
+    /// Takes a connection to an endpoint: one that has been idle for less than `max_idle_time`, or a new one.
     pub(super) fn take_connection(
         &mut self,
         endpoint: u32,
         now: Micros,
-        idle_timeout: Micros,
+        max_idle_time: Micros,
     ) -> Checkout {
-        let checkout = self.connections.take(endpoint, now, idle_timeout);
+        let checkout = self.connections.take(endpoint, now, max_idle_time);
         self.stats.max_connections = self.stats.max_connections.max(self.connections.open);
         checkout
     }
 }
 
-/// Connections of one gateway.
+/// Connections of one gateway to all endpoints.
 #[derive(Default)]
 pub(super) struct Connections {
     by_endpoint: FxHashMap<u32, EndpointConnections>,
@@ -65,24 +65,24 @@
 /// Connections of one gateway to one endpoint.
 #[derive(Default)]
 struct EndpointConnections {
-    /// Since when each idle connection has been idle.
+    /// Time since which each idle connection has been idle, oldest first.
     idle_since: Vec<Micros>,
     open: u32,
 }
 
-/// Which connection an attempt uses.
+/// Result of taking a connection.
 pub(super) struct Checkout {
     pub(super) is_new: bool,
-    /// Idle connections that were found to have timed out, and are closed.
+    /// Number of connections that had been idle for too long and were closed.
     pub(super) closed: u32,
 }
 
 impl Connections {
-    fn take(&mut self, endpoint: u32, now: Micros, idle_timeout: Micros) -> Checkout {
+    fn take(&mut self, endpoint: u32, now: Micros, max_idle_time: Micros) -> Checkout {
         let connections = self.by_endpoint.entry(endpoint).or_default();
         let mut closed = 0;
         while let Some(since) = connections.idle_since.pop() {
-            if now - since < idle_timeout {
+            if now - since < max_idle_time {
                 connections.open -= closed;
                 self.open -= closed;
                 return Checkout {
@@ -100,14 +100,14 @@
         }
     }
 
-    /// The connection of an attempt is idle again.
+    /// Returns the connection of an attempt to the idle ones.
     pub(super) fn put_back(&mut self, endpoint: u32, now: Micros) {
         if let Some(connections) = self.by_endpoint.get_mut(&endpoint) {
             connections.idle_since.push(now);
         }
     }
 
-    /// The connection of an attempt is closed with it; false if there is none.
+    /// Closes the connection of an attempt. Returns false if the gateway has no connection to the endpoint.
     pub(super) fn close_one(&mut self, endpoint: u32) -> bool {
         let Some(connections) = self.by_endpoint.get_mut(&endpoint) else {
             return false;
@@ -117,14 +117,14 @@
         true
     }
 
-    /// Closes connections that have been idle for too long. Returns how many by endpoint.
-    pub(super) fn close_idle(&mut self, now: Micros, idle_timeout: Micros) -> Vec<(u32, u32)> {
+    /// Closes connections that have been idle for `max_idle_time`. Returns the number of closed ones by endpoint.
+    pub(super) fn close_idle(&mut self, now: Micros, max_idle_time: Micros) -> Vec<(u32, u32)> {
         let mut closed_by_endpoint = Vec::new();
         for (endpoint, connections) in &mut self.by_endpoint {
             let before = connections.idle_since.len();
             connections
                 .idle_since
-                .retain(|since| now - since < idle_timeout);
+                .retain(|since| now - since < max_idle_time);
             let closed = (before - connections.idle_since.len()) as u32;
             connections.open -= closed;
             self.open -= closed;
@@ -135,7 +135,7 @@
         closed_by_endpoint
     }
 
-    /// Open connections by endpoint.
+    /// Number of open connections by endpoint.
     pub(super) fn open_by_endpoint(&self) -> impl Iterator<Item = (u32, u32)> + '_ {
         self.by_endpoint
             .iter()
--- a/emulator/src/simulation/mod.rs
+++ b/emulator/src/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! The simulation: real instances of the decision library, and emulated surroundings, on one event clock.
+//! Discrete-event simulation of instances of the decision library in an emulated environment.
 
 mod actions;
 mod attempts;
@@ -33,22 +33,22 @@
 use rustc_hash::FxHashMap;
 use std::time::{Duration, Instant};
 
-/// The gateways' clocks show this when an experiment begins, in ms: a counter's windows are named by it.
+/// Time of the gateways' clocks at the start of an experiment, in ms. The keys of the counter's windows derive from it.
 const CLOCK_START_MS: f64 = 1e6;
-/// How long after the deadline a final response still counts as timely.
+/// Time after the deadline within which a final response still counts as in time.
 const RESPONSE_SLACK: Micros = 50_000;
-/// Gateways look for idle connections this often, as the program does.
+/// Interval at which a gateway closes idle connections, as in the gateway's program.
 const IDLE_CHECK_INTERVAL: Micros = 1_000_000;
-/// How often progress is logged, in real time.
+/// Interval of the progress log, in real time.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(5);
-/// The real clock is looked at once in this many events.
+/// Number of events between two reads of the real clock.
 const EVENTS_PER_CLOCK_CHECK: u64 = 4096;
 
-/// Plays an experiment.
+/// Runs an experiment and returns its report.
 ///
 /// # Errors
 ///
-/// Fails if a random distribution can't be made of the experiment's figures.
+/// Fails if the experiment's values are not valid parameters of a random distribution.
 pub fn run(experiment: &Experiment, seed: u64) -> Result<Report, ExperimentError> {
     let mut simulation = Simulation::new(experiment, seed)?;
     simulation.schedule_start();
@@ -59,13 +59,13 @@
 struct Simulation<'a> {
     experiment: &'a Experiment,
     seed: u64,
-    /// Settings that all gateways share.
+    /// Settings shared by all gateways.
     settings: Settings,
-    /// No client makes a request from then on.
+    /// Time from which on no client makes a request.
     ends_at: Micros,
     queue: EventQueue,
     gateways: Vec<EmulatedGateway>,
-    /// Processes of gateways started so far: each has a random stream of its own.
+    /// Number of gateway processes started so far. It numbers the random stream of each process.
     gateway_starts: u64,
     endpoints: Vec<EmulatedEndpoint>,
     endpoint_parameters: EndpointParameters,
@@ -124,7 +124,7 @@
             });
             self.gateways.push(gateway);
             self.deliver_complete_list(index);
-            // The checks of all gateways are not due at once.
+            // The checks of the gateways are staggered over the interval.
             let at = IDLE_CHECK_INTERVAL * Micros::from(index) / Micros::from(gateway_count);
             self.queue
                 .schedule(at, Event::IdleConnectionCheck { gateway: index });
@@ -162,7 +162,8 @@
         let mut progress = Progress::new();
         while let Some(event) = self.queue.pop() {
             let now = self.queue.now();
-            // After the last arrival, all open requests still get their responses.
+            // After the last arrival, the simulation goes on until all open requests have ended or the
+            // last deadline has passed.
             if now > self.ends_at && (self.open_requests.is_empty() || now > last_response_by) {
                 break;
             }
@@ -207,12 +208,12 @@
         }
     }
 
-    /// The clock that gateways see, in ms.
+    /// Current time of the gateways' clocks, in ms.
     fn gateway_clock_ms(&self) -> f64 {
         CLOCK_START_MS + self.queue.now() as f64 / 1000.0
     }
 
-    /// Whether this process is still the gateway's present one.
+    /// Whether this process is the gateway's current one.
     fn is_running(&self, process: GatewayProcess) -> bool {
         self.gateways[process.index as usize].process == process
     }
@@ -228,7 +229,7 @@
     }
 }
 
-/// Logs how far a long experiment has come.
+/// Logs the progress of a long experiment.
 struct Progress {
     started_at: Instant,
     logged_at: Instant,
@@ -255,6 +256,11 @@
         self.logged_at = Instant::now();
         let emulated_s = now as f64 / 1e6;
         let real_s = self.started_at.elapsed().as_secs_f64();
-        tracing::info!(emulated_s, real_s, events = self.events, "under way");
+        tracing::info!(
+            emulated_s,
+            real_s,
+            events = self.events,
+            "simulation in progress"
+        );
     }
 }
--- a/emulator/src/simulation/recorder.rs
+++ b/emulator/src/simulation/recorder.rs
@@ -1,4 +1,4 @@
-//! Collects the figures of the report while an experiment is played.
+//! Collects the values of the report during the simulation.
 
 use super::gateway::EmulatedGateway;
 use crate::endpoint::{EmulatedEndpoint, EndpointStatus};
@@ -7,11 +7,11 @@
 use crate::{micros, Micros};
 use hdrhistogram::Histogram;
 
-/// Length of a window of the report.
+/// Length of a time window of the report.
 const WINDOW: Micros = 5_000_000;
-/// Largest latency that is recorded; larger ones count as this.
+/// Largest latency that is recorded; larger ones are recorded as this value.
 const MAX_LATENCY: Micros = 3_600_000_000;
-/// Significant digits of latencies.
+/// Significant decimal digits of the recorded latencies.
 const LATENCY_DIGITS: u8 = 3;
 
 pub(super) struct Recorder {
@@ -40,7 +40,7 @@
         now >= self.measure_from
     }
 
-    /// The report's window at this time.
+    /// The report's time window at `now`. Missing windows up to then are added.
     pub(super) fn window(&mut self, now: Micros) -> &mut Window {
         let windows = &mut self.report.windows;
         let index = (now / WINDOW) as usize;
@@ -58,7 +58,7 @@
         self.latency.saturating_record(latency.max(1));
     }
 
-    /// Adds what is known at the end only.
+    /// Adds the values that are known only at the end, and returns the report.
     pub(super) fn finish(
         mut self,
         gateways: &[EmulatedGateway],
@@ -112,5 +112,5 @@
 
 fn latency_histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, MAX_LATENCY, LATENCY_DIGITS)
-        .expect("the bounds are constants in order")
+        .expect("the histogram's bounds are valid constants")
 }
--- a/emulator/src/simulation/requests.rs
+++ b/emulator/src/simulation/requests.rs
@@ -1,4 +1,4 @@
-//! Clients' requests: from their arrival at a gateway to their final response.
+//! Clients' requests, from the arrival at a gateway to the final response.
 
 use super::event::{Event, GatewayProcess};
 use super::{Simulation, RESPONSE_SLACK};
@@ -6,33 +6,34 @@
 use crate::{micros, Micros};
 use quota_gateway::{Event as GatewayEvent, Request};
 
-/// A request that still wants a final response, or has attempts in flight.
+/// A request that awaits its final response or has attempts in flight.
 pub(super) struct OpenRequest {
     pub(super) process: GatewayProcess,
     pub(super) client_request: ClientRequest,
     arrived_at: Micros,
-    /// Whether it has its final response, or wants none any more.
+    /// Whether the request has its final response or needs none any more, because its client has disconnected or the
+    /// deadline has passed.
     pub(super) answered: bool,
     pub(super) disconnected_at: Option<Micros>,
-    /// Its attempts so far, in the order of sending.
+    /// Ids of the request's attempts, in the order of sending.
     pub(super) attempts: Vec<u64>,
     pub(super) in_flight: u8,
     pub(super) first_execution: Option<FirstExecution>,
 }
 
-/// The first attempt that may have been executed.
+/// The first attempt of a request that may have been executed.
 #[derive(Clone, Copy)]
 pub(super) struct FirstExecution {
     pub(super) sent_at: Micros,
     pub(super) zone: u32,
 }
 
-/// A gateway's final response without success.
+/// A gateway's final response to a request that was not served.
 #[derive(Clone, Copy)]
 pub(super) enum UnsuccessfulResponse {
-    /// Rejected; the advice when to try again is 0 if there is none.
+    /// The request was rejected. `retry_after_ms` is the advised delay before a retry; 0 if none is advised.
     Rejected { retry_after_ms: f64 },
-    /// Failed.
+    /// The request failed.
     Failed,
 }
 
@@ -128,7 +129,7 @@
         self.drop_if_ended(id);
     }
 
-    /// The time is up within which the request must have its final response.
+    /// Records a violation if the request has no final response yet, and closes the request.
     pub(super) fn deadline_passes(&mut self, id: u64) {
         let Some(open) = self.open_requests.get_mut(&id) else {
             return;
@@ -147,7 +148,7 @@
         self.drop_if_ended(id);
     }
 
-    /// An attempt was successful; its response is the final one unless the request has one already.
+    /// Answers the request with the response of a successful attempt, unless the request is already answered.
     pub(super) fn answer_successfully(&mut self, id: u64) {
         let now = self.queue.now();
         let Some(open) = self.open_requests.get_mut(&id) else {
@@ -188,7 +189,7 @@
         self.recorder.record_latency(latency);
     }
 
-    /// The gateway gives its final response without success.
+    /// Answers the request without success. The client may retry it.
     pub(super) fn respond_unsuccessfully(&mut self, id: u64, response: UnsuccessfulResponse) {
         let Some(open) = self.open_requests.get_mut(&id) else {
             return;
@@ -226,7 +227,7 @@
         }
     }
 
-    /// Forgets a request that has its final response and no attempt in flight.
+    /// Removes the request if it is answered and has no attempt in flight.
     pub(super) fn drop_if_ended(&mut self, id: u64) {
         if self
             .open_requests
@@ -237,7 +238,7 @@
         }
     }
 
-    /// Requests that end without a response together with the gateway's process.
+    /// Removes the requests of a process that has ended. Those without a final response count as violations.
     pub(super) fn discard_open_requests(&mut self, process: GatewayProcess) {
         let of_process = self
             .open_requests
--- a/emulator/src/simulation/rule_checks.rs
+++ b/emulator/src/simulation/rule_checks.rs
@@ -1,16 +1,16 @@
-//! The rules on attempts, checked on the event clock as each is sent. What breaks one is counted and described in the
-//! report.
+//! Checks of the rules on attempts, made on the event clock when an attempt is sent. Violations are counted in the
+//! report, which also describes the first one.
 
 use super::requests::OpenRequest;
 use super::Simulation;
 use crate::experiment::IdempotencyModel;
 use crate::{micros, Micros};
 
-/// An attempt that begins later than this after its client has disconnected is one too many.
+/// Time after a client's disconnect within which attempts may still be sent.
 const DISCONNECT_GRACE: Micros = 100_000;
 
 impl Simulation<'_> {
-    /// Rule: nothing is sent for a client that disconnected a while ago.
+    /// Rule: no attempt is sent for a client that disconnected more than `DISCONNECT_GRACE` ago.
     pub(super) fn check_disconnected(&mut self, gateway: u32, request: u64) {
         let now = self.queue.now();
         let Some(disconnected_at) = self.open_requests[&request].disconnected_at else {
@@ -23,11 +23,11 @@
         let violations = &mut self.recorder.report.violations;
         violations.sent_after_disconnect += 1;
         violations.describe_first(|| {
-            format!("left: gateway {gateway} sent {late_ms} ms after the client had disconnected")
+            format!("left: gateway {gateway} sent an attempt {late_ms} ms after the client had disconnected")
         });
     }
 
-    /// Rule: what may have been executed is retried only where a second execution does no harm.
+    /// Rule: a request that may have been executed is sent again only if its idempotency permits that.
     pub(super) fn check_duplicated(&mut self, gateway: u32, request: u64, endpoint: u32) {
         let open = &self.open_requests[&request];
         if !self.would_duplicate(open, endpoint) {
@@ -35,8 +35,9 @@
         }
         let violations = &mut self.recorder.report.violations;
         violations.duplicated += 1;
-        violations
-            .describe_first(|| format!("doubled: gateway {gateway} sent request {request} again"));
+        violations.describe_first(|| {
+            format!("doubled: gateway {gateway} sent request {request} again, which may have been executed")
+        });
     }
 
     fn would_duplicate(&self, open: &OpenRequest, endpoint: u32) -> bool {
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Rule: nothing new is sent to an endpoint some time after the gateway was notified of its draining.
+    /// Rule: no attempt is sent to an endpoint later than the grace time after the notice of its draining or removal.
     pub(super) fn check_draining(&mut self, gateway: u32, endpoint: u32) {
         let now = self.queue.now();
         let Some(notified_at) = self.gateways[gateway as usize]
@@ -78,13 +79,13 @@
         });
     }
 
-    /// Rule: an endpoint in slow start is not overloaded.
+    /// Rule: no endpoint is overloaded in slow start. Records an endpoint that was.
     pub(super) fn record_overload(&mut self, endpoint: u32, arrived: usize, allowed: f64) {
         let at_s = self.queue.now() as f64 / 1e6;
         let violations = &mut self.recorder.report.violations;
         violations.overloaded_endpoints += 1;
         violations.describe_first(|| {
-            format!("cold: endpoint {endpoint} got {arrived} requests of {allowed:.1} allowed, at {at_s:.3} s")
+            format!("cold: endpoint {endpoint} received {arrived} requests, {allowed:.1} allowed, at {at_s:.3} s")
         });
     }
 }
--- a/emulator/src/violations.rs
+++ b/emulator/src/violations.rs
@@ -13,7 +13,7 @@
     pub unanswered: u64,
     /// Attempts of a request that may already have been executed, sent to an endpoint that must not execute it again.
     pub duplicated: u64,
-    /// Attempts sent to an endpoint after the grace period that follows the notice of its draining or removal.
+    /// Attempts sent to an endpoint later than the grace time after the notice of its draining or removal.
     pub sent_after_drain: u64,
     /// Endpoints in slow start that failed under overload.
     pub overloaded_endpoints: u64,
