--- a/emulator/src/experiment/error.rs
+++ b/emulator/src/experiment/error.rs
@@ -1,73 +1,73 @@
-//! What can be wrong with an experiment's file. Each error prints as one line that names the field.
+//! Errors of an experiment's file. Each prints as one line that names the file and, where there is one, the field.
 
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why an experiment can't be used.
+/// Error of reading or checking an experiment.
 #[derive(Debug, Error)]
 pub enum ExperimentError {
-    /// The file can't be read.
-    #[error("{}: {source}", path.display())]
+    /// The file cannot be read.
+    #[error("{}: cannot read the experiment: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system says.
+        /// Error of the system.
         source: std::io::Error,
     },
-    /// The file was read, but what stands in it can't be used.
+    /// The file was read, but its content is not a valid experiment.
     #[error("{}: {source}", path.display())]
     InFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong in it.
+        /// Error in the file's content.
         source: Box<ExperimentError>,
     },
-    /// The text is not TOML.
+    /// The text is not valid TOML.
     #[error("{message}")]
     Syntax {
-        /// What the parser says, in one line.
+        /// The parser's message, in one line.
         message: String,
     },
     /// A field is missing, unknown or of the wrong type.
     #[error("{field}: {message}")]
     Field {
-        /// The field's path.
+        /// Path of the field.
         field: String,
-        /// What the parser says, in one line.
+        /// The parser's message, in one line.
         message: String,
     },
-    /// A figure is outside its range.
-    #[error("{field}: {value} is not within {min} to {max}")]
+    /// A value is outside of its range.
+    #[error("{field}: {value} is out of range; expected {min} to {max}")]
     OutOfRange {
-        /// The field's path.
+        /// Path of the field.
         field: String,
-        /// The figure.
+        /// Value of the field.
         value: f64,
-        /// Smallest figure allowed.
+        /// Smallest permitted value.
         min: f64,
-        /// Largest figure allowed.
+        /// Largest permitted value.
         max: f64,
     },
     /// A list is empty or too long.
-    #[error("{list}: 1 to {max} are needed")]
+    #[error("{list}: expected 1 to {max} entries")]
     ListLength {
-        /// The list's name.
+        /// Name of the list.
         list: &'static str,
-        /// Most entries allowed.
+        /// Largest permitted number of entries.
         max: usize,
     },
     /// No entry of a list has a share above 0.
-    #[error("{list}[0].share: all shares together are 0")]
+    #[error("{list}[0].share: the shares of all {list} are 0; expected at least one above 0")]
     NoShares {
-        /// The list's name.
+        /// Name of the list.
         list: &'static str,
     },
-    /// A random distribution can't be made of the figures.
+    /// Values of the experiment are not valid parameters of a random distribution.
     #[error("{field}: {message}")]
     Distribution {
-        /// The field that the distribution's main parameter comes from.
+        /// Field with the main parameter of the distribution.
         field: &'static str,
-        /// What is wrong with the parameters.
+        /// Error in the parameters.
         message: String,
     },
 }
--- a/emulator/src/experiment/mod.rs
+++ b/emulator/src/experiment/mod.rs
@@ -1,4 +1,4 @@
-//! Experiments: TOML files that are checked once, when they are read.
+//! Experiments, which are defined by TOML files. An experiment is checked when it is read.
 
 mod error;
 mod model;
@@ -17,7 +17,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the file can't be read, is not TOML, has an unknown or missing field, or a figure out of range.
+/// Fails if the file cannot be read or is not TOML, or if a field is unknown, missing or out of range.
 pub fn load(path: &Path) -> Result<Experiment, ExperimentError> {
     let text = std::fs::read_to_string(path).map_err(|source| ExperimentError::Unreadable {
         path: path.to_owned(),
@@ -29,11 +29,11 @@
     })
 }
 
-/// Reads and checks an experiment's text.
+/// Parses and checks the TOML text of an experiment.
 ///
 /// # Errors
 ///
-/// Fails if the text is not TOML, has an unknown or missing field, or a figure out of range.
+/// Fails if the text is not TOML, or if a field is unknown, missing or out of range.
 pub fn parse(text: &str) -> Result<Experiment, ExperimentError> {
     let toml = toml::Deserializer::parse(text).map_err(|error| ExperimentError::Syntax {
         message: one_line(error.message()),
@@ -47,7 +47,7 @@
     Ok(experiment)
 }
 
-/// The parser's messages may have several lines.
+/// Joins the lines of a message, as the parser's messages can have several.
 fn one_line(text: &str) -> String {
     text.split_whitespace().collect::<Vec<_>>().join(" ")
 }
--- a/emulator/src/experiment/model.rs
+++ b/emulator/src/experiment/model.rs
@@ -1,6 +1,6 @@
-//! The form of an experiment's file.
+//! Structure of an experiment's file.
 //!
-//! Times are in the unit that their name ends with. Keys that were renamed are still read under their former name.
+//! The suffix of a time's name is its unit. Renamed keys can still be read under their former names.
 
 use serde::Deserialize;
 
@@ -8,31 +8,31 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Its name, for the report.
+    /// Name of the experiment, which the report repeats.
     pub name: String,
-    /// Length on the event clock.
+    /// Length of the experiment on the event clock.
     pub seconds: f64,
-    /// The report counts from here on; before, gateways warm up and connections open.
+    /// Start of the measured part. Before it, the gateways warm up and open connections.
     #[serde(default, alias = "count_from_s")]
     pub measure_from_s: f64,
     /// Regions, zones and network delays.
     pub topology: Topology,
-    /// The gateways.
+    /// Parameters of the gateways.
     pub gateways: GatewayModel,
-    /// The endpoints that requests are forwarded to.
+    /// Parameters of the endpoints that requests are forwarded to.
     #[serde(alias = "servers", alias = "backends")]
     pub endpoints: EndpointModel,
-    /// The shared counter; absent where there is none.
+    /// Parameters of the shared counter; `None` if there is none.
     pub counter: Option<CounterModel>,
-    /// How the endpoint list reaches the gateways.
+    /// Delays of the distribution of the endpoint list.
     pub discovery: DiscoveryModel,
-    /// Clients and customers.
+    /// Parameters of the clients and customers.
     pub load: LoadModel,
-    /// The classes of requests.
+    /// Classes of requests.
     pub classes: Vec<ClassModel>,
-    /// The plans of customers.
+    /// Plans of customers.
     pub plans: Vec<PlanModel>,
-    /// Figures of the rules that gateways have to keep.
+    /// Parameters of the rules that gateways must obey.
     pub rules: RulesModel,
     /// Faults to inject.
     #[serde(default, alias = "troubles")]
@@ -66,19 +66,19 @@
     }
 }
 
-/// The gateways.
+/// Parameters of the gateways.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GatewayModel {
     /// Number of gateways.
     pub count: u32,
-    /// Share of them that get more requests than the others.
+    /// Share of the gateways that get more requests than the others (hot gateways).
     #[serde(default)]
     pub hot_share: f64,
-    /// How many times as many requests those get.
+    /// Requests to a hot gateway, as a multiple of the requests to another gateway.
     #[serde(default = "default_hot_multiplier", alias = "hot_times")]
     pub hot_multiplier: f64,
-    /// Most connections to endpoints that each gateway may hold.
+    /// Maximum number of connections from each gateway to endpoints.
     #[serde(default = "default_max_connections", alias = "connections")]
     pub max_connections: u32,
 }
@@ -87,18 +87,18 @@
     1.0
 }
 
-/// As the program has it: two in five of 1,024 descriptors, less those that it reserves.
+/// The limit of the gateway's program with 1,024 descriptors: two fifths of the descriptors that are not reserved.
 fn default_max_connections() -> u32 {
     396
 }
 
-/// The endpoints that requests are forwarded to.
+/// Parameters of the endpoints that requests are forwarded to.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointModel {
     /// Number of endpoints.
     pub count: u32,
-    /// Requests that each works on at once.
+    /// Number of requests that each endpoint serves concurrently.
     pub slots: u32,
     /// Mean service time of a request at full capacity.
     #[serde(alias = "work_ms")]
@@ -106,17 +106,17 @@
     /// Standard deviation of the service time's logarithm.
     #[serde(alias = "work_sigma")]
     pub service_sigma: f64,
-    /// Most requests that may wait at each.
+    /// Maximum number of requests queued at each endpoint.
     #[serde(alias = "queue")]
     pub max_queue: u32,
-    /// Most connections that each accepts.
+    /// Maximum number of connections that each endpoint accepts.
     #[serde(alias = "connections")]
     pub max_connections: u32,
-    /// What a new connection adds to its first request, beside the network delay.
+    /// Time that a new connection adds to its first request, in addition to the network delay.
     pub handshake_ms: f64,
 }
 
-/// The shared counter.
+/// Parameters of the shared counter.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CounterModel {
@@ -125,48 +125,49 @@
     pub shards: u32,
     /// Calls per second that each shard serves.
     pub calls_per_s: f64,
-    /// Most calls that may wait at each shard.
+    /// Maximum number of calls queued at each shard.
     #[serde(alias = "queue")]
     pub max_queue: u32,
-    /// Time after which a gateway gives up a call.
+    /// Timeout of a gateway's call.
     pub timeout_ms: f64,
-    /// The zone where the counter stands, numbered over all regions.
+    /// Zone of the counter, numbered over all regions.
     pub zone: u32,
 }
 
-/// How the endpoint list reaches the agent beside each gateway.
+/// Delays of the distribution of the endpoint list to the agent of each gateway.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DiscoveryModel {
-    /// Shortest and longest time until an agent has a change.
+    /// Minimum and maximum time until an agent has a change.
     #[serde(alias = "notice_ms")]
     pub propagation_ms: [f64; 2],
-    /// Shortest and longest time until discovery notices that an endpoint has become unreachable.
+    /// Minimum and maximum time until discovery detects that an endpoint has become unreachable.
     #[serde(alias = "vanished_ms")]
     pub failure_detection_ms: [f64; 2],
 }
 
-/// Clients and customers.
+/// Parameters of the clients and customers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadModel {
-    /// Requests per second over all gateways, without clients' retries.
+    /// Rate of requests to all gateways, without clients' retries.
     pub requests_per_s: f64,
-    /// Number of customers; requests are spread over them by Zipf's law.
+    /// Number of customers. Requests are distributed over them according to Zipf's law.
     pub customers: u64,
-    /// Exponent of that law; 0 spreads requests evenly.
+    /// Exponent of Zipf's law; 0 for a uniform distribution.
     #[serde(alias = "zipf")]
     pub zipf_exponent: f64,
-    /// Number of adjacent gateways that a customer's requests arrive at.
+    /// Number of gateways, with consecutive indices, that a customer's requests arrive at.
     #[serde(alias = "spread")]
     pub gateway_set_size: u32,
-    /// Share of rejected or failed requests that the client retries.
+    /// Share of the rejected or failed requests that the client retries.
     #[serde(default)]
     pub retry_share: f64,
-    /// Mean delay before it does, where it got no advice.
+    /// Mean delay before a client's retry. A longer delay advised by the gateway takes precedence.
     #[serde(default = "default_retry_delay_ms", alias = "retry_ms")]
     pub retry_delay_ms: f64,
-    /// Share of clients that disconnect before they have a response.
+    /// Share of the requests whose client disconnects at a random time before the deadline, unless it has been answered
+    /// by then.
     #[serde(default, alias = "leave_share")]
     pub disconnect_share: f64,
 }
@@ -179,17 +180,17 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassModel {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Its share of the requests; shares are relative to their sum.
+    /// Share of the requests, relative to the sum of the shares of all classes.
     pub share: f64,
-    /// Whether its requests may be executed more than once.
+    /// Whether requests of the class may be executed more than once.
     #[serde(alias = "effect")]
     pub idempotency: IdempotencyModel,
-    /// A response within this time counts as served on time.
+    /// Time within which a response counts as served on time.
     #[serde(alias = "aim_ms")]
     pub latency_objective_ms: f64,
-    /// How long a client waits for its response.
+    /// Time that a client waits for the response.
     pub deadline_ms: f64,
 }
 
@@ -197,16 +198,16 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum IdempotencyModel {
-    /// Any number of times.
+    /// Requests may be executed any number of times.
     #[serde(alias = "safe")]
     Idempotent,
-    /// The endpoints of one zone recognise the idempotency key of a retry.
+    /// Endpoints of the same zone recognise the idempotency key of a request and do not execute the request again.
     #[serde(alias = "keyed-zone")]
     KeyPerZone,
-    /// All endpoints recognise the idempotency key of a retry.
+    /// All endpoints recognise the idempotency key of a request and do not execute the request again.
     #[serde(alias = "keyed-all")]
     KeyEverywhere,
-    /// Once at most.
+    /// Requests may be executed at most once.
     #[serde(alias = "unsafe")]
     NotIdempotent,
 }
@@ -215,123 +216,123 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlanModel {
-    /// Its name.
+    /// Name of the plan.
     pub name: String,
-    /// Its share of the customers; shares are relative to their sum.
+    /// Share of the customers, relative to the sum of the shares of all plans.
     pub share: f64,
-    /// Units per second; 0 for no quota.
+    /// Rate at which the quota refills, in units per second; 0 if the plan has no quota.
     pub rate: f64,
-    /// Most units that the quota holds.
+    /// Maximum units that the quota holds.
     pub burst: f64,
 }
 
-/// Figures of the rules that gateways have to keep.
+/// Parameters of the rules that gateways must obey.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RulesModel {
-    /// Most attempts of one request.
+    /// Maximum number of attempts of one request.
     pub max_attempts: u32,
     /// Share of its full capacity that an endpoint starts with.
     #[serde(alias = "cold_from")]
     pub slow_start_min_capacity: f64,
-    /// Time after which an endpoint has its full capacity.
+    /// Time from an endpoint's start until it has its full capacity.
     #[serde(alias = "warm_up_ms")]
     pub slow_start_ms: f64,
-    /// How long after a notice of draining a new attempt may still be sent.
+    /// Time after the notice of an endpoint's draining within which a new attempt may still be sent to it.
     pub drain_grace_ms: f64,
-    /// Multiple of its present capacity that makes an endpoint fail while it warms up.
+    /// Load at which an endpoint in slow start fails, as a multiple of the endpoint's current capacity.
     #[serde(alias = "fall_multiple")]
     pub overload_multiple: f64,
-    /// Time over which that multiple is measured.
+    /// Time window in which the load on an endpoint in slow start is measured.
     #[serde(alias = "fall_ms")]
     pub overload_window_ms: f64,
-    /// Time after which a gateway gives up opening a connection.
+    /// Timeout of opening a connection.
     #[serde(alias = "connect_ms")]
     pub connect_timeout_ms: f64,
-    /// Time after which an idle connection is closed.
+    /// Time after which an endpoint closes an idle connection.
     #[serde(alias = "idle_close_ms")]
     pub idle_timeout_ms: f64,
-    /// How long endpoints recognise an idempotency key.
+    /// Time for which endpoints recognise an idempotency key.
     #[serde(alias = "window_ms")]
     pub idempotency_window_ms: f64,
-    /// Price of one new connection for each request.
+    /// Price of opening one new connection to an endpoint for each request.
     pub handshake_price: f64,
 }
 
-/// A fault to inject. Each begins at `start_s` and lasts `duration_s`.
+/// A fault to inject. Each fault begins at `start_s` and lasts for `duration_s`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(tag = "what", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Fault {
-    /// All endpoints of a zone become unreachable and come back in slow start.
+    /// All endpoints of a zone become unreachable. They return in slow start.
     #[serde(alias = "zone-loss")]
     ZoneOutage {
-        /// When it begins.
+        /// Time at which the fault begins.
         #[serde(alias = "at_s")]
         start_s: f64,
-        /// How long it lasts.
+        /// Duration of the fault.
         #[serde(alias = "for_s")]
         duration_s: f64,
-        /// The zone, from 0.
+        /// Index of the zone over all regions, from 0.
         zone: u32,
     },
-    /// No bytes pass between a region and the others.
+    /// A network partition separates a region from the others.
     #[serde(alias = "region-cut")]
     RegionPartition {
-        /// When it begins.
+        /// Time at which the fault begins.
         #[serde(alias = "at_s")]
         start_s: f64,
-        /// How long it lasts.
+        /// Duration of the fault.
         #[serde(alias = "for_s")]
         duration_s: f64,
-        /// The region, from 0.
+        /// Index of the region, from 0.
         region: u32,
     },
-    /// Discovery distributes nothing; it distributes what was missed when it is back.
+    /// Discovery distributes no changes. At the end of the fault it distributes the missed ones.
     #[serde(alias = "discovery-down")]
     DiscoveryOutage {
-        /// When it begins.
+        /// Time at which the fault begins.
         #[serde(alias = "at_s")]
         start_s: f64,
-        /// How long it lasts.
+        /// Duration of the fault.
         #[serde(alias = "for_s")]
         duration_s: f64,
     },
-    /// The counter answers no call and comes back empty.
+    /// The counter answers no call. It returns without its data.
     #[serde(alias = "counter-down")]
     CounterOutage {
-        /// When it begins.
+        /// Time at which the fault begins.
         #[serde(alias = "at_s")]
         start_s: f64,
-        /// How long it lasts.
+        /// Duration of the fault.
         #[serde(alias = "for_s")]
         duration_s: f64,
     },
-    /// All gateways restart one after another, evenly over the time.
+    /// All gateways restart one after another, spread evenly over the duration.
     #[serde(alias = "gateway-release")]
     GatewayRollout {
-        /// When it begins.
+        /// Time at which the fault begins.
         #[serde(alias = "at_s")]
         start_s: f64,
-        /// How long it lasts.
+        /// Duration of the fault.
         #[serde(alias = "for_s")]
         duration_s: f64,
     },
-    /// A share of the endpoints drain and are replaced by new ones, in steps over the time.
+    /// A share of the endpoints drain and are replaced by new ones, in steps spread evenly over the duration.
     #[serde(alias = "server-rollout", alias = "backend-release")]
     EndpointRollout {
-        /// When it begins.
+        /// Time at which the fault begins.
         #[serde(alias = "at_s")]
         start_s: f64,
-        /// How long it lasts.
+        /// Duration of the fault.
         #[serde(alias = "for_s")]
         duration_s: f64,
-        /// The share to replace.
+        /// Share of the endpoints to replace.
         share: f64,
     },
 }
 
 impl Fault {
-    /// When the fault begins, in seconds.
+    /// Time at which the fault begins, in seconds.
     #[must_use]
     pub fn start_s(&self) -> f64 {
         match *self {
@@ -344,7 +345,7 @@
         }
     }
 
-    /// How long the fault lasts, in seconds.
+    /// Duration of the fault, in seconds.
     #[must_use]
     pub fn duration_s(&self) -> f64 {
         match *self {
--- a/emulator/src/experiment/settings.rs
+++ b/emulator/src/experiment/settings.rs
@@ -1,4 +1,4 @@
-//! The settings that the emulated gateways are started with.
+//! Library settings of the emulated gateways, derived from the experiment.
 
 use super::model::{ClassModel, Experiment, IdempotencyModel, PlanModel};
 use quota_gateway::{
@@ -7,13 +7,13 @@
 
 /// Shortest time between two calls of the library.
 const TICK_MS: f64 = 1.0;
-/// Most units of one request; clients ask for 1 or 2, which may turn out a third more.
+/// Maximum units of one request. Clients declare 1 or 2, and the actual units are up to a third more.
 const MAX_UNITS: f64 = 4.0;
 const OVER_QUOTA_COST: f64 = 0.5;
 const MAX_RETRY_AFTER_MS: f64 = 2000.0;
 
 impl Experiment {
-    /// The settings that all gateways share; each has its own index and zone besides.
+    /// Settings shared by all gateways. The index and zone of each gateway are set separately.
     #[must_use]
     pub fn settings(&self) -> Settings {
         Settings {
--- a/emulator/src/experiment/validation.rs
+++ b/emulator/src/experiment/validation.rs
@@ -1,4 +1,4 @@
-//! Checks that the figures of an experiment are within their ranges: beyond these an experiment is a mistake.
+//! Checks that the values of an experiment are within the ranges of plausible experiments.
 
 use super::error::ExperimentError;
 use super::model::{
@@ -15,14 +15,14 @@
 const MAX_CONNECTIONS: f64 = 1e6;
 const MAX_LIST_LENGTH: usize = 64;
 const MAX_SHARE: f64 = 1e6;
-/// Smallest figure of what has to be above 0.
+/// Smallest permitted value of a field that must be above 0.
 const MIN_POSITIVE: f64 = 0.001;
-/// Messages between gateways have room for customer numbers below this.
+/// Maximum number of customers. Gossip messages between gateways have room for customer ids of 33 bits.
 const MAX_CUSTOMERS: f64 = (1u64 << 33) as f64 - 1.0;
 
 type CheckResult = Result<(), ExperimentError>;
 
-/// Checks all figures; the first that is outside its range is the error.
+/// Checks all values. Returns the first one that is out of range as the error.
 pub(super) fn check(experiment: &Experiment) -> CheckResult {
     within("seconds", experiment.seconds, MIN_POSITIVE, DAY_S)?;
     within(
--- a/emulator/src/report/distribution.rs
+++ b/emulator/src/report/distribution.rs
@@ -1,9 +1,9 @@
-//! How a figure is distributed over many gateways, endpoints or requests.
+//! Summary of the distribution of a value over gateways, endpoints or requests.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Summary of a distribution.
+/// Summary of a distribution: extremes, mean and percentiles.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Distribution {
     /// The smallest value.
@@ -21,7 +21,7 @@
 }
 
 impl Distribution {
-    /// The distribution of these values; all zero if there are none.
+    /// Summarises values; all fields are 0 if there are none.
     #[must_use]
     pub fn of(mut values: Vec<f64>) -> Self {
         if values.is_empty() {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The distribution of a histogram of microseconds, in ms.
+    /// Summarises a histogram of microseconds; the result is in ms.
     pub(crate) fn of_micros(histogram: &Histogram<u64>) -> Self {
         if histogram.is_empty() {
             return Distribution::default();
--- a/emulator/src/report/mod.rs
+++ b/emulator/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! The report of an experiment: counts and figures, the same for the same experiment and seed.
+//! Report of an experiment. The same experiment and seed give the same report.
 
 mod distribution;
 mod summary;
@@ -8,144 +8,144 @@
 
 use serde::Serialize;
 
-/// The report of one experiment.
+/// Report of one experiment.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Report {
-    /// The experiment's name.
+    /// Name of the experiment.
     pub experiment: String,
-    /// The seed of all random streams.
+    /// Seed of all random streams.
     pub seed: u64,
-    /// Length on the event clock.
+    /// Length of the experiment on the event clock, in seconds.
     pub seconds: f64,
-    /// The part of it that is measured.
+    /// Length of the measured part, which ends with the experiment, in seconds.
     pub measured_s: f64,
-    /// Requests by how they ended.
+    /// Requests by outcome, in the measured part.
     pub requests: RequestStats,
-    /// Attempts by how they ended.
+    /// Attempts by outcome, in the measured part.
     pub attempts: AttemptStats,
-    /// Time from a request's arrival to its successful response at the gateway, in ms.
+    /// Time from a request's arrival at the gateway to its successful response there, in ms.
     pub latency_ms: Distribution,
-    /// The gateways.
+    /// Statistics of the gateways.
     pub gateways: GatewayStats,
-    /// The endpoints that were running at the end.
+    /// Statistics of the endpoints that were running at the end.
     pub endpoints: EndpointStats,
-    /// The shared counter.
+    /// Statistics of the shared counter.
     pub counter: CounterStats,
-    /// The endpoint list.
+    /// Statistics of the distribution of the endpoint list, from the start of the experiment.
     pub discovery: DiscoveryStats,
-    /// Violations of the rules, from the start of the experiment.
+    /// Rule violations, from the start of the experiment.
     pub violations: Violations,
-    /// Requests by how they ended in windows of 5 s, from the start of the experiment.
+    /// Requests by outcome in time windows of 5 s, from the start of the experiment.
     pub windows: Vec<Window>,
 }
 
-/// Requests by how they ended.
+/// Number of requests by outcome.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct RequestStats {
-    /// Clients' first requests.
+    /// First requests of clients.
     pub initial: u64,
-    /// All requests, clients' retries included.
+    /// All requests, including clients' retries.
     pub total: u64,
-    /// Served within the latency objective.
+    /// Requests served within the latency objective.
     pub served_on_time: u64,
-    /// Served later.
+    /// Requests served after the latency objective.
     pub served_late: u64,
-    /// Rejected.
+    /// Requests rejected by the gateway.
     pub rejected: u64,
-    /// Failed.
+    /// Requests that failed.
     pub failed: u64,
-    /// The client disconnected first.
+    /// Requests whose client disconnected before a final response.
     pub disconnected: u64,
-    /// Lost with a gateway's process.
+    /// Requests without a final response when their gateway's process ended, from the start of the experiment.
     pub lost_at_restart: u64,
 }
 
-/// Attempts by how they ended.
+/// Number of attempts by outcome, and of the connections opened for them.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct AttemptStats {
     /// Attempts sent.
     pub sent: u64,
-    /// Those of them that were not a request's first.
+    /// Attempts sent that were not the first of their request.
     pub retries: u64,
-    /// Succeeded.
+    /// Attempts that succeeded.
     pub succeeded: u64,
-    /// Rejected by the endpoint.
+    /// Attempts rejected by the endpoint.
     pub rejected: u64,
-    /// No connection could be opened.
+    /// Attempts whose connection could not be opened.
     pub connect_failed: u64,
-    /// Not answered in time.
+    /// Attempts that timed out or whose connection was reset.
     pub timed_out: u64,
-    /// Cancelled by the gateway.
+    /// Attempts cancelled by the gateway.
     pub cancelled: u64,
-    /// Connections opened.
+    /// New connections opened for attempts.
     pub new_connections: u64,
-    /// Sent to an endpoint of another zone.
+    /// Attempts sent to an endpoint of another zone.
     pub cross_zone: u64,
 }
 
-/// The gateways.
+/// Statistics of the gateways, as distributions over all of them.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct GatewayStats {
-    /// Requests that arrived at each.
+    /// Requests that arrived at each gateway.
     pub requests: Distribution,
-    /// Endpoints that each sent attempts to.
+    /// Endpoints that each gateway sent attempts to.
     pub endpoints_used: Distribution,
-    /// Most connections to endpoints that each held at a time.
+    /// Peak number of connections from each gateway to endpoints, from the start of the experiment.
     pub max_connections: Distribution,
-    /// Customers that each knows at the end.
+    /// Customers that each gateway keeps state of at the end.
     pub customers: Distribution,
 }
 
-/// The endpoints that were running at the end.
+/// Statistics of the endpoints that were running at the end, as distributions over them.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct EndpointStats {
-    /// Requests that arrived at each.
+    /// Requests that arrived at each endpoint.
     pub requests: Distribution,
-    /// Endpoints that no request arrived at.
+    /// Number of endpoints that received no request.
     pub idle: u64,
-    /// Gateways that sent attempts to each.
+    /// Gateways that sent attempts to each endpoint.
     pub gateways: Distribution,
-    /// Connections to each at the end.
+    /// Connections to each endpoint at the end.
     pub connections: Distribution,
 }
 
-/// The shared counter.
+/// Statistics of the shared counter.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct CounterStats {
-    /// Calls made.
+    /// Calls sent by the gateways.
     pub calls: u64,
-    /// Calls made for each request.
+    /// Mean number of calls per request.
     pub calls_per_request: f64,
-    /// Calls without a reply in time.
+    /// Calls that got no reply in time.
     pub timed_out: u64,
-    /// Calls rejected.
+    /// Calls rejected because a shard's queue was full.
     pub rejected: u64,
-    /// Keys held at the end.
+    /// Keys that the counter holds at the end.
     pub keys: u64,
 }
 
-/// The endpoint list.
+/// Statistics of the distribution of the endpoint list.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct DiscoveryStats {
-    /// Changes of an entry.
+    /// Changes of single entries.
     pub changes: u64,
-    /// Entries delivered to all gateways, complete lists at their starts included.
+    /// Entries delivered to the gateways, including the complete lists at their starts.
     pub entries_delivered: u64,
 }
 
-/// Requests by how they ended in one window.
+/// Number of requests by outcome in one time window.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Window {
-    /// When the window begins.
+    /// Start of the window on the event clock, in seconds.
     pub from_s: f64,
-    /// All requests.
+    /// All requests that arrived in the window. The other counts are by the time of the response.
     pub requests: u64,
-    /// Served within the latency objective.
+    /// Requests served within the latency objective.
     pub served_on_time: u64,
-    /// Served later.
+    /// Requests served after the latency objective.
     pub served_late: u64,
-    /// Rejected.
+    /// Requests rejected by the gateway.
     pub rejected: u64,
-    /// Failed.
+    /// Requests that failed.
     pub failed: u64,
 }
--- a/emulator/src/report/summary.rs
+++ b/emulator/src/report/summary.rs
@@ -1,4 +1,4 @@
-//! The report in a few lines, as the command line prints it.
+//! Short text form of the report, as the command line prints it.
 
 use super::Report;
 use std::fmt::{Display, Formatter, Result};
@@ -15,14 +15,19 @@
         self.write_fleet(f)?;
         writeln!(
             f,
-            "counter: {:.3} calls a request, {} in vain; endpoint list: {} changes, {} entries delivered",
+            "counter: {:.3} calls per request, {} rejected or timed out; \
+             endpoint list: {} changes, {} entries delivered",
             self.counter.calls_per_request,
             self.counter.timed_out + self.counter.rejected,
             self.discovery.changes,
             self.discovery.entries_delivered
         )?;
         match &self.violations.first {
-            Some(first) => writeln!(f, "rules VIOLATED, {:?}; first {first}", self.violations),
+            Some(first) => writeln!(
+                f,
+                "rules VIOLATED, {:?}; first violation: {first}",
+                self.violations
+            ),
             None => writeln!(f, "rules kept"),
         }
     }
@@ -50,7 +55,7 @@
         let attempts = &self.attempts;
         writeln!(
             f,
-            "attempts {}: {} retries, {} rejected, {} not connected, {} timed out, {} new connections",
+            "attempts {}: {} retries, {} rejected, {} failed to connect, {} timed out, {} new connections",
             attempts.sent,
             attempts.retries,
             attempts.rejected,
@@ -75,7 +80,7 @@
         let mean = endpoints.requests.mean.max(f64::MIN_POSITIVE);
         writeln!(
             f,
-            "each endpoint: {:.1} requests in the mean, p99 {:.2} and at most {:.2} times that, {} idle; \
+            "each endpoint: {:.1} requests on average, p99 {:.2} and max {:.2} times the average, {} idle; \
              {:.0} to {:.0} gateways",
             endpoints.requests.mean,
             endpoints.requests.p99 / mean,
