--- a/soak/src/clients/outcome.rs
+++ b/soak/src/clients/outcome.rs
@@ -64,7 +64,7 @@
     match timeout(request.remaining + ANSWER_SLACK, connection.receive()).await {
         Ok(Ok(Some(answer))) => {
             let mut checker = context.checker.borrow_mut();
-            checker.answered(request.transaction, answer.status(), &answer.body);
+            checker.response_received(request.transaction, answer.status(), &answer.body);
             Outcome::Answered(answer)
         }
         Ok(result) => Outcome::Closed(Close::seen(
--- a/soak/src/clients/shutdown.rs
+++ b/soak/src/clients/shutdown.rs
@@ -177,6 +177,6 @@
 
     fn lost(&self, request: &Request, how: &str) {
         let mut checker = self.context.checker.borrow_mut();
-        checker.lost(request.transaction, how);
+        checker.request_lost(request.transaction, how);
     }
 }
--- a/soak/src/clients/steady.rs
+++ b/soak/src/clients/steady.rs
@@ -232,7 +232,7 @@
 
     fn lost(&self, request: &Request, how: &str) {
         let mut checker = self.context.checker.borrow_mut();
-        checker.lost(request.transaction, how);
+        checker.request_lost(request.transaction, how);
     }
 
     /// Sends a request and leaves before its answer.
@@ -253,7 +253,7 @@
         }
         drop(open);
         let mut checker = self.context.checker.borrow_mut();
-        checker.client_closed(request.transaction);
+        checker.client_disconnected(request.transaction);
     }
 
     /// Sends two requests together and reads both answers.
--- a/soak/src/endpoint.rs
+++ b/soak/src/endpoint.rs
@@ -3,7 +3,7 @@
 use crate::fleet::Fleet;
 use crate::loopback::any_port;
 use crate::notices::NoticeTimes;
-use crate::rules::{answer_body, ObservedAttempt, SharedRuleChecker};
+use crate::rules::{response_body, ObservedAttempt, SharedRuleChecker};
 use crate::scheduling_delay::SchedulingDelay;
 use crate::settings::RunSettings;
 use rand::Rng;
@@ -89,7 +89,7 @@
                 continue;
             };
             let behaviour = self.draw_behaviour();
-            let body = answer_body(transaction);
+            let body = response_body(transaction);
             let response = Response {
                 headers: "X-Units-Charged: 1\r\n",
                 body: &body,
@@ -129,7 +129,7 @@
     /// Returns false if the request's key is known.
     fn record_execution(&self, transaction: u64) -> bool {
         let mut checker = self.context.checker.borrow_mut();
-        checker.executed(transaction, self.number)
+        checker.execution_started(transaction, self.number)
     }
 
     /// Hands a request to the checker. Returns its id; none if it has none.
@@ -142,17 +142,20 @@
         let drain_notified_at = endpoint
             .unavailable_since
             .and_then(|at| context.notices.notified_at(gateway?, at));
-        context.checker.borrow_mut().attempt(ObservedAttempt {
-            transaction,
-            endpoint: self.number,
-            began_at: self.connection.began_at(),
-            propagated_deadline: Duration::from_millis(propagated_ms),
-            drain_notified_at,
-            started_at: endpoint
-                .started_at
-                .filter(|_| endpoint.listed_state == EntryState::Ready),
-            allowance: context.delay.allowance(),
-        });
+        context
+            .checker
+            .borrow_mut()
+            .attempt_received(ObservedAttempt {
+                transaction,
+                endpoint: self.number,
+                began_at: self.connection.began_at(),
+                propagated_deadline: Duration::from_millis(propagated_ms),
+                drain_notified_at,
+                started_at: endpoint
+                    .started_at
+                    .filter(|_| endpoint.listed_state == EntryState::Ready),
+                allowance: context.delay.allowance(),
+            });
         Some(transaction)
     }
 }
--- a/soak/src/request_class.rs
+++ b/soak/src/request_class.rs
@@ -1,12 +1,12 @@
-//! The classes of requests of the soak test.
+//! The request classes of the soak test.
 
-/// How a request may be executed.
+/// The class of a request, which decides whether it may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestClass {
-    /// Idempotent. The gateway's class `look`.
+    /// May be executed any number of times. The gateway's class `look`.
     Idempotent,
-    /// With an idempotency key, which all endpoints know for a time. The gateway's class `order`.
+    /// Has an idempotency key, which all endpoints share and remember for a limited time. The gateway's class `order`.
     WithKey,
-    /// Executed at most once. The gateway's class `once`.
+    /// May be executed at most once. The gateway's class `once`.
     AtMostOnce,
 }
--- a/soak/src/rules/checker.rs
+++ b/soak/src/rules/checker.rs
@@ -1,4 +1,4 @@
-//! What was seen of each request, and the rules that it is checked by.
+//! Records the events of each request that clients and endpoints observe, and checks them against the rules.
 
 use super::limits::RuleLimits;
 use super::observation_log::{ObservationLog, Rule};
@@ -10,17 +10,17 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// On sockets the grace time of draining is this much longer.
-const SOCKET_SLACK: Duration = Duration::from_millis(50);
-/// An attempt may begin this long after its client has closed.
-const CLOSE_GRACE: Duration = Duration::from_millis(100);
+/// Transmission over sockets may add this much to the grace period of draining.
+const DRAIN_SLACK: Duration = Duration::from_millis(50);
+/// An attempt may begin this long after its client has closed the connection.
+const DISCONNECT_GRACE: Duration = Duration::from_millis(100);
 /// The propagated deadline may be this much longer than the time that the client has left.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
 
-/// A checker that clients and endpoints of a run share.
+/// The checker that all clients and endpoints of a run share.
 pub type SharedRuleChecker = Rc<RefCell<RuleChecker>>;
 
-/// What was seen of one request.
+/// The observed events of one request.
 struct ObservedRequest {
     class: RequestClass,
     gateway: usize,
@@ -31,26 +31,26 @@
     executed_at: Vec<Instant>,
 }
 
-/// What an endpoint sees of an attempt once it is complete.
+/// The attempt that an endpoint has received completely.
 #[derive(Clone, Copy, Debug)]
 pub struct ObservedAttempt {
-    /// The request's id.
+    /// The id of the request (`X-Txn`).
     pub transaction: u64,
-    /// The endpoint's number.
+    /// The number of the endpoint.
     pub endpoint: usize,
-    /// When its first byte came.
+    /// The time at which the first byte of the attempt arrived.
     pub began_at: Instant,
-    /// The time that is left until its deadline, as the gateway propagated it (`X-Remaining-Ms`).
+    /// The remaining time until the deadline, as the gateway propagated it (`X-Remaining-Ms`).
     pub propagated_deadline: Duration,
-    /// When the gateway was notified that the endpoint takes nothing new, if it was.
+    /// The time at which the gateway was notified that the endpoint takes no new requests. `None` if it was not notified.
     pub drain_notified_at: Option<Instant>,
-    /// When the endpoint started, if it may still be warming up.
+    /// The time at which the endpoint started. `None` if it started before the run or is no longer listed as ready.
     pub started_at: Option<Instant>,
-    /// How late the stand-ins may run at present, which is not the gateway's fault.
+    /// The delay that the stand-ins may currently add to what they observe. It isn't held against the gateway.
     pub allowance: Duration,
 }
 
-/// Collects what clients and endpoints see, and finds broken rules.
+/// Collects the events that clients and endpoints observe, and reports broken rules.
 pub struct RuleChecker {
     limits: RuleLimits,
     log: Rc<ObservationLog>,
@@ -59,7 +59,7 @@
 }
 
 impl RuleChecker {
-    /// Checks by these limits and reports to this log.
+    /// Creates a checker that reports violations to `log`.
     pub fn new(limits: RuleLimits, log: Rc<ObservationLog>) -> Self {
         RuleChecker {
             limits,
@@ -69,7 +69,8 @@
         }
     }
 
-    /// The last byte of a request is about to be written, for the first time or, on another connection, again.
+    /// Records that the last byte of a request is about to be written. A request that is sent again on another
+    /// connection is recorded again.
     pub fn request_sent(
         &mut self,
         transaction: u64,
@@ -91,33 +92,36 @@
         request.sent_at = sent_at;
     }
 
-    /// The client has closed its connection, and waits for nothing.
-    pub fn client_closed(&mut self, transaction: u64) {
+    /// Records that the client has closed its connection without waiting for a response.
+    pub fn client_disconnected(&mut self, transaction: u64) {
         self.log.count("clients that left");
         if let Some(request) = self.requests.get_mut(&transaction) {
             request.closed_at = Some(Instant::now());
         }
     }
 
-    /// The gateway that a request was sent to.
+    /// The number of the gateway that the request was last sent to.
     pub fn gateway_of(&self, transaction: u64) -> Option<usize> {
         self.requests
             .get(&transaction)
             .map(|request| request.gateway)
     }
 
-    /// True if an endpoint has got an attempt of this request.
+    /// True if an endpoint has received an attempt of the request.
     pub fn was_forwarded(&self, transaction: u64) -> bool {
         self.requests
             .get(&transaction)
             .is_some_and(|request| request.attempts > 0)
     }
 
-    /// An endpoint has got a complete attempt.
-    pub fn attempt(&mut self, attempt: ObservedAttempt) {
+    /// Records and checks a complete attempt at an endpoint.
+    pub fn attempt_received(&mut self, attempt: ObservedAttempt) {
         self.log.count("attempts");
         let Some(request) = self.requests.get_mut(&attempt.transaction) else {
-            let detail = format!("txn {:016x}: an attempt of no request", attempt.transaction);
+            let detail = format!(
+                "txn {:016x}: attempt for an unknown request",
+                attempt.transaction
+            );
             return self.log.report(Rule::WrongAnswer, detail);
         };
         request.attempts += 1;
@@ -139,13 +143,14 @@
         if let Some(overload) = overload {
             let (attempts, limit) = (overload.attempts, overload.limit);
             let window = self.limits.overload_window;
-            let detail = format!("{ids}: {attempts} in {window:?}, limit {limit:.0}");
+            let detail = format!("{ids}: {attempts} attempts in {window:?}, limit {limit:.0}");
             self.log.report(Rule::SlowStart, detail);
         }
     }
 
-    /// An endpoint begins to execute a request. Returns false if it drops it, as it knows the key.
-    pub fn executed(&mut self, transaction: u64, endpoint: usize) -> bool {
+    /// Records that an endpoint begins to execute a request. Returns false if the request isn't executed because its
+    /// idempotency key is known.
+    pub fn execution_started(&mut self, transaction: u64, endpoint: usize) -> bool {
         let now = Instant::now();
         let key_window = self.limits.key_window;
         let Some(request) = self.requests.get_mut(&transaction) else {
@@ -161,7 +166,7 @@
         if request.class != RequestClass::Idempotent && request.executed_at.len() > 1 {
             let since = first.map(|first| now - first);
             let detail = format!(
-                "txn {transaction:016x} ({:?}) at endpoint {endpoint}: again after {since:?}",
+                "txn {transaction:016x} ({:?}) at endpoint {endpoint}: executed again after {since:?}",
                 request.class
             );
             self.log.report(Rule::Duplicate, detail);
@@ -169,22 +174,22 @@
         true
     }
 
-    /// A request has its final answer.
-    pub fn answered(&mut self, transaction: u64, status: u16, body: &[u8]) {
-        self.log.count(&format!("answers {status}"));
+    /// Records and checks the final response to a request.
+    pub fn response_received(&mut self, transaction: u64, status: u16, body: &[u8]) {
+        self.log.count(&format!("responses with status {status}"));
         let executed = self
             .requests
             .get(&transaction)
             .is_some_and(|request| !request.executed_at.is_empty());
-        if status == 200 && (!executed || body != answer_body(transaction).as_bytes()) {
+        if status == 200 && (!executed || body != response_body(transaction).as_bytes()) {
             let text = String::from_utf8_lossy(body);
-            let detail = format!("txn {transaction:016x}: {text:?}");
+            let detail = format!("txn {transaction:016x}: unexpected response body {text:?}");
             self.log.report(Rule::WrongAnswer, detail);
         }
     }
 
-    /// A request has no final answer.
-    pub fn lost(&mut self, transaction: u64, how: &str) {
+    /// Reports a request that got no final response. `how` describes the end of its connection or the timeout.
+    pub fn request_lost(&mut self, transaction: u64, how: &str) {
         let gateway = self.gateway_of(transaction);
         let forwarded = self.was_forwarded(transaction);
         let detail =
@@ -193,7 +198,7 @@
     }
 }
 
-/// The rules that limit when an attempt may begin, and the deadline that it propagates.
+/// Checks the rules that limit the time at which an attempt may begin and the deadline that it propagates.
 fn check_times(
     log: &ObservationLog,
     limits: RuleLimits,
@@ -201,33 +206,34 @@
     attempt: &ObservedAttempt,
     ids: &str,
 ) {
-    let elapsed_since = |moment: Option<Instant>| {
-        moment.map_or(Duration::ZERO, |moment| {
-            attempt.began_at.saturating_duration_since(moment)
+    let elapsed_since = |earlier: Option<Instant>| {
+        earlier.map_or(Duration::ZERO, |earlier| {
+            attempt.began_at.saturating_duration_since(earlier)
         })
     };
     let after_close = elapsed_since(request.closed_at);
-    if after_close > CLOSE_GRACE + attempt.allowance {
-        let detail = format!("{ids}: {after_close:?} after the close");
+    if after_close > DISCONNECT_GRACE + attempt.allowance {
+        let detail = format!("{ids}: began {after_close:?} after the client disconnected");
         log.report(Rule::ClientDisconnected, detail);
     }
     let after_notice = elapsed_since(attempt.drain_notified_at);
-    if after_notice > limits.drain_grace + SOCKET_SLACK + attempt.allowance {
-        let detail = format!("{ids}: {after_notice:?} after the notice");
+    if after_notice > limits.drain_grace + DRAIN_SLACK + attempt.allowance {
+        let detail = format!("{ids}: began {after_notice:?} after the notice of draining");
         log.report(Rule::Drain, detail);
     }
     let client_deadline = request.sent_at + request.remaining;
     let left = client_deadline.saturating_duration_since(attempt.began_at);
     let propagated = attempt.propagated_deadline;
     if propagated > left + DEADLINE_SLACK + attempt.allowance {
-        let detail = format!("{ids}: {propagated:?} propagated, {left:?} left");
+        let detail =
+            format!("{ids}: propagated a deadline of {propagated:?}, the client has {left:?} left");
         log.report(Rule::Deadline, detail);
     }
 }
 
-/// The body that endpoints make for a request.
+/// The response body that endpoints produce for a request.
 #[must_use]
-pub fn answer_body(transaction: u64) -> String {
+pub fn response_body(transaction: u64) -> String {
     format!("quote for {transaction:016x}")
 }
 
--- a/soak/src/rules/checker/tests.rs
+++ b/soak/src/rules/checker/tests.rs
@@ -1,22 +1,24 @@
-//! Each rule is found broken past its slack, and not before. A checker that allows too much would pass over faults of
-//! the gateway; one that allows too little would blame it for delays of the stand-ins.
+//! Each rule is reported as broken once its slack is exceeded, and not before. A checker that allows too much would miss
+//! faults of the gateway. A checker that allows too little would report delays of the stand-ins as faults of the gateway.
 
-use super::{answer_body, ObservationLog, ObservedAttempt, Rule, RuleChecker, RuleLimits};
+use super::{response_body, ObservationLog, ObservedAttempt, Rule, RuleChecker, RuleLimits};
 use crate::request_class::RequestClass;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{advance, Instant};
 
-const MS: fn(u64) -> Duration = Duration::from_millis;
+fn ms(milliseconds: u64) -> Duration {
+    Duration::from_millis(milliseconds)
+}
 
 fn checker() -> RuleChecker {
     let limits = RuleLimits {
-        drain_grace: MS(2000),
-        key_window: MS(1000),
-        overload_window: MS(1000),
+        drain_grace: ms(2000),
+        key_window: ms(1000),
+        overload_window: ms(1000),
         capacity_per_s: 10.0,
         initial_share: 0.2,
-        warm_up: MS(10_000),
+        warm_up: ms(10_000),
         overload_multiple: 4.0,
     };
     RuleChecker::new(limits, Rc::new(ObservationLog::start()))
@@ -27,7 +29,7 @@
         transaction,
         endpoint: 3,
         began_at: Instant::now(),
-        propagated_deadline: MS(1000),
+        propagated_deadline: ms(1000),
         drain_notified_at: None,
         started_at: None,
         allowance: Duration::ZERO,
@@ -43,50 +45,51 @@
         .collect()
 }
 
-/// A gateway sends an attempt for a client that has closed, to an endpoint that drains, or with a deadline that is too
-/// long. Sockets and this process delay what is seen; up to that slack nothing is reported, one ms more is.
+/// A gateway sends an attempt for a client that has disconnected, to an endpoint that drains, or with a deadline that is
+/// too long. Sockets and the test process delay the observations. Nothing is reported within that slack, and a violation
+/// is reported 1 ms beyond it.
 #[tokio::test(start_paused = true)]
-async fn times_are_checked_with_their_slack() {
+async fn a_time_rule_is_broken_only_beyond_its_slack() {
     let mut checker = checker();
-    checker.request_sent(1, RequestClass::AtMostOnce, 0, MS(1000));
-    checker.attempt(attempt(1));
-    checker.client_closed(1);
-    advance(MS(100)).await;
-    let drain_notified_at = Some(Instant::now() - MS(2050));
-    checker.attempt(ObservedAttempt {
-        propagated_deadline: MS(1050),
+    checker.request_sent(1, RequestClass::AtMostOnce, 0, ms(1000));
+    checker.attempt_received(attempt(1));
+    checker.client_disconnected(1);
+    advance(ms(100)).await;
+    let drain_notified_at = Some(Instant::now() - ms(2050));
+    checker.attempt_received(ObservedAttempt {
+        propagated_deadline: ms(1050),
         drain_notified_at,
         ..attempt(1)
     });
     assert_eq!(rules(&checker), []);
-    advance(MS(1)).await;
-    checker.attempt(ObservedAttempt {
-        propagated_deadline: MS(900),
+    advance(ms(1)).await;
+    checker.attempt_received(ObservedAttempt {
+        propagated_deadline: ms(900),
         ..attempt(1)
     });
     assert_eq!(rules(&checker), [Rule::ClientDisconnected]);
-    checker.attempt(ObservedAttempt {
-        allowance: MS(2),
-        propagated_deadline: MS(1052),
+    checker.attempt_received(ObservedAttempt {
+        allowance: ms(2),
+        propagated_deadline: ms(1052),
         ..attempt(1)
     });
     assert_eq!(
         rules(&checker).len(),
         2,
-        "the delay is allowed for: {:?}",
+        "the allowance for late observations isn't applied: {:?}",
         checker.log.violations()
     );
-    let drain_notified_at = Some(Instant::now() - MS(2051));
-    checker.request_sent(2, RequestClass::AtMostOnce, 0, MS(1000));
-    checker.attempt(ObservedAttempt {
+    let drain_notified_at = Some(Instant::now() - ms(2051));
+    checker.request_sent(2, RequestClass::AtMostOnce, 0, ms(1000));
+    checker.attempt_received(ObservedAttempt {
         drain_notified_at,
         ..attempt(2)
     });
     assert_eq!(rules(&checker)[2..], [Rule::Drain]);
 }
 
-/// A gateway retries a request that may have been executed. An idempotent one may be, and one with a key that the
-/// endpoints still know is dropped there; any other is executed twice, and that is reported.
+/// A gateway retries a request that may have been executed. An idempotent request may be executed again, and a request
+/// whose key the endpoints still know is not executed again. Any other second execution is reported.
 #[tokio::test(start_paused = true)]
 async fn a_request_is_executed_once_unless_it_is_idempotent() {
     let mut checker = checker();
@@ -95,34 +98,35 @@
         (2, RequestClass::WithKey),
         (3, RequestClass::AtMostOnce),
     ] {
-        checker.request_sent(transaction, class, 0, MS(1000));
-        assert!(checker.executed(transaction, 0));
+        checker.request_sent(transaction, class, 0, ms(1000));
+        assert!(checker.execution_started(transaction, 0));
     }
-    assert!(!checker.executed(2, 1), "its key is known");
-    checker.executed(1, 1);
+    assert!(!checker.execution_started(2, 1), "the key is known");
+    checker.execution_started(1, 1);
     assert_eq!(rules(&checker), []);
-    checker.executed(3, 1);
-    advance(MS(1000)).await;
-    checker.executed(2, 1);
+    checker.execution_started(3, 1);
+    advance(ms(1000)).await;
+    checker.execution_started(2, 1);
     assert_eq!(rules(&checker), [Rule::Duplicate, Rule::Duplicate]);
 }
 
-/// A gateway gives a client the response to another request, or a success that no endpoint made. The body shows it.
+/// A gateway sends a client the response to another request, or a success that no endpoint produced. The response body
+/// reveals both.
 #[tokio::test(start_paused = true)]
-async fn a_success_needs_the_answer_made_for_its_request() {
+async fn a_success_has_the_body_produced_for_its_request() {
     let mut checker = checker();
     for transaction in [1, 2, 3] {
-        checker.request_sent(transaction, RequestClass::Idempotent, 0, MS(1000));
+        checker.request_sent(transaction, RequestClass::Idempotent, 0, ms(1000));
     }
-    checker.executed(1, 0);
-    checker.executed(2, 0);
-    checker.answered(1, 200, answer_body(1).as_bytes());
-    checker.answered(3, 502, b"");
+    checker.execution_started(1, 0);
+    checker.execution_started(2, 0);
+    checker.response_received(1, 200, response_body(1).as_bytes());
+    checker.response_received(3, 502, b"");
     assert_eq!(rules(&checker), []);
-    checker.answered(2, 200, answer_body(1).as_bytes());
-    checker.answered(3, 200, answer_body(3).as_bytes());
-    checker.attempt(attempt(9));
-    checker.lost(3, "closed");
+    checker.response_received(2, 200, response_body(1).as_bytes());
+    checker.response_received(3, 200, response_body(3).as_bytes());
+    checker.attempt_received(attempt(9));
+    checker.request_lost(3, "closed");
     assert_eq!(
         rules(&checker),
         [
@@ -134,20 +138,21 @@
     );
 }
 
-/// A gateway sends an endpoint that has just started more than it can serve, which would overload it. At first 4 * 0.2 * 10 = 8 a second are the limit, with a margin of 3 standard deviations and 3.
+/// A gateway overloads an endpoint that has just started. The limit at the start is 4 * 0.2 * 10 = 8 attempts in a window
+/// of 1 s, with a tolerance of 3 standard deviations plus 3 attempts.
 #[tokio::test(start_paused = true)]
-async fn an_endpoint_that_warms_up_may_get_only_so_many_attempts() {
+async fn attempts_at_an_endpoint_that_is_warming_up_are_limited() {
     let mut checker = checker();
-    checker.request_sent(1, RequestClass::Idempotent, 0, MS(1000));
+    checker.request_sent(1, RequestClass::Idempotent, 0, ms(1000));
     let started_at = Some(Instant::now());
     for _ in 0..19 {
-        checker.attempt(ObservedAttempt {
+        checker.attempt_received(ObservedAttempt {
             started_at,
             ..attempt(1)
         });
     }
     assert_eq!(rules(&checker), []);
-    checker.attempt(ObservedAttempt {
+    checker.attempt_received(ObservedAttempt {
         started_at,
         ..attempt(1)
     });
--- a/soak/src/rules/limits.rs
+++ b/soak/src/rules/limits.rs
@@ -1,27 +1,27 @@
-//! The figures of the rules.
+//! The parameters of the rules.
 
 use std::time::Duration;
 
-/// Figures of the rules, as the gateways get them.
+/// The parameters of the rules, as the gateways are configured with them.
 #[derive(Clone, Copy, Debug)]
 pub struct RuleLimits {
-    /// Grace after the notice of draining.
+    /// Time after the notice of draining in which an endpoint may still get attempts.
     pub drain_grace: Duration,
-    /// How long endpoints know an idempotency key.
+    /// Time for which endpoints remember an idempotency key.
     pub key_window: Duration,
-    /// The span of time in which the attempts at an endpoint that is warming up are counted.
+    /// Length of the sliding window in which the attempts at an endpoint that is warming up are counted.
     pub overload_window: Duration,
-    /// Requests a second of a warm endpoint.
+    /// Capacity of a warm endpoint, in requests per second.
     pub capacity_per_s: f64,
-    /// Share of this capacity that an endpoint has when it starts.
+    /// Share of `capacity_per_s` that an endpoint has when it starts.
     pub initial_share: f64,
-    /// Time until an endpoint is warm.
+    /// Time from the start of an endpoint until it is warm.
     pub warm_up: Duration,
-    /// Multiple of its present capacity that overloads an endpoint.
+    /// Multiple of its current capacity that overloads an endpoint.
     pub overload_multiple: f64,
 }
 
-/// The figures of all runs.
+/// The parameters that all runs use.
 pub const LIMITS: RuleLimits = RuleLimits {
     drain_grace: Duration::from_secs(2),
     key_window: Duration::from_secs(1),
--- a/soak/src/rules/mod.rs
+++ b/soak/src/rules/mod.rs
@@ -1,15 +1,15 @@
-//! The rules of the protocol, and what was seen that they are checked by.
+//! The rules of the protocol, and the observations that they are checked against.
 //!
-//! - `limits`: the figures of the rules, as the gateways get them
-//! - `observation_log`: broken rules and counts
-//! - `checker`: what was seen of each request, checked as it comes in
-//! - `slow_start`: how many attempts an endpoint that is warming up may get
+//! - `limits`: the parameters of the rules, as the gateways are configured with them
+//! - `observation_log`: the broken rules and the counters of a run
+//! - `checker`: the observed events of each request, checked as they are recorded
+//! - `slow_start`: the limit on attempts at an endpoint that is warming up
 
 mod checker;
 mod limits;
 mod observation_log;
 mod slow_start;
 
-pub use checker::{answer_body, ObservedAttempt, RuleChecker, SharedRuleChecker};
+pub use checker::{response_body, ObservedAttempt, RuleChecker, SharedRuleChecker};
 pub use limits::LIMITS;
 pub use observation_log::{ObservationLog, Rule, Violation};
--- a/soak/src/rules/observation_log.rs
+++ b/soak/src/rules/observation_log.rs
@@ -1,4 +1,4 @@
-//! Broken rules and counts of a run.
+//! The broken rules and the counters of a run.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -6,39 +6,39 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A rule that was broken.
+/// A rule that the run checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Executed more than once.
+    /// A request that isn't idempotent was executed more than once.
     Duplicate,
-    /// No final answer, or a connection closed in place of one.
+    /// A request got no final response; its connection may have been closed instead.
     Lost,
-    /// Sent to an endpoint past the grace time of its draining.
+    /// An attempt was sent to a draining endpoint after the grace period.
     Drain,
-    /// Sent for a client that had closed its connection.
+    /// An attempt was sent for a client that had closed its connection.
     ClientDisconnected,
-    /// A longer deadline propagated than the client has left.
+    /// The propagated deadline was longer than the time that the client had left.
     Deadline,
-    /// A success that no endpoint made for this request.
+    /// A successful response wasn't produced by any endpoint for its request, or an attempt belongs to no request.
     WrongAnswer,
-    /// An endpoint that is warming up got more attempts than it can serve.
+    /// An endpoint that was warming up got more attempts than it can serve.
     SlowStart,
-    /// A process crashed, was not ready or did not end in time.
+    /// A process crashed, used too much memory, or was not ready or did not end in time, or a fault wasn't injected.
     Process,
-    /// A client that misbehaves got neither an error nor a close in time.
+    /// A client that sent no valid request got neither a response nor a close in time.
     MisbehavingClient,
-    /// The gateway's own check found a broken rule.
+    /// A gateway reported a broken rule or a panic.
     OwnCheck,
 }
 
-/// A broken rule and where.
+/// One case of a broken rule.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// The rule.
+    /// The rule that was broken.
     pub rule: Rule,
-    /// Ids, times, figures.
+    /// The ids, times and values that describe the case.
     pub detail: String,
-    /// Time since the start of the run.
+    /// Time from the start of the run to the report of the violation.
     pub at: Duration,
 }
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// Records what the parts of a run observe.
+/// Collects the broken rules and the counters of a run.
 pub struct ObservationLog {
     started_at: Instant,
     violations: RefCell<Vec<Violation>>,
@@ -62,7 +62,7 @@
 }
 
 impl ObservationLog {
-    /// An empty log that starts now.
+    /// Creates an empty log. The times of violations are measured from this call.
     #[must_use]
     pub fn start() -> Self {
         ObservationLog {
@@ -72,16 +72,16 @@
         }
     }
 
-    /// Adds one to the count of this name.
+    /// Increments the counter `name`.
     pub fn count(&self, name: &str) {
         *self.counts.borrow_mut().entry(name.to_owned()).or_default() += 1;
     }
 
-    /// Keeps the largest of the figures of this name.
-    pub fn record_largest(&self, name: &str, figure: u64) {
+    /// Keeps the largest of the values that were recorded under `name`.
+    pub fn record_largest(&self, name: &str, value: u64) {
         let mut counts = self.counts.borrow_mut();
         let largest = counts.entry(name.to_owned()).or_default();
-        *largest = figure.max(*largest);
+        *largest = value.max(*largest);
     }
 
     /// Records a broken rule.
@@ -93,13 +93,13 @@
         });
     }
 
-    /// The broken rules so far.
+    /// The violations that were recorded so far, in that order.
     #[must_use]
     pub fn violations(&self) -> Vec<Violation> {
         self.violations.borrow().clone()
     }
 
-    /// The counts so far, by name.
+    /// The counters and largest values so far, by name.
     #[must_use]
     pub fn counts(&self) -> BTreeMap<String, u64> {
         self.counts.borrow().clone()
--- a/soak/src/rules/slow_start.rs
+++ b/soak/src/rules/slow_start.rs
@@ -1,38 +1,38 @@
-//! How many attempts an endpoint that is warming up may get.
+//! Checks that an endpoint that is warming up doesn't get more attempts than it can serve.
 //!
-//! The program has a check of its own (`driver/slow_start_check.rs`), which sees the attempts of one gateway and
-//! estimates the capacity. This one sees the attempts of all gateways, and knows the capacity. It shares no code with
-//! the other on purpose: a fault in one of them is found by the other.
+//! The gateway has a check of its own (`driver/slow_start_check.rs`), which observes the attempts of one gateway and
+//! estimates the capacity. The check in this module observes the attempts of all gateways and knows the capacity.
+//! The two share no code on purpose: each finds faults of the other.
 
 use super::limits::RuleLimits;
 use std::collections::{HashMap, VecDeque};
 use tokio::time::Instant;
 
-/// Below this number of attempts in a window the wider tolerance applies, as small counts vary more by chance.
-const FEW_ATTEMPTS: f64 = 30.0;
-/// Tolerance above the limit, in standard deviations of a Poisson count; as many attempts are added.
+/// If fewer attempts than this are allowed in a window, the wider tolerance applies, as small counts vary more by chance.
+const SMALL_LIMIT: f64 = 30.0;
+/// Tolerance above the limit, in standard deviations of a Poisson count. The same number of attempts is added to it.
 const TOLERANCE: f64 = 2.0;
-/// The tolerance where the limit is less than `FEW_ATTEMPTS`, in the same unit.
-const TOLERANCE_OF_FEW: f64 = 3.0;
+/// The tolerance if the limit is less than `SMALL_LIMIT`, in the unit of `TOLERANCE`.
+const SMALL_LIMIT_TOLERANCE: f64 = 3.0;
 
 /// More attempts in a window than an endpoint that is warming up can serve.
 #[derive(Clone, Copy, Debug)]
 pub struct Overload {
-    /// Attempts in the window.
+    /// Number of attempts in the window.
     pub attempts: f64,
-    /// Attempts that overload it, without the tolerance.
+    /// Number of attempts above which the endpoint is overloaded, without the tolerance.
     pub limit: f64,
 }
 
 /// Counts the attempts at endpoints that are warming up.
 pub struct SlowStartCheck {
     limits: RuleLimits,
-    /// The attempts of the last window, by endpoint.
+    /// The start times of the attempts in the last window, by endpoint number.
     recent: HashMap<usize, VecDeque<Instant>>,
 }
 
 impl SlowStartCheck {
-    /// No attempts yet.
+    /// Creates a check that has recorded no attempts.
     pub fn new(limits: RuleLimits) -> Self {
         SlowStartCheck {
             limits,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Counts an attempt at an endpoint that started then. Returns how it is overloaded, if it is.
+    /// Counts an attempt at `endpoint`, which started at `started_at`. Returns the overload if there is one.
     pub fn record(
         &mut self,
         endpoint: usize,
@@ -66,8 +66,8 @@
         let progress = age.as_secs_f64() / limits.warm_up.as_secs_f64();
         let share = limits.initial_share + (1.0 - limits.initial_share) * progress;
         let limit = limits.overload_multiple * share * limits.capacity_per_s * window.as_secs_f64();
-        let tolerance = if limit < FEW_ATTEMPTS {
-            TOLERANCE_OF_FEW
+        let tolerance = if limit < SMALL_LIMIT {
+            SMALL_LIMIT_TOLERANCE
         } else {
             TOLERANCE
         };
--- a/soak/tests/command.rs
+++ b/soak/tests/command.rs
@@ -1,10 +1,10 @@
-//! The command line, and a short run without faults. What depends on time is judged in long runs, by hand.
+//! The command line, and a short run without faults. Rules that depend on time are judged in long runs, by hand.
 // Tests fail by panicking.
 #![allow(clippy::unwrap_used)]
 
 use std::process::{Command, Output};
 
-/// Built by the test command before the tests run.
+/// The gateway program. The test command builds it before it runs the tests.
 const PROGRAM: &str = concat!(
     env!("CARGO_MANIFEST_DIR"),
     "/../target/release/quota-gateway"
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn an_argument_out_of_range_is_reported_in_one_line() {
+fn an_invalid_argument_is_reported_in_one_line() {
     for (arguments, named) in [
         (["--gateways", "0"], "--gateways"),
         (["--seconds", "100000"], "--seconds"),
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_calm_run_serves_requests_and_breaks_no_rule_that_needs_no_clock() {
+fn a_run_without_faults_serves_requests_and_breaks_no_rule_that_is_independent_of_time() {
     let size = [
         "--gateways",
         "3",
@@ -56,7 +56,7 @@
     let output = soak(&[&["--program", PROGRAM][..], &size[..]].concat());
     let report = String::from_utf8(output.stdout).unwrap();
     assert!(
-        report.contains(" answers 200"),
+        report.contains(" responses with status 200"),
         "{report}{}",
         String::from_utf8_lossy(&output.stderr)
     );
