--- a/soak/src/arguments.rs
+++ b/soak/src/arguments.rs
@@ -52,9 +52,10 @@
     /// Clients for each gateway.
     #[arg(long, default_value_t = 3)]
     pub(crate) clients: usize,
-    /// Requests in a hundred whose clients leave before their answer, half of them behind up to 4 MB sent ahead.
-    #[arg(long, default_value_t = 8)]
-    pub(crate) leaving_percent: u32,
+    /// Percentage of requests whose clients disconnect before the response. Half of them first send up to 4 MiB of
+    /// further bytes.
+    #[arg(long = "leaving-percent", default_value_t = 8)]
+    pub(crate) early_disconnect_percent: u32,
     /// Length of the load.
     #[arg(long, default_value_t = 30)]
     pub(crate) seconds: u64,
--- a/soak/src/clients/context.rs
+++ b/soak/src/clients/context.rs
@@ -1,4 +1,4 @@
-//! What clients need of a run.
+//! The state of a run that clients share.
 
 use crate::gateway_directory::GatewayDirectory;
 use crate::rules::{ObservationLog, SharedRuleChecker};
@@ -7,34 +7,34 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Spreads ids over all their digits, as ids of clients are.
+/// Multiplier that spreads consecutive numbers over all digits of an id, as the ids of real clients are spread.
 const ID_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// What clients need of a run.
+/// The state of a run that clients share.
 #[derive(Clone)]
 pub struct ClientContext {
-    /// What was set for the run.
+    /// The settings of the run.
     pub settings: RunSettings,
-    /// Gets requests and their outcomes.
+    /// Checks the requests that clients send and their outcomes.
     pub checker: SharedRuleChecker,
-    /// Gets counts.
+    /// Collects the counters of clients.
     pub observations: Rc<ObservationLog>,
-    /// Where gateways are.
+    /// The addresses and states of the gateways.
     pub directory: Rc<GatewayDirectory>,
-    /// How late this process runs.
+    /// The scheduling delay of this process.
     pub delay: SchedulingDelay,
-    /// Ids of requests.
+    /// Generates the ids of requests.
     pub transactions: Rc<TransactionIds>,
 }
 
-/// Makes the ids of requests.
+/// Generates the ids of requests.
 #[derive(Default)]
 pub struct TransactionIds {
     last: Cell<u64>,
 }
 
 impl TransactionIds {
-    /// An id that no request had.
+    /// Returns an id that no earlier request has.
     pub fn next(&self) -> u64 {
         let number = self.last.get() + 1;
         self.last.set(number);
--- a/soak/src/clients/idle.rs
+++ b/soak/src/clients/idle.rs
@@ -1,5 +1,5 @@
-//! Idle clients that fill the descriptors of a gateway: each connects, sends nothing, and connects again once it has
-//! been closed.
+//! Idle clients that use up the file descriptors of a gateway. Each client connects, sends nothing, and connects again
+//! after the gateway has closed its connection.
 
 use super::context::ClientContext;
 use rand::Rng;
@@ -10,12 +10,12 @@
 
 /// Pause before a client connects again.
 const PAUSE_MS: std::ops::Range<u64> = 50..300;
-/// Bytes that are read at a time of whatever the gateway sends.
+/// Buffer size for what the gateway sends.
 const READ_BYTES: usize = 512;
-/// Name of these clients' random streams. Another name would draw other times from a seed.
+/// Name of the random streams of idle clients. Another name would draw other times from a seed.
 const STREAM: &str = "crowd";
 
-/// One idle client of a gateway, until the load ends.
+/// Runs one idle client of a gateway until the load ends.
 pub async fn run(context: ClientContext, gateway: usize, number: u64) {
     let mut rng = crate::seeded_rng(context.settings.seed, STREAM, number);
     while !context.settings.has_load_ended() {
@@ -27,8 +27,12 @@
         let Ok(mut stream) = TcpStream::connect(state.address).await else {
             continue;
         };
-        let mut answer = [0; READ_BYTES];
-        // Ends with the connection.
-        while stream.read(&mut answer).await.is_ok_and(|bytes| bytes > 0) {}
+        let mut response = [0; READ_BYTES];
+        // The loop ends when the connection ends.
+        while stream
+            .read(&mut response)
+            .await
+            .is_ok_and(|bytes| bytes > 0)
+        {}
     }
 }
--- a/soak/src/clients/misbehaving.rs
+++ b/soak/src/clients/misbehaving.rs
@@ -1,4 +1,5 @@
-//! Clients that never send a valid request. Each has to get an error or a close within 3 s of connecting.
+//! Clients that never send a valid request. The gateway has to send an error or close the connection within 3 s after
+//! the client has connected.
 
 use super::context::ClientContext;
 use crate::rules::Rule;
@@ -10,15 +11,15 @@
 
 /// Pause before a client connects again.
 const PAUSE_MS: std::ops::Range<u64> = 100..1500;
-/// The gateway answers or closes within this time of the connection.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
-/// A client waits this much longer, so that the report shows how late an answer came.
+/// The gateway responds or closes the connection within this time after the client has connected.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
+/// A client waits this much longer than `RESPONSE_TIMEOUT`, so that the report shows how late the gateway responded.
 const EXTRA_WAIT: Duration = Duration::from_secs(2);
-/// Pause between connecting and sending, of those clients that pause.
+/// Pause between connecting and sending, for clients that pause.
 const SEND_DELAY_MS: std::ops::Range<u64> = 0..2200;
 
-/// What such a client sends before it falls silent.
-const TEXTS: [&str; 7] = [
+/// Data that a misbehaving client sends before it stops sending.
+const PAYLOADS: [&str; 7] = [
     "",
     "GET /look",
     "rubbish\r\n\r\n",
@@ -29,7 +30,7 @@
     "POST /once HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
 ];
 
-/// Misbehaves until the load ends.
+/// Runs one misbehaving client until the load ends.
 pub async fn run(context: ClientContext, number: u64) {
     let mut rng = crate::seeded_rng(context.settings.seed, "misbehaving client", number);
     while !context.settings.has_load_ended() {
@@ -40,7 +41,7 @@
         } else {
             rng.random_range(SEND_DELAY_MS)
         });
-        let text = TEXTS[rng.random_range(0..TEXTS.len())];
+        let payload = PAYLOADS[rng.random_range(0..PAYLOADS.len())];
         let state = context.directory.state(gateway);
         if !state.is_admitted {
             continue;
@@ -51,16 +52,19 @@
         let connected_at = Instant::now();
         let mut connection = Connection::new(stream);
         sleep(delay).await;
-        let _ = connection.send(text.as_bytes()).await;
-        let is_over = timeout(ANSWER_TIMEOUT + EXTRA_WAIT, connection.receive())
+        let _ = connection.send(payload.as_bytes()).await;
+        let has_ended = timeout(RESPONSE_TIMEOUT + EXTRA_WAIT, connection.receive())
             .await
             .is_ok();
-        let took = connected_at.elapsed();
-        let allowed = ANSWER_TIMEOUT + context.delay.allowance();
+        let elapsed = connected_at.elapsed();
+        let allowed = RESPONSE_TIMEOUT + context.delay.allowance();
         let was_restarted = context.directory.state(gateway).generation != state.generation;
         context.observations.count("misbehaving clients");
-        if (!is_over || took > allowed) && !was_restarted {
-            let detail = format!("gateway {gateway}: {took:?} for {text:?}, sent after {delay:?}");
+        if (!has_ended || elapsed > allowed) && !was_restarted {
+            let detail = format!(
+                "gateway {gateway}: no response or close in time for {payload:?}, sent {delay:?} after connecting; \
+                 waited {elapsed:?}"
+            );
             context.observations.report(Rule::MisbehavingClient, detail);
         }
     }
--- a/soak/src/clients/mod.rs
+++ b/soak/src/clients/mod.rs
@@ -1,11 +1,11 @@
-//! The load.
+//! The clients that put load on the gateways.
 //!
-//! - `context`: what clients need of a run
-//! - `request`, `outcome`: requests as clients send them, and what becomes of them
-//! - `steady`: clients that make requests one after the other; some leave early, send slowly or send ahead
-//! - `shutdown`: clients that send until a gateway that ends is killed
+//! - `context`: the state of a run that clients share
+//! - `request`, `outcome`: requests as clients send them, and their outcomes
+//! - `steady`: clients that make requests one after the other; some disconnect early, send slowly or pipeline requests
+//! - `shutdown`: clients that send requests to a gateway that is shutting down, until it is killed
 //! - `misbehaving`: clients that never send a valid request
-//! - `idle`: clients that send nothing and fill the gateways' descriptors
+//! - `idle`: clients that send nothing and use up the gateways' file descriptors
 
 mod context;
 mod idle;
--- a/soak/src/clients/outcome.rs
+++ b/soak/src/clients/outcome.rs
@@ -1,4 +1,5 @@
-//! What becomes of a request that was sent: its answer, or what the end of its connection says of it.
+//! The outcome of a request that was sent: the response, or whether the gateway had read the request when the
+//! connection ended.
 
 use super::context::ClientContext;
 use super::request::Request;
@@ -11,63 +12,70 @@
 #[cfg(test)]
 mod tests;
 
-/// An answer may come this long after the client's deadline; later, the request counts as lost.
-const ANSWER_SLACK: Duration = Duration::from_millis(500);
-/// A request and the close of its connection may cross for this long.
+/// A response may arrive this long after the client's deadline. A request without a response by then counts as lost.
+const RESPONSE_SLACK: Duration = Duration::from_millis(500);
+/// A close that the client observes within this time after it sent a request may have been sent before the request
+/// arrived.
 const CROSSING_TIME: Duration = Duration::from_millis(10);
 
-/// How a connection ended without an answer.
+/// How a connection ended without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Close {
-    /// It broke, or its end crossed the request: the gateway has not read that, and it may be sent again.
+    /// The connection was reset, or its close crossed the request on the way. The gateway has not read the request, so
+    /// the client may send it again.
     Unread,
-    /// It was closed in an orderly way after the request had arrived. With bytes unread the system would have broken
-    /// it: the gateway has read the request and dropped it.
+    /// The connection was closed in an orderly way after the request had arrived. The operating system would have reset
+    /// a connection with unread bytes, so the gateway has read the request and dropped it.
     Dropped,
 }
 
 impl Close {
-    /// The close that a client saw `after` it had sent its request on a connection that was open then; `delay` is how
-    /// late this process may have seen it.
-    pub fn seen(result: &io::Result<Option<Message>>, after: Duration, delay: Duration) -> Self {
+    /// Classifies the end of a connection that was open when the client sent its request. `elapsed` is the time from
+    /// sending the request to observing the end, and `delay` is the delay that this process may have added to it.
+    pub fn classify(
+        result: &io::Result<Option<Message>>,
+        elapsed: Duration,
+        delay: Duration,
+    ) -> Self {
         let is_orderly = matches!(result, Ok(None));
-        if is_orderly && after > CROSSING_TIME + delay {
+        if is_orderly && elapsed > CROSSING_TIME + delay {
             Close::Dropped
         } else {
             Close::Unread
         }
     }
 
-    /// Whether idle clients may be the cause: where they fill the descriptors, a connection may be closed unread.
-    pub fn is_due_to_idle_clients(self, was_forwarded: bool) -> bool {
+    /// True if idle clients may be the cause: a gateway whose file descriptors they use up may close a connection
+    /// unread.
+    pub fn may_be_due_to_idle_clients(self, was_forwarded: bool) -> bool {
         self == Close::Unread && !was_forwarded
     }
 }
 
-/// What became of a request.
+/// The outcome of a request.
 pub enum Outcome {
-    /// Its answer is complete.
-    Answered(Message),
-    /// The connection ended without an answer.
+    /// The complete response.
+    Response(Message),
+    /// The connection ended without a response.
     Closed(Close),
-    /// Nothing came in time.
+    /// No response arrived in time.
     TimedOut,
 }
 
-/// Waits for the answer to a request that was sent just now, and hands it to the checker.
+/// Waits for the response to a request that was just sent, and passes it to the checker.
 pub async fn receive(
     context: &ClientContext,
     connection: &mut Connection,
     request: &Request,
 ) -> Outcome {
     let sent_at = Instant::now();
-    match timeout(request.remaining + ANSWER_SLACK, connection.receive()).await {
-        Ok(Ok(Some(answer))) => {
+    match timeout(request.remaining + RESPONSE_SLACK, connection.receive()).await {
+        Ok(Ok(Some(response))) => {
             let mut checker = context.checker.borrow_mut();
-            checker.response_received(request.transaction, answer.status(), &answer.body);
-            Outcome::Answered(answer)
+            checker.response_received(request.transaction, response.status(), &response.body);
+            Outcome::Response(response)
         }
-        Ok(result) => Outcome::Closed(Close::seen(
+        Ok(result) => Outcome::Closed(Close::classify(
             &result,
             sent_at.elapsed(),
             context.delay.allowance(),
--- a/soak/src/clients/outcome/tests.rs
+++ b/soak/src/clients/outcome/tests.rs
@@ -1,5 +1,5 @@
-//! How the end of a connection shows whether a request was read. A gateway that reads a request and then drops it has
-//! lost it; one that closes before it reads has not, and the client may send it again.
+//! The end of a connection shows whether the gateway has read the request. A gateway that reads a request and then
+//! drops it has lost the request. If a gateway closes before it reads, the client may send the request again.
 
 use super::{Close, CROSSING_TIME};
 use std::io::{Error, ErrorKind};
@@ -10,29 +10,29 @@
 #[test]
 fn an_orderly_close_after_a_request_has_arrived_means_that_it_was_read() {
     let late = CROSSING_TIME + DELAY + Duration::from_millis(1);
-    assert_eq!(Close::seen(&Ok(None), late, DELAY), Close::Dropped);
+    assert_eq!(Close::classify(&Ok(None), late, DELAY), Close::Dropped);
     assert_eq!(
-        Close::seen(&Ok(None), CROSSING_TIME + DELAY, DELAY),
+        Close::classify(&Ok(None), CROSSING_TIME + DELAY, DELAY),
         Close::Unread,
-        "it may have crossed the close"
+        "the request may have crossed the close"
     );
     let reset = Err(Error::from(ErrorKind::ConnectionReset));
     assert_eq!(
-        Close::seen(&reset, late, DELAY),
+        Close::classify(&reset, late, DELAY),
         Close::Unread,
-        "the system resets over unread bytes"
+        "the system resets a connection with unread bytes"
     );
 }
 
 #[test]
-fn idle_clients_excuse_only_what_was_never_read() {
-    assert!(Close::Unread.is_due_to_idle_clients(false));
+fn idle_clients_excuse_only_requests_that_were_never_read() {
+    assert!(Close::Unread.may_be_due_to_idle_clients(false));
     assert!(
-        !Close::Unread.is_due_to_idle_clients(true),
-        "an endpoint has seen it"
+        !Close::Unread.may_be_due_to_idle_clients(true),
+        "an endpoint has received the request"
     );
     assert!(
-        !Close::Dropped.is_due_to_idle_clients(false),
-        "it was read and dropped"
+        !Close::Dropped.may_be_due_to_idle_clients(false),
+        "the request was read and dropped"
     );
 }
--- a/soak/src/clients/request.rs
+++ b/soak/src/clients/request.rs
@@ -7,34 +7,34 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// A client waits for at least this, or half of the class's deadline if that is shorter.
+/// A client waits for at least this time, or half of the class's deadline if that is shorter.
 const MIN_REMAINING: Duration = Duration::from_millis(150);
-/// A client waits for at least this part of the class's deadline.
-const MIN_REMAINING_PART: f64 = 0.1;
-/// Customers of one client.
+/// A client waits for at least this share of the class's deadline.
+const MIN_REMAINING_SHARE: f64 = 0.1;
+/// Number of customers whose requests one client sends.
 const CUSTOMERS: u64 = 50;
-/// The classes, each as likely as the others.
+/// The request classes, drawn with equal probability.
 const CLASSES: [RequestClass; 3] = [
     RequestClass::Idempotent,
     RequestClass::WithKey,
     RequestClass::AtMostOnce,
 ];
-/// Bytes of a body.
+/// Length of a request body.
 const BODY_BYTES: std::ops::Range<usize> = 0..4000;
 
 /// One request.
 pub struct Request {
-    /// Its id.
+    /// The id of the request (`X-Txn`).
     pub transaction: u64,
-    /// Its class.
+    /// The class of the request.
     pub class: RequestClass,
-    /// How long its client waits.
+    /// The time that the client waits for the response (`X-Remaining-Ms`).
     pub remaining: Duration,
-    /// As it is sent.
+    /// The complete message as the client sends it.
     pub text: String,
 }
 
-/// Makes the requests of one client.
+/// Generates the requests of one client.
 pub struct RequestSource {
     context: ClientContext,
     number: u64,
@@ -42,7 +42,7 @@
 }
 
 impl RequestSource {
-    /// Those of the client of this number, which no other client has.
+    /// Creates the source for the client `number`, which has to be unique in the run.
     pub fn new(context: ClientContext, number: u64) -> Self {
         let rng = crate::seeded_rng(context.settings.seed, "requests", number);
         RequestSource {
@@ -52,14 +52,14 @@
         }
     }
 
-    /// The next request, with an id of its own.
+    /// Returns the next request, with a new id.
     pub fn next(&mut self) -> Request {
         let class = *CLASSES
             .choose(&mut self.rng)
             .unwrap_or(&RequestClass::Idempotent);
         let longest = self.context.settings.scenario.deadline(class);
         let shortest = longest
-            .mul_f64(MIN_REMAINING_PART)
+            .mul_f64(MIN_REMAINING_SHARE)
             .max(MIN_REMAINING)
             .min(longest / 2);
         let remaining = self.rng.random_range(shortest..longest);
--- a/soak/src/clients/shutdown.rs
+++ b/soak/src/clients/shutdown.rs
@@ -1,5 +1,5 @@
-//! Clients of a gateway that is about to end. They connect before or shortly after SIGTERM, rest, and send a request at
-//! any moment up to SIGKILL, on a connection that they have not used yet or have used once.
+//! Clients of a gateway that is about to shut down. They connect before or shortly after SIGTERM, wait, and send a
+//! request at any time up to SIGKILL, on a connection that is unused or has carried one request.
 
 use super::context::ClientContext;
 use super::outcome::{receive, Close, Outcome};
@@ -14,26 +14,27 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// The first of these clients connect this long before SIGTERM.
+/// The first shutdown clients connect this long before SIGTERM.
 pub const LEAD_TIME: Duration = Duration::from_millis(500);
-/// Clients of one gateway.
+/// Number of shutdown clients of one gateway.
 const CLIENTS: u64 = 40;
 /// Pause between the two pieces of a request.
 const PIECE_PAUSE_MS: std::ops::Range<u64> = 1..400;
-/// A connection comes up within this time or not at all.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Numbers of these clients start here, behind those of the steady load.
-const FIRST_NUMBER: u64 = 1 << 20;
+/// The first number of a shutdown client, above the numbers of the steady load.
+const FIRST_CLIENT_NUMBER: u64 = 1 << 20;
 
-/// How a client sends what it has to send.
+/// How a client sends its last requests.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum SendPattern {
     Complete,
     InTwoPieces,
-    TwoAtOnce,
+    /// Two requests without a pause.
+    Pipelined,
 }
 
-/// One of these clients.
+/// One client of a gateway that is shutting down.
 struct ShutdownClient {
     context: ClientContext,
     gateway: usize,
@@ -48,7 +49,7 @@
     let mut clients = JoinSet::new();
     for number in 0..CLIENTS {
         let rng = crate::seeded_rng(rng.random(), "shutdown client", number);
-        let number = FIRST_NUMBER + gateway as u64 * CLIENTS + number;
+        let number = FIRST_CLIENT_NUMBER + gateway as u64 * CLIENTS + number;
         let client = ShutdownClient {
             context: context.clone(),
             gateway,
@@ -75,31 +76,31 @@
         let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address)).await;
         let Ok(Ok(stream)) = connecting else { return };
         let mut connection = Connection::new(stream);
-        if self.rng.random() && !self.use_once(&mut connection).await {
+        if self.rng.random() && !self.make_first_request(&mut connection).await {
             return;
         }
         sleep_until(send_at).await;
-        self.send_late(&mut connection).await;
+        self.send_last_requests(&mut connection).await;
     }
 
-    /// Makes a request in the way of any other client; false if the connection can't be used any more.
-    async fn use_once(&mut self, connection: &mut Connection) -> bool {
+    /// Makes an ordinary request. Returns false if the connection can't be used any more.
+    async fn make_first_request(&mut self, connection: &mut Connection) -> bool {
         let request = self.requests.next();
         self.record_sent(&request);
-        // Where it fails, an answer may have come before.
+        // A failure is ignored: a response may have arrived before it.
         let _ = connection.send(request.text.as_bytes()).await;
         self.receive(connection, &request).await
     }
 
-    /// Sends what is drawn, on a connection that the gateway may be about to close.
-    async fn send_late(&mut self, connection: &mut Connection) {
+    /// Sends one or two requests in a random pattern on a connection that the gateway may be about to close.
+    async fn send_last_requests(&mut self, connection: &mut Connection) {
         let pattern = match self.rng.random_range(0..3) {
             0 => SendPattern::Complete,
             1 => SendPattern::InTwoPieces,
-            _ => SendPattern::TwoAtOnce,
+            _ => SendPattern::Pipelined,
         };
         let mut requests = vec![self.requests.next()];
-        if pattern == SendPattern::TwoAtOnce {
+        if pattern == SendPattern::Pipelined {
             requests.push(self.requests.next());
         }
         let text: String = requests
@@ -109,7 +110,7 @@
         let mut rest = text.as_bytes();
         if pattern == SendPattern::InTwoPieces {
             let (first, last) = rest.split_at(self.rng.random_range(1..rest.len()));
-            // It fails on a connection that was closed: nothing was sent.
+            // Sending fails on a closed connection, and no complete request was sent.
             if connection.send(first).await.is_err() {
                 return;
             }
@@ -125,8 +126,8 @@
         }
         self.context
             .observations
-            .count("requests at a gateway's end");
-        // Where it fails, an answer may have come before.
+            .count("requests during a gateway's shutdown");
+        // A failure is ignored: a response may have arrived before it.
         let _ = connection.send(rest).await;
         for request in &requests {
             if !self.receive(connection, request).await {
@@ -145,37 +146,42 @@
         );
     }
 
-    /// Waits for an answer; false if nothing more is answered behind it.
+    /// Waits for a response. Returns false if no further response can follow on the connection.
     async fn receive(&self, connection: &mut Connection, request: &Request) -> bool {
         match receive(&self.context, connection, request).await {
-            Outcome::Answered(answer) => return !answer.closes(),
-            Outcome::Closed(close) => self.check_unanswered(request, close),
-            Outcome::TimedOut => self.lost(request, "no answer in time"),
+            Outcome::Response(response) => return !response.closes(),
+            Outcome::Closed(close) => self.check_closed(request, close),
+            Outcome::TimedOut => self.report_lost(request, "no response in time"),
         }
         false
     }
 
-    /// A request that crossed the end of its connection, unread, may be sent once more elsewhere; one that was read is
-    /// lost.
-    fn check_unanswered(&self, request: &Request, close: Close) {
+    /// Reports a request as lost if the gateway has read it. A request that crossed the end of its connection unread
+    /// may be sent again elsewhere.
+    fn check_closed(&self, request: &Request, close: Close) {
         let was_forwarded = self
             .context
             .checker
             .borrow()
             .was_forwarded(request.transaction);
         match close {
-            Close::Dropped => self.lost(request, "read and dropped at the gateway's end"),
+            Close::Dropped => {
+                self.report_lost(request, "read and dropped during the gateway's shutdown");
+            }
             Close::Unread if was_forwarded => {
-                self.lost(request, "not answered at the gateway's end");
+                self.report_lost(
+                    request,
+                    "forwarded, but no response during the gateway's shutdown",
+                );
             }
             Close::Unread => {
                 let observations = &self.context.observations;
-                observations.count("requests at a gateway's end that crossed a close");
+                observations.count("requests during a gateway's shutdown that were closed unread");
             }
         }
     }
 
-    fn lost(&self, request: &Request, how: &str) {
+    fn report_lost(&self, request: &Request, how: &str) {
         let mut checker = self.context.checker.borrow_mut();
         checker.request_lost(request.transaction, how);
     }
--- a/soak/src/clients/steady.rs
+++ b/soak/src/clients/steady.rs
@@ -1,4 +1,5 @@
-//! The steady load: clients that make one request after the other. Some leave early, send slowly or send ahead.
+//! The steady load: clients that make one request after the other. Some of them disconnect early, send slowly or
+//! pipeline requests.
 
 use super::context::ClientContext;
 use super::outcome::{receive, Close, Outcome};
@@ -15,14 +16,14 @@
 
 /// Pause of a client between two requests.
 const PAUSE_MS: std::ops::Range<u64> = 5..200;
-/// Pause between the two pieces of a request that is sent slowly.
+/// Pause between the two pieces of a request that is sent in two pieces.
 const PIECE_PAUSE_MS: std::ops::Range<u64> = 1..800;
-/// A client that leaves does so this long after its request.
-const LEAVE_DELAY_MS: std::ops::Range<u64> = 0..60;
-/// A connection comes up within this time or not at all.
+/// A client that disconnects early does so this long after its request.
+const DISCONNECT_DELAY_MS: std::ops::Range<u64> = 0..60;
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Largest amount that a client sends ahead before it leaves, in bytes.
-const MAX_SENT_AHEAD: usize = 4 << 20;
+/// Upper bound of the bytes that a client sends after its request before it disconnects.
+const MAX_EXTRA_BYTES: usize = 4 << 20;
 
 /// A connection to a gateway.
 struct GatewayConnection {
@@ -36,36 +37,38 @@
 /// How a request is sent.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum SendPattern {
+    /// The request at once, and nothing else until the response.
     Plain,
     /// In two pieces, with a pause.
-    Slowly,
-    /// The client leaves before its answer, by closing or by a reset.
-    Leaves {
+    InTwoPieces,
+    /// The client disconnects before the response, by an orderly close or by a reset.
+    DisconnectsEarly {
         resets: bool,
-        sends_ahead: bool,
+        sends_extra_bytes: bool,
     },
-    /// Another request behind it on the same connection.
-    SendsAhead,
+    /// Another request follows on the same connection before the response.
+    Pipelined,
 }
 
-/// One client.
+/// One client of the steady load.
 pub struct Client {
     context: ClientContext,
-    leaving_percent: u32,
+    early_disconnect_percent: u32,
     requests: RequestSource,
     rng: ChaCha8Rng,
-    /// A connection that is kept alive between two requests.
+    /// The connection that is kept alive between two requests.
     idle_connection: Option<GatewayConnection>,
 }
 
 impl Client {
-    /// The client of this number. It leaves before the answer to `leaving_percent` of its requests.
-    pub fn new(context: ClientContext, number: u64, leaving_percent: u32) -> Self {
+    /// Creates the client `number`, which disconnects before the response to `early_disconnect_percent` of its
+    /// requests.
+    pub fn new(context: ClientContext, number: u64, early_disconnect_percent: u32) -> Self {
         let rng = crate::seeded_rng(context.settings.seed, "client", number);
         let requests = RequestSource::new(context.clone(), number);
         Client {
             context,
-            leaving_percent,
+            early_disconnect_percent,
             requests,
             rng,
             idle_connection: None,
@@ -78,33 +81,37 @@
             sleep(Duration::from_millis(self.rng.random_range(PAUSE_MS))).await;
             let request = self.requests.next();
             match self.draw_pattern() {
-                SendPattern::Leaves {
+                SendPattern::DisconnectsEarly {
                     resets,
-                    sends_ahead,
+                    sends_extra_bytes,
                 } => {
-                    self.leave(&request, resets, sends_ahead).await;
+                    self.disconnect_early(&request, resets, sends_extra_bytes)
+                        .await;
+                }
+                SendPattern::Pipelined => self.make_pipelined_requests(&request).await,
+                pattern => {
+                    self.make_request(&request, pattern == SendPattern::InTwoPieces)
+                        .await
                 }
-                SendPattern::SendsAhead => self.send_two(&request).await,
-                pattern => self.make(&request, pattern == SendPattern::Slowly).await,
             }
         }
     }
 
     fn draw_pattern(&mut self) -> SendPattern {
-        if self.rng.random_range(0..100) < self.leaving_percent {
-            return SendPattern::Leaves {
+        if self.rng.random_range(0..100) < self.early_disconnect_percent {
+            return SendPattern::DisconnectsEarly {
                 resets: self.rng.random(),
-                sends_ahead: self.rng.random(),
+                sends_extra_bytes: self.rng.random(),
             };
         }
         match self.rng.random_range(0..100) {
-            0..4 => SendPattern::Slowly,
-            4..8 => SendPattern::SendsAhead,
+            0..4 => SendPattern::InTwoPieces,
+            4..8 => SendPattern::Pipelined,
             _ => SendPattern::Plain,
         }
     }
 
-    /// A connection that may be used, opened if there is none.
+    /// Returns the idle connection, or opens one to a random gateway. `None` if no connection can be opened.
     async fn connect(&mut self) -> Option<GatewayConnection> {
         if let Some(connection) = self.idle_connection.take() {
             return Some(connection);
@@ -122,37 +129,38 @@
         })
     }
 
-    /// Makes a request and waits for its outcome. One that crosses the close of an idle connection is sent once more.
-    async fn make(&mut self, request: &Request, slowly: bool) {
+    /// Makes a request and waits for its outcome. A request that crosses the close of a reused connection is sent again
+    /// once.
+    async fn make_request(&mut self, request: &Request, in_two_pieces: bool) {
         for _ in 0..2 {
             let Some(mut open) = self.connect().await else {
                 return;
             };
-            // Where it fails, an answer may have come before.
-            let _ = self.send(&mut open, request, slowly).await;
+            // A failure is ignored: a response may have arrived before it.
+            let _ = self.send(&mut open, request, in_two_pieces).await;
             match receive(&self.context, &mut open.connection, request).await {
-                Outcome::Answered(answer) => return self.keep(open, &answer),
+                Outcome::Response(response) => return self.keep_alive(open, &response),
                 Outcome::TimedOut => return self.check_timed_out(&open, request),
                 Outcome::Closed(Close::Unread)
                     if open.is_reused && !self.was_forwarded(request) =>
                 {
                     let observations = &self.context.observations;
-                    observations.count("requests that crossed a close");
+                    observations.count("requests closed unread on a reused connection");
                 }
                 Outcome::Closed(close) => return self.check_closed(&open, request, close),
             }
         }
     }
 
-    /// Sends a request; false if the connection broke.
+    /// Sends a request. Returns false if the connection broke.
     async fn send(
         &mut self,
         open: &mut GatewayConnection,
         request: &Request,
-        slowly: bool,
+        in_two_pieces: bool,
     ) -> bool {
         let mut rest = request.text.as_bytes();
-        if slowly {
+        if in_two_pieces {
             let (first, last) = rest.split_at(self.rng.random_range(1..rest.len()));
             if open.connection.send(first).await.is_err() {
                 return false;
@@ -169,8 +177,8 @@
         open.connection.send(rest).await.is_ok()
     }
 
-    fn keep(&mut self, mut open: GatewayConnection, answer: &Message) {
-        if !answer.closes() && self.rng.random_range(0..10) > 0 {
+    fn keep_alive(&mut self, mut open: GatewayConnection, response: &Message) {
+        if !response.closes() && self.rng.random_range(0..10) > 0 {
             open.is_reused = true;
             self.idle_connection = Some(open);
         }
@@ -188,28 +196,28 @@
             .is_some_and(|killed| killed >= open.generation)
     }
 
-    /// A request whose connection ended without an answer is lost, unless its gateway was killed, or the load balancer should
-    /// not have opened the connection any more.
+    /// Checks a request whose connection ended without a response. The request is lost unless its gateway was killed,
+    /// idle clients may be the cause, or the load balancer should no longer have opened the connection.
     fn check_closed(&self, open: &GatewayConnection, request: &Request, close: Close) {
         let observations = &self.context.observations;
         if self.was_killed(open) {
-            return observations.count("requests of killed gateways");
+            return observations.count("requests to gateways that were killed");
         }
         let has_idle_clients = self.context.settings.scenario.has_idle_clients;
-        if has_idle_clients && close.is_due_to_idle_clients(self.was_forwarded(request)) {
-            return observations.count("requests closed unread among idle clients");
+        if has_idle_clients && close.may_be_due_to_idle_clients(self.was_forwarded(request)) {
+            return observations.count("requests closed unread in runs with idle clients");
         }
         if !open.is_reused && self.was_opened_too_late(open) {
-            return observations.count("requests to gateways that were ending");
+            return observations.count("requests to gateways that were shutting down");
         }
-        let how = if open.is_reused { "a reused" } else { "a new" };
+        let kind = if open.is_reused { "reused" } else { "new" };
         let terminated_at = self.context.directory.state(open.gateway).terminated_at;
         let after_sigterm = terminated_at.and_then(|at| open.opened_at.checked_duration_since(at));
         let detail = format!(
-            "{close:?} on {how} connection, opened {:?} ago and {after_sigterm:?} after SIGTERM",
+            "{close:?} on a {kind} connection, opened {:?} ago and {after_sigterm:?} after SIGTERM",
             open.opened_at.elapsed()
         );
-        self.lost(request, &detail);
+        self.report_lost(request, &detail);
     }
 
     fn was_opened_too_late(&self, open: &GatewayConnection) -> bool {
@@ -226,28 +234,31 @@
 
     fn check_timed_out(&self, open: &GatewayConnection, request: &Request) {
         if !self.was_killed(open) {
-            self.lost(request, "no answer in time");
+            self.report_lost(request, "no response in time");
         }
     }
 
-    fn lost(&self, request: &Request, how: &str) {
+    fn report_lost(&self, request: &Request, how: &str) {
         let mut checker = self.context.checker.borrow_mut();
         checker.request_lost(request.transaction, how);
     }
 
-    /// Sends a request and leaves before its answer.
-    async fn leave(&mut self, request: &Request, resets: bool, sends_ahead: bool) {
+    /// Sends a request and disconnects before the response.
+    async fn disconnect_early(&mut self, request: &Request, resets: bool, sends_extra_bytes: bool) {
         let Some(mut open) = self.connect().await else {
             return;
         };
         if !self.send(&mut open, request, false).await {
             return;
         }
-        if sends_ahead {
-            let noise = vec![b'x'; self.rng.random_range(0..MAX_SENT_AHEAD)];
-            let _ = timeout(request.remaining, open.connection.send(&noise)).await;
+        if sends_extra_bytes {
+            let extra_bytes = vec![b'x'; self.rng.random_range(0..MAX_EXTRA_BYTES)];
+            let _ = timeout(request.remaining, open.connection.send(&extra_bytes)).await;
         }
-        sleep(Duration::from_millis(self.rng.random_range(LEAVE_DELAY_MS))).await;
+        sleep(Duration::from_millis(
+            self.rng.random_range(DISCONNECT_DELAY_MS),
+        ))
+        .await;
         if resets {
             open.connection.reset_on_drop();
         }
@@ -256,8 +267,8 @@
         checker.client_disconnected(request.transaction);
     }
 
-    /// Sends two requests together and reads both answers.
-    async fn send_two(&mut self, first: &Request) {
+    /// Sends two requests without waiting in between, and reads both responses.
+    async fn make_pipelined_requests(&mut self, first: &Request) {
         let second = self.requests.next();
         let Some(mut open) = self.connect().await else {
             return;
@@ -269,14 +280,14 @@
         }
         for request in [first, &second] {
             match receive(&self.context, &mut open.connection, request).await {
-                // Behind this nothing more is answered.
-                Outcome::Answered(answer) if answer.closes() => return,
-                Outcome::Answered(_) => {}
+                // No response follows a response that closes the connection.
+                Outcome::Response(response) if response.closes() => return,
+                Outcome::Response(_) => {}
                 Outcome::TimedOut => return self.check_timed_out(&open, request),
                 Outcome::Closed(close) if self.was_forwarded(request) => {
                     return self.check_closed(&open, request, close);
                 }
-                // A client that sends ahead has to expect that the connection ends behind an answer.
+                // A client that pipelines requests has to expect that the connection ends after any response.
                 Outcome::Closed(_) => return,
             }
         }
--- a/soak/src/rules/checker.rs
+++ b/soak/src/rules/checker.rs
@@ -42,7 +42,8 @@
     pub began_at: Instant,
     /// The remaining time until the deadline, as the gateway propagated it (`X-Remaining-Ms`).
     pub propagated_deadline: Duration,
-    /// The time at which the gateway was notified that the endpoint takes no new requests. `None` if it was not notified.
+    /// The time at which the gateway was notified that the endpoint takes no new requests. `None` if it was not
+    /// notified.
     pub drain_notified_at: Option<Instant>,
     /// The time at which the endpoint started. `None` if it started before the run or is no longer listed as ready.
     pub started_at: Option<Instant>,
@@ -94,7 +95,7 @@
 
     /// Records that the client has closed its connection without waiting for a response.
     pub fn client_disconnected(&mut self, transaction: u64) {
-        self.log.count("clients that left");
+        self.log.count("clients that disconnected early");
         if let Some(request) = self.requests.get_mut(&transaction) {
             request.closed_at = Some(Instant::now());
         }
--- a/soak/src/rules/checker/tests.rs
+++ b/soak/src/rules/checker/tests.rs
@@ -1,5 +1,6 @@
-//! Each rule is reported as broken once its slack is exceeded, and not before. A checker that allows too much would miss
-//! faults of the gateway. A checker that allows too little would report delays of the stand-ins as faults of the gateway.
+//! Each rule is reported as broken once its slack is exceeded, and not before. A checker that allows too much would
+//! miss faults of the gateway. A checker that allows too little would report delays of the stand-ins as faults of the
+//! gateway.
 
 use super::{response_body, ObservationLog, ObservedAttempt, Rule, RuleChecker, RuleLimits};
 use crate::request_class::RequestClass;
@@ -45,9 +46,9 @@
         .collect()
 }
 
-/// A gateway sends an attempt for a client that has disconnected, to an endpoint that drains, or with a deadline that is
-/// too long. Sockets and the test process delay the observations. Nothing is reported within that slack, and a violation
-/// is reported 1 ms beyond it.
+/// A gateway sends an attempt for a client that has disconnected, to an endpoint that drains, or with a deadline that
+/// is too long. Sockets and the test process delay the observations. Nothing is reported within that slack, and a
+/// violation is reported 1 ms beyond it.
 #[tokio::test(start_paused = true)]
 async fn a_time_rule_is_broken_only_beyond_its_slack() {
     let mut checker = checker();
@@ -138,8 +139,8 @@
     );
 }
 
-/// A gateway overloads an endpoint that has just started. The limit at the start is 4 * 0.2 * 10 = 8 attempts in a window
-/// of 1 s, with a tolerance of 3 standard deviations plus 3 attempts.
+/// A gateway overloads an endpoint that has just started. The limit at the start is 4 * 0.2 * 10 = 8 attempts in a
+/// window of 1 s, with a tolerance of 3 standard deviations plus 3 attempts.
 #[tokio::test(start_paused = true)]
 async fn attempts_at_an_endpoint_that_is_warming_up_are_limited() {
     let mut checker = checker();
--- a/soak/src/rules/slow_start.rs
+++ b/soak/src/rules/slow_start.rs
@@ -8,7 +8,8 @@
 use std::collections::{HashMap, VecDeque};
 use tokio::time::Instant;
 
-/// If fewer attempts than this are allowed in a window, the wider tolerance applies, as small counts vary more by chance.
+/// If fewer attempts than this are allowed in a window, the wider tolerance applies, as small counts vary more by
+/// chance.
 const SMALL_LIMIT: f64 = 30.0;
 /// Tolerance above the limit, in standard deviations of a Poisson count. The same number of attempts is added to it.
 const TOLERANCE: f64 = 2.0;
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -219,7 +219,11 @@
 fn start_load(context: &ClientContext, size: &RunSize) -> JoinSet<()> {
     let mut load = JoinSet::new();
     for number in 0..size.gateways * size.clients {
-        let client = Client::new(context.clone(), number as u64, size.leaving_percent);
+        let client = Client::new(
+            context.clone(),
+            number as u64,
+            size.early_disconnect_percent,
+        );
         load.spawn_local(client.run());
     }
     for number in 0..size.gateways * MISBEHAVING_CLIENTS_PER_GATEWAY {
