--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -9,7 +9,7 @@
 
 use crate::api::Millis;
 
-/// Largest expected latency at which a request is admitted, as a share of its usable time: the time to its
+/// Largest expected latency at which a request is admitted, as a share of its latency budget: the time to its
 /// latency objective or to its client's timeout, whichever is shorter.
 const MAX_EXPECTED_LATENCY_SHARE: f64 = 0.4;
 /// Expected latency below which a request over a limit may be forwarded, as a share of the latency objective
@@ -81,7 +81,7 @@
     pub(super) latency_objective_ms: Millis,
     /// Time from the request's arrival to its latency objective or its client's timeout, whichever is
     /// shorter.
-    pub(super) usable_time_ms: Millis,
+    pub(super) latency_budget_ms: Millis,
     /// Share of its value that a request keeps when it is served over a limit.
     pub(super) over_quota_weight: f64,
     /// Cost of forwarding a request over a limit, as a share of the request's value.
@@ -93,7 +93,7 @@
     if let Some(limit) = exceeded_limit(customer) {
         return decide_over_limit(limit, load);
     }
-    if load.expected_latency_ms > MAX_EXPECTED_LATENCY_SHARE * load.usable_time_ms.max(0.0) {
+    if load.expected_latency_ms > MAX_EXPECTED_LATENCY_SHARE * load.latency_budget_ms.max(0.0) {
         return Admission::Reject(RejectReason::Overloaded);
     }
     Admission::Charge
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -152,7 +152,7 @@
 
     /// Returns the longest time that the request waits for the counter, in ms.
     pub(crate) fn max_wait(&self, open: &OpenRequest) -> Millis {
-        self.counter.max_wait_ms(open.usable_time_ms)
+        self.counter.max_wait_ms(open.latency_budget_ms)
     }
 
     /// Queries the customer's total at the counter at intervals while its requests are rejected without a
