--- a/soak/src/endpoint.rs
+++ b/soak/src/endpoint.rs
@@ -20,7 +20,7 @@
 use tokio::time::sleep;
 
 /// Time that a request takes.
-const SERVICE_MS: std::ops::Range<u64> = 3..25;
+const SERVICE_TIME_MS: std::ops::Range<u64> = 3..25;
 /// Time after which an endpoint that drains ends, longer than the grace after the notice.
 const DRAIN_TIME: Duration = Duration::from_secs(4);
 /// The same where lists are polled, so that the notice may take 6 s.
@@ -110,7 +110,10 @@
     /// the first execution, whatever the endpoint does otherwise.
     async fn execute(&mut self, transaction: u64, behaviour: Behaviour) -> Behaviour {
         let is_first = self.record_execution(transaction);
-        sleep(Duration::from_millis(self.rng.random_range(SERVICE_MS))).await;
+        sleep(Duration::from_millis(
+            self.rng.random_range(SERVICE_TIME_MS),
+        ))
+        .await;
         if is_first {
             behaviour
         } else {
--- a/soak/src/faults/endpoint_faults.rs
+++ b/soak/src/faults/endpoint_faults.rs
@@ -10,7 +10,7 @@
 /// Endpoints that stay at least.
 const MIN_READY: usize = 6;
 /// How endpoints misbehave.
-const MISBEHAVIOURS: [Behaviour; 7] = [
+const FAULTY_BEHAVIOURS: [Behaviour; 7] = [
     Behaviour::Hangs,
     Behaviour::Resets,
     Behaviour::Rejects,
@@ -29,7 +29,7 @@
     }
 
     fn draw_behaviour(&mut self) -> Behaviour {
-        MISBEHAVIOURS
+        FAULTY_BEHAVIOURS
             .choose(&mut self.rng)
             .copied()
             .unwrap_or(Behaviour::Hangs)
--- a/soak/src/faults/gateway_faults.rs
+++ b/soak/src/faults/gateway_faults.rs
@@ -4,7 +4,7 @@
 use super::system_calls::draw_call_faults;
 use crate::clients::{start_shutdown_clients, ClientContext, LEAD_TIME};
 use crate::error::SoakError;
-use crate::gateway::{Addresses, Gateway, ShutdownPlan, STALL};
+use crate::gateway::{Addresses, Gateway, ShutdownPlan, STALL_DURATION};
 use crate::loopback::any_port;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -15,9 +15,9 @@
 use tokio::time::sleep;
 
 /// The former address of discovery closes its connections this long after a new configuration.
-const FORMER_CLOSE_DELAY: Duration = Duration::from_millis(1500);
+const PREVIOUS_CLOSE_DELAY: Duration = Duration::from_millis(1500);
 /// A configuration that was cut off.
-const INVALID_CONFIG: &str = "{\"name\": \"n0\", ";
+const TRUNCATED_CONFIG: &str = "{\"name\": \"n0\", ";
 
 impl Injector {
     /// Ends some gateways, by SIGTERM or SIGKILL, and starts them again.
@@ -38,7 +38,7 @@
                     shut_down(&context.clients, gateway, &mut rng).await
                 };
                 let processes = &context.processes;
-                processes.start_again(index, addresses, call_faults).await
+                processes.restart(index, addresses, call_faults).await
             });
         }
         while let Some(ended) = restarts.join_next().await {
@@ -52,7 +52,7 @@
         for index in self.draw_gateways() {
             let gateways = self.context.processes.gateways.borrow();
             if let Some(gateway) = gateways.get(&index) {
-                stalls.spawn_local(gateway.stall(STALL));
+                stalls.spawn_local(gateway.stall(STALL_DURATION));
             }
         }
         while stalls.join_next().await.is_some() {}
@@ -65,7 +65,7 @@
         let publisher = self.context.publisher.clone();
         let new = Discovery::start(listener, publisher, FirstUpdate::Changes)?;
         let address = new.address();
-        let former = processes.discovery.borrow_mut().replace(new);
+        let previous = processes.discovery.borrow_mut().replace(new);
         for index in processes.running_gateways() {
             let mut gateways = processes.gateways.borrow_mut();
             let Some(gateway) = gateways.get_mut(&index) else {
@@ -75,8 +75,8 @@
             addresses.discovery = address;
             gateway.reload(addresses)?;
         }
-        if let Some(former) = former {
-            former.retire(FORMER_CLOSE_DELAY).await;
+        if let Some(previous) = previous {
+            previous.retire(PREVIOUS_CLOSE_DELAY).await;
         }
         Ok(())
     }
@@ -85,7 +85,7 @@
     pub fn reload_invalid(mut self) -> Result<(), SoakError> {
         for index in self.draw_gateways() {
             if let Some(gateway) = self.context.processes.gateways.borrow().get(&index) {
-                gateway.reload_invalid(INVALID_CONFIG)?;
+                gateway.reload_invalid(TRUNCATED_CONFIG)?;
             }
         }
         Ok(())
--- a/soak/src/faults/injector.rs
+++ b/soak/src/faults/injector.rs
@@ -55,7 +55,7 @@
 
 impl Injector {
     /// A random part of these, one at least.
-    fn draw_part<T>(&mut self, mut all: Vec<T>) -> Vec<T> {
+    fn draw_subset<T>(&mut self, mut all: Vec<T>) -> Vec<T> {
         all.shuffle(&mut self.rng);
         let most = (all.len() as f64 * MAX_SHARE).ceil() as usize;
         all.truncate(self.rng.random_range(1..=most.max(1)));
@@ -65,12 +65,12 @@
     /// Endpoints that take requests.
     pub fn draw_endpoints(&mut self) -> Vec<usize> {
         let ready = self.context.endpoints.fleet.ready();
-        self.draw_part(ready)
+        self.draw_subset(ready)
     }
 
     /// Gateways that run.
     pub fn draw_gateways(&mut self) -> Vec<usize> {
         let running = self.context.processes.running_gateways();
-        self.draw_part(running)
+        self.draw_subset(running)
     }
 }
--- a/soak/src/faults/processes.rs
+++ b/soak/src/faults/processes.rs
@@ -30,7 +30,7 @@
     }
 
     /// Starts a gateway again. Discovery may move while it starts; the gateway is notified of that by a reload.
-    pub async fn start_again(
+    pub async fn restart(
         &self,
         index: usize,
         mut addresses: Addresses,
--- a/soak/src/faults/system_calls.rs
+++ b/soak/src/faults/system_calls.rs
@@ -4,8 +4,8 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// Faults in the form of the library that injects them, `tests/shim/syscall_faults.c`: a rate in a thousand calls, or an
-/// offset of the wall clock in seconds.
+/// Faults in the form of the library that injects them, `tests/shim/syscall_faults.c`: a rate in a thousand calls, or
+/// an offset of the wall clock in seconds.
 const CALL_FAULTS: [&str; 14] = [
     "recv_eintr=20",
     "send_eintr=20",
--- a/soak/src/gateway/config.rs
+++ b/soak/src/gateway/config.rs
@@ -1,4 +1,4 @@
-//! The configuration that gateways are started with.
+//! The configuration of a gateway.
 
 use crate::request_class::RequestClass;
 use crate::rules::LIMITS;
@@ -9,35 +9,35 @@
 
 /// The latency objective of a class with a long deadline.
 const LATENCY_OBJECTIVE: Duration = Duration::from_millis(1500);
-/// The objective is at most this part of the class's deadline.
-const LATENCY_OBJECTIVE_PART: f64 = 0.75;
+/// The latency objective is at most this share of the class's deadline.
+const LATENCY_OBJECTIVE_SHARE: f64 = 0.75;
 
-/// The addresses that a gateway is started with.
+/// The addresses in a gateway's configuration.
 #[derive(Clone, Copy)]
 pub struct Addresses {
-    /// Where it listens.
+    /// The address that the gateway listens on.
     pub listen: SocketAddr,
-    /// Discovery.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// The counter.
+    /// The address of the shared counter.
     pub counter: SocketAddr,
 }
 
-/// What the configurations of all gateways of a run have in common.
+/// The settings that all gateways of a run have in common.
 #[derive(Clone, Copy)]
-pub struct Site {
-    /// Number of gateways.
+pub struct CommonConfig {
+    /// Number of gateways in the run.
     pub gateways: usize,
-    /// Gateways poll a service that all share for the list, in place of an agent that pushes it.
+    /// Gateways poll a shared service for the endpoint list. Otherwise an agent pushes the list.
     pub is_polled: bool,
-    /// Deadlines and sockets.
+    /// The scenario, which sets the deadlines and the limit of sockets.
     pub scenario: Scenario,
 }
 
-/// The configuration of one gateway.
+/// Returns the configuration of the gateway `index`. `known` is the endpoint list that the gateway starts with.
 pub fn gateway_config(
     index: usize,
-    site: Site,
+    common_config: CommonConfig,
     addresses: &Addresses,
     known: &Value,
     seed: u64,
@@ -49,13 +49,13 @@
         "counter": addresses.counter,
         "seed": format!("{seed:x}"),
         "known": known,
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": site.scenario.sockets()},
-        "settings": settings(index, site),
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": common_config.scenario.sockets()},
+        "settings": settings(index, common_config),
     })
 }
 
-fn class(name: &str, effect: &str, deadline: Duration) -> Value {
-    let objective = LATENCY_OBJECTIVE.min(deadline.mul_f64(LATENCY_OBJECTIVE_PART));
+fn class_config(name: &str, effect: &str, deadline: Duration) -> Value {
+    let objective = LATENCY_OBJECTIVE.min(deadline.mul_f64(LATENCY_OBJECTIVE_SHARE));
     json!({
         "name": name, "aim-ms": millis(objective), "give-up-ms": millis(deadline), "value": 1.0, "late-worth": 0.2,
         "effect": effect, "group": "all", "window-ms": millis(LIMITS.key_window)
@@ -66,19 +66,19 @@
     duration.as_secs_f64() * 1000.0
 }
 
-fn settings(index: usize, site: Site) -> Value {
+fn settings(index: usize, common_config: CommonConfig) -> Value {
     json!({
-        "balancers": site.gateways,
+        "balancers": common_config.gateways,
         "position": index,
         "locality": index % 2,
         "zones": ["room-a", "room-b"],
         "kinds": ["std"],
         "granularity-ms": 2.0,
-        "membership-mode": if site.is_polled { "ask" } else { "push" },
+        "membership-mode": if common_config.is_polled { "ask" } else { "push" },
         "categories": [
-            class("look", "read_like", site.scenario.deadline(RequestClass::Idempotent)),
-            class("order", "idempotency_key", site.scenario.deadline(RequestClass::WithKey)),
-            class("once", "non_idempotent", site.scenario.deadline(RequestClass::AtMostOnce))
+            class_config("look", "read_like", common_config.scenario.deadline(RequestClass::Idempotent)),
+            class_config("order", "idempotency_key", common_config.scenario.deadline(RequestClass::WithKey)),
+            class_config("once", "non_idempotent", common_config.scenario.deadline(RequestClass::AtMostOnce))
         ],
         "tiers-of-service": [{
             "name": "plus", "refill": 2000.0, "store-size": 4000.0, "max-out": 0, "pays": 1.0, "extra-worth": 0.0,
--- a/soak/src/gateway/launcher.rs
+++ b/soak/src/gateway/launcher.rs
@@ -1,6 +1,6 @@
-//! How gateways are started, and what they share with the rest of the run.
+//! The command that starts a gateway, and the state that all gateways of a run share.
 
-use super::config::Site;
+use super::config::CommonConfig;
 use crate::gateway_directory::GatewayDirectory;
 use crate::notices::NoticeTimes;
 use crate::rules::ObservationLog;
@@ -12,30 +12,31 @@
 use std::rc::Rc;
 use tokio::process::Command;
 
-/// How to start gateways, and who learns of what they do.
+/// The command, settings and shared state with which gateways are started.
 pub struct Launcher {
-    /// The program.
+    /// Path of the gateway program.
     pub program: PathBuf,
-    /// What all configurations have in common.
-    pub site: Site,
-    /// The library that makes system calls fail, if any.
+    /// The settings that all gateways have in common.
+    pub common_config: CommonConfig,
+    /// The preloaded library that makes system calls fail, if any.
     pub faults_library: Option<PathBuf>,
-    /// Where logs go, if anywhere.
+    /// The folder for the gateways' logs. `None` if logs aren't kept.
     pub log_folder: Option<PathBuf>,
-    /// What was set for the run.
+    /// The settings of the run.
     pub settings: RunSettings,
-    /// Gets the faults of processes.
+    /// Collects the faults of processes.
     pub observations: Rc<ObservationLog>,
-    /// What clients know of the gateways.
+    /// The addresses and states of the gateways, as clients know them.
     pub directory: Rc<GatewayDirectory>,
-    /// The list that gateways start with.
+    /// Publishes the endpoint list. Gateways start with the list that was published last.
     pub publisher: Rc<ListPublisher>,
-    /// Learns of reloads.
+    /// Records the reloads of gateways.
     pub notices: Rc<NoticeTimes>,
 }
 
 impl Launcher {
-    /// The command that starts a gateway. `call_faults` says which of its system calls fail.
+    /// Returns the command that starts a gateway. `call_faults` specifies the system calls that fail, in the form of
+    /// `tests/shim/syscall_faults.c`.
     pub fn command(&self, config_path: &Path, call_faults: Option<&str>) -> Command {
         let mut command = Command::new(&self.program);
         command
@@ -61,7 +62,7 @@
         }
     }
 
-    /// The file for a process's log; none if logs go nowhere.
+    /// Creates the log file of a process. `None` if logs aren't kept or the file can't be created.
     pub fn open_log(&self, index: usize, generation: u32) -> Option<File> {
         let folder = self.log_folder.as_deref()?;
         std::fs::create_dir_all(folder).ok()?;
--- a/soak/src/gateway/log.rs
+++ b/soak/src/gateway/log.rs
@@ -1,4 +1,4 @@
-//! What gateways log.
+//! The logs of the gateways.
 
 use crate::rules::{ObservationLog, Rule};
 use std::fs::File;
@@ -7,7 +7,7 @@
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::process::ChildStderr;
 
-/// Reads a log to its end; a line about a broken rule or a panic is reported.
+/// Reads a log to its end and reports each line about a broken rule or a panic. All lines are copied to `file`.
 pub async fn read_log(
     observations: Rc<ObservationLog>,
     index: usize,
--- a/soak/src/gateway/mod.rs
+++ b/soak/src/gateway/mod.rs
@@ -1,12 +1,12 @@
-//! The gateways' processes.
+//! The gateway processes under test.
 //!
-//! - `config`: what they are started with
-//! - `launcher`: how they are started, and what they share with the rest of the run
-//! - `process`: one process, its configuration file and its signals
-//! - `health`: whether it is ready, what it counts, whether it has crashed
-//! - `log`: what it logs
-//! - `shutdown`: its end, by SIGTERM or SIGKILL; `shutdown_plan`: what happens to it meanwhile
-//! - `processor`, `thread_states`: what the system does with it
+//! - `config`: the configuration of a gateway
+//! - `launcher`: the command that starts a gateway, and the state that all gateways of a run share
+//! - `process`: one process, its configuration file and the signals sent to it
+//! - `health`: readiness, the gateway's own count of broken rules, crashes and memory
+//! - `log`: the gateway's log
+//! - `shutdown`: the end of a process by SIGTERM or SIGKILL; `shutdown_plan`: faults during a shutdown
+//! - `processor`, `thread_states`: the processor that a process may use, and the states of its threads
 
 mod config;
 mod health;
@@ -18,7 +18,7 @@
 mod shutdown_plan;
 mod thread_states;
 
-pub use config::{Addresses, Site};
+pub use config::{Addresses, CommonConfig};
 pub use launcher::Launcher;
 pub use process::Gateway;
-pub use shutdown_plan::{ShutdownPlan, STALL};
+pub use shutdown_plan::{ShutdownPlan, STALL_DURATION};
--- a/soak/src/gateway/process.rs
+++ b/soak/src/gateway/process.rs
@@ -1,9 +1,9 @@
-//! One gateway's process, its configuration file and its signals.
+//! One gateway process, its configuration file and the signals sent to it.
 
 use super::config::{gateway_config, Addresses};
 use super::launcher::Launcher;
 use super::log::read_log;
-use super::processor::bind_to_processor;
+use super::processor::pin_to_processor;
 use super::shutdown_plan::suspend;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
@@ -16,7 +16,7 @@
 use tokio::process::Child;
 use tokio::task::spawn_local;
 
-/// One gateway's process.
+/// One gateway process.
 pub struct Gateway {
     pub(super) index: usize,
     pub(super) child: Child,
@@ -27,7 +27,7 @@
 }
 
 impl Gateway {
-    /// Starts a gateway. `call_faults` says which of its system calls fail.
+    /// Starts a gateway. `call_faults` specifies the system calls that fail.
     pub fn start(
         launcher: &Rc<Launcher>,
         index: usize,
@@ -40,13 +40,14 @@
         let seed = launcher.settings.seed ^ (index as u64) << 32 ^ u64::from(generation);
         // A gateway starts with the list that was published last.
         let known = serde_json::from_str(&launcher.publisher.last_published()).unwrap_or_default();
-        let config = gateway_config(index, launcher.site, &addresses, &known, seed);
+        let config = gateway_config(index, launcher.common_config, &addresses, &known, seed);
         std::fs::write(&config_path, config.to_string())?;
         let mut command = launcher.command(&config_path, call_faults.as_deref());
         let mut child = command.spawn()?;
-        let sharing = launcher.settings.scenario.gateways_per_processor;
-        if let (Some(pid), Some(sharing)) = (pid_of(&child), sharing) {
-            bind_to_processor(pid, index / sharing)?;
+        let gateways_per_processor = launcher.settings.scenario.gateways_per_processor;
+        if let (Some(pid), Some(gateways_per_processor)) = (pid_of(&child), gateways_per_processor)
+        {
+            pin_to_processor(pid, index / gateways_per_processor)?;
         }
         if let Some(log) = child.stderr.take() {
             let file = launcher.open_log(index, generation);
@@ -62,29 +63,29 @@
         })
     }
 
-    /// Its number.
+    /// The number of the gateway, which its restarts share.
     pub fn index(&self) -> usize {
         self.index
     }
 
-    /// The addresses that it last got.
+    /// The addresses in the gateway's latest valid configuration.
     pub fn addresses(&self) -> Addresses {
         self.addresses
     }
 
-    /// Its process id; none once it has ended and that was noticed.
+    /// The process id. `None` once the process has ended and was waited for.
     pub(super) fn pid(&self) -> Option<Pid> {
         pid_of(&self.child)
     }
 
     pub(super) fn signal(&self, signal: Signal) {
         if let Some(pid) = self.pid() {
-            // It fails for a process that has just ended.
+            // A signal to a process that has just ended fails.
             let _ = kill(pid, signal);
         }
     }
 
-    /// Suspends the process for a time. It may end meanwhile.
+    /// Suspends the process for `duration`. The process may end in the meantime.
     pub fn stall(&self, duration: Duration) -> impl Future<Output = ()> {
         let pid = self.pid();
         async move {
@@ -94,11 +95,17 @@
         }
     }
 
-    /// Replaces the configuration and sends SIGHUP.
+    /// Replaces the configuration by one with these addresses, and sends SIGHUP.
     pub fn reload(&mut self, addresses: Addresses) -> std::io::Result<()> {
         let launcher = &self.launcher;
         let seed = launcher.settings.seed;
-        let config = gateway_config(self.index, launcher.site, &addresses, &Value::Null, seed);
+        let config = gateway_config(
+            self.index,
+            launcher.common_config,
+            &addresses,
+            &Value::Null,
+            seed,
+        );
         self.write_config(&config.to_string())?;
         self.addresses = addresses;
         self.launcher.notices.record_reload(self.index);
@@ -106,14 +113,14 @@
         Ok(())
     }
 
-    /// Replaces the configuration by one that can't be read, and sends SIGHUP.
+    /// Replaces the configuration by the invalid `text`, and sends SIGHUP.
     pub fn reload_invalid(&self, text: &str) -> std::io::Result<()> {
         self.write_config(text)?;
         self.signal(Signal::SIGHUP);
         Ok(())
     }
 
-    /// The file is replaced in one step: a gateway that reads it sees the former or the new one.
+    /// Replaces the configuration file atomically, so that a gateway reads either the previous or the new file.
     fn write_config(&self, text: &str) -> std::io::Result<()> {
         let new = self.config_path.with_extension("new");
         std::fs::File::create(&new)?.write_all(text.as_bytes())?;
@@ -123,7 +130,7 @@
 
 impl Drop for Gateway {
     fn drop(&mut self) {
-        // A file left behind in the temporary folder does no harm.
+        // A file that remains in the temporary folder does no harm.
         let _ = std::fs::remove_file(&self.config_path);
     }
 }
--- a/soak/src/gateway/shutdown.rs
+++ b/soak/src/gateway/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of a gateway, by SIGTERM or by SIGKILL.
+//! The end of a gateway process by SIGTERM or by SIGKILL.
 
 use super::config::Addresses;
 use super::process::Gateway;
@@ -11,41 +11,43 @@
 use tokio::time::{sleep, timeout_at, Instant};
 
 impl Gateway {
-    /// Ends the process by SIGTERM; the load balancer notices a moment later, and SIGKILL comes as early as it may.
+    /// Ends the process by SIGTERM. The load balancer stops sending clients after `LOAD_BALANCER_DELAY`, and SIGKILL
+    /// follows at the earliest time that the protocol permits. Returns the addresses for the next process.
     pub async fn terminate(mut self, plan: ShutdownPlan) -> Addresses {
         let terminated_at = Instant::now();
         let directory = self.launcher.directory.clone();
         directory.record_termination(self.index, terminated_at);
         self.signal(Signal::SIGTERM);
-        let disturbing = self
+        let disturbance = self
             .pid()
-            .map(|pid| spawn_local(plan.carry_out(pid, terminated_at)));
+            .map(|pid| spawn_local(plan.run(pid, terminated_at)));
         let withdrawal = spawn_local(withdraw_from_load_balancer(directory, self.index));
         let kill_at = terminated_at + self.launcher.settings.scenario.kill_after();
         let ended = timeout_at(kill_at, self.child.wait()).await;
-        // No signal is sent to a process that has ended: its id may be another one's soon.
-        disturbing.iter().for_each(JoinHandle::abort);
+        // No signal may be sent to a process that has ended, as the system may reuse its id.
+        disturbance.iter().for_each(JoinHandle::abort);
         match ended {
             Ok(Ok(status)) if status.success() => {}
-            Ok(status) => self.report_process(&format!("ended with {status:?}")),
-            Err(_) => self.kill_late(plan).await,
+            Ok(status) => self.report_process_fault(&format!("exited with {status:?}")),
+            Err(_) => self.kill_overdue(plan).await,
         }
         let _ = withdrawal.await;
         self.launcher.observations.count("planned restarts");
         self.addresses
     }
 
-    /// Kills a process that did not end by itself in time, and reports it.
-    async fn kill_late(&mut self, plan: ShutdownPlan) {
+    /// Kills and reports a process that did not exit in time.
+    async fn kill_overdue(&mut self, plan: ShutdownPlan) {
         let threads = self.child.id().map(thread_states).unwrap_or_default();
-        self.report_process(&format!(
-            "is still there when it is killed, {plan}, threads: {threads}"
+        self.report_process_fault(&format!(
+            "had not exited when SIGKILL was due, {plan}, threads: {threads}"
         ));
         self.signal(Signal::SIGKILL);
         let _ = self.child.wait().await;
     }
 
-    /// Kills the process; the load balancer notices a moment later.
+    /// Kills the process by SIGKILL. The load balancer stops sending clients after `LOAD_BALANCER_DELAY`. Returns the
+    /// addresses for the next process.
     pub async fn kill(mut self) -> Addresses {
         let directory = self.launcher.directory.clone();
         directory.record_kill(self.index);
@@ -57,7 +59,7 @@
     }
 }
 
-/// The load balancer sends no more clients after a moment.
+/// Withdraws the gateway from the load balancer after `LOAD_BALANCER_DELAY`.
 async fn withdraw_from_load_balancer(directory: Rc<GatewayDirectory>, index: usize) {
     sleep(LOAD_BALANCER_DELAY).await;
     directory.withdraw(index);
--- a/soak/src/gateway/shutdown_plan.rs
+++ b/soak/src/gateway/shutdown_plan.rs
@@ -1,4 +1,4 @@
-//! What happens to a process while it ends.
+//! The faults that a process is exposed to during its shutdown.
 
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
@@ -8,22 +8,22 @@
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// A process may stall for this long, at any point.
-pub const STALL: Duration = Duration::from_millis(150);
+/// Length of a stall, for which the process is suspended.
+pub const STALL_DURATION: Duration = Duration::from_millis(150);
 /// Pause between two signals of a series.
 const SIGNAL_INTERVAL: Duration = Duration::from_millis(30);
 
-/// What happens to a process between SIGTERM and its end, beside its clients.
+/// The faults between SIGTERM and the end of a process, in addition to the load of its clients.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ShutdownPlan {
-    /// It stalls once, this long after SIGTERM.
+    /// The process stalls once, this long after SIGTERM. `None` if the process doesn't stall.
     stall_after: Option<Duration>,
-    /// SIGHUP and SIGTERM come again and again.
+    /// SIGHUP and SIGTERM are sent repeatedly.
     repeats_signals: bool,
 }
 
 impl ShutdownPlan {
-    /// One for a process that is killed after this time.
+    /// Draws a plan for a process that is killed `kill_after` after SIGTERM.
     pub fn draw(rng: &mut ChaCha8Rng, kill_after: Duration, repeats_signals: bool) -> Self {
         let stall_after = rng.random_range(Duration::ZERO..kill_after);
         ShutdownPlan {
@@ -32,15 +32,15 @@
         }
     }
 
-    /// Carries the plan out, until it is aborted.
-    pub async fn carry_out(self, pid: Pid, terminated_at: Instant) {
+    /// Injects the faults of the plan. With repeated signals this runs until it is aborted.
+    pub async fn run(self, pid: Pid, terminated_at: Instant) {
         tokio::join!(self.stall(pid, terminated_at), self.repeat_signals(pid));
     }
 
     async fn stall(self, pid: Pid, terminated_at: Instant) {
         if let Some(after) = self.stall_after {
             sleep_until(terminated_at + after).await;
-            suspend(pid, STALL).await;
+            suspend(pid, STALL_DURATION).await;
         }
     }
 
@@ -50,7 +50,7 @@
         }
         for signal in [Signal::SIGHUP, Signal::SIGTERM].into_iter().cycle() {
             sleep(SIGNAL_INTERVAL).await;
-            // It fails for a process that has just ended.
+            // A signal to a process that has just ended fails.
             let _ = kill(pid, signal);
         }
     }
@@ -66,9 +66,9 @@
     }
 }
 
-/// Suspends a process for a time. It may end meanwhile.
+/// Suspends a process for `duration`. The process may end in the meantime.
 pub async fn suspend(pid: Pid, duration: Duration) {
-    // Signals fail for a process that has just ended.
+    // A signal to a process that has just ended fails.
     let _ = kill(pid, Signal::SIGSTOP);
     sleep(duration).await;
     let _ = kill(pid, Signal::SIGCONT);
--- a/soak/src/gateway/thread_states.rs
+++ b/soak/src/gateway/thread_states.rs
@@ -1,9 +1,9 @@
-//! What the threads of a process do, as the system reports it.
+//! The states of the threads of a process, read from `/proc`.
 
 use std::fs;
 use std::path::Path;
 
-/// Names, states and system calls of all threads, for a report. What can't be read is left out.
+/// Returns the names, states and system calls of all threads for a report. Values that can't be read are left out.
 pub fn thread_states(pid: u32) -> String {
     let Ok(threads) = fs::read_dir(format!("/proc/{pid}/task")) else {
         return String::new();
@@ -24,7 +24,7 @@
         .unwrap_or("")
         .trim()
         .to_owned();
-    // Its first word is the number of the call.
+    // The first word is the number of the system call.
     let call = read("syscall").trim().to_owned();
     format!(
         "{} {state}, call {call}, {}",
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,6 +1,6 @@
-//! A soak test over real processes: many gateways on loopback, among stand-ins for endpoints, discovery, the counter and
-//! clients, under faults that overlap in time. What the stand-ins see is checked by the rules of the protocol; the
-//! gateways' own counters of broken rules have to stay at 0.
+//! A soak test over real processes: many gateways on loopback, among stand-ins for endpoints, discovery, the counter
+//! and clients, under faults that overlap in time. What the stand-ins see is checked by the rules of the protocol;
+//! the gateways' own counters of broken rules have to stay at 0.
 //!
 //! - `arguments`, `run`, `report`: one run, from its arguments to its report
 //! - `settings`, `scenario`: what was set or drawn for a run
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -6,7 +6,7 @@
 use crate::error::SoakError;
 use crate::faults::{self, draw_call_faults, shut_down, FaultContext, Processes};
 use crate::fleet::{Fleet, FIRST_VERSION};
-use crate::gateway::{Addresses, Gateway, Launcher, Site};
+use crate::gateway::{Addresses, CommonConfig, Gateway, Launcher};
 use crate::gateway_directory::GatewayDirectory;
 use crate::loopback::any_port;
 use crate::notices::NoticeTimes;
@@ -127,7 +127,7 @@
     ) -> Launcher {
         Launcher {
             program: self.program.clone(),
-            site: Site {
+            common_config: CommonConfig {
                 gateways: self.size.gateways,
                 is_polled: self.polled,
                 scenario: clients.settings.scenario,
@@ -195,7 +195,7 @@
 ) -> Result<HashMap<usize, Gateway>, SoakError> {
     let mut rng = crate::seeded_rng(launcher.settings.seed, "call faults", 0);
     let mut gateways = HashMap::new();
-    for index in 0..launcher.site.gateways {
+    for index in 0..launcher.common_config.gateways {
         let addresses = Addresses {
             listen: free_address()?,
             discovery: services.discovery,
@@ -251,7 +251,7 @@
     let mut rng = crate::seeded_rng(context.settings.seed, "last shutdown", index as u64);
     gateway.check_process();
     let observations = &context.observations;
-    match gateway.own_violations().await {
+    match gateway.counted_violations().await {
         Some(0) => {}
         Some(count) => {
             let detail = format!("gateway {index} has counted {count} broken rules");
