--- a/soak/src/arguments.rs
+++ b/soak/src/arguments.rs
@@ -1,41 +1,41 @@
-//! The arguments of the soak test.
+//! The command-line arguments of the soak test.
 
 use crate::error::SoakError;
 use clap::{Args, Parser};
 use std::path::{Path, PathBuf};
 
-/// Bounds of a run, so that it ends by itself and leaves the machine usable.
+// Upper bounds, so that a run ends by itself and leaves the machine usable.
 const MAX_GATEWAYS: usize = 60;
 const MAX_ENDPOINTS: usize = 200;
 const MAX_SECONDS: u64 = 600;
 const MAX_CLIENTS: usize = 20;
 const MAX_RUNS: u64 = 500;
 
-/// Runs many processes of the gateway on loopback under overlapping faults and checks them by the rules.
+/// Runs many processes of the gateway on loopback under overlapping faults and checks the rules of the protocol.
 #[derive(Clone, Debug, Parser)]
 #[command(version)]
 pub struct SoakArguments {
     #[command(flatten)]
     pub(crate) size: RunSize,
-    /// The gateway's program.
+    /// Path of the gateway program.
     #[arg(long, default_value = "target/release/quota-gateway")]
     pub(crate) program: PathBuf,
-    /// A library that makes system calls of half of the gateways fail, as tests/shim has it, compiled.
+    /// Path of the compiled tests/shim/syscall_faults.c, which makes system calls of half of the gateways fail.
     #[arg(long)]
     pub(crate) faults_library: Option<PathBuf>,
-    /// Seed of all that is drawn. What the processes make of it differs from run to run.
+    /// Seed of all random draws. The timing of the processes still differs from run to run.
     #[arg(long, default_value_t = 1)]
     pub(crate) seed: u64,
-    /// Runs one after the other, with this seed and those that follow it.
+    /// Number of runs, one after the other, with consecutive seeds.
     #[arg(long, default_value_t = 1)]
     pub(crate) runs: u64,
-    /// Gateways poll a service that all share for the list, in place of an agent that pushes it.
+    /// Lets the gateways poll a shared service for the endpoint list, in place of an agent that pushes the list.
     #[arg(long)]
     pub(crate) polled: bool,
-    /// Without faults.
-    #[arg(long)]
-    pub(crate) calm: bool,
-    /// Writes the gateways' logs, at the level debug, into this folder.
+    /// Injects no faults.
+    #[arg(long = "calm")]
+    pub(crate) without_faults: bool,
+    /// Folder for the gateways' logs, which are then written at the level debug.
     #[arg(long)]
     pub(crate) logs: Option<PathBuf>,
 }
@@ -43,26 +43,26 @@
 /// The size of a run.
 #[derive(Args, Clone, Debug)]
 pub(crate) struct RunSize {
-    /// Gateways side by side.
+    /// Number of gateways.
     #[arg(long, default_value_t = 24)]
     pub(crate) gateways: usize,
-    /// Endpoints.
+    /// Number of endpoints.
     #[arg(long, default_value_t = 30)]
     pub(crate) endpoints: usize,
-    /// Clients for each gateway.
+    /// Number of clients of the steady load per gateway.
     #[arg(long, default_value_t = 3)]
     pub(crate) clients: usize,
-    /// Percentage of requests whose clients disconnect before the response. Half of them first send up to 4 MiB of
-    /// further bytes.
+    /// Percentage of requests whose clients disconnect before the response. Half of these clients send up
+    /// to 4 MiB of further bytes first.
     #[arg(long = "leaving-percent", default_value_t = 8)]
     pub(crate) early_disconnect_percent: u32,
-    /// Length of the load.
+    /// Duration of the load, in seconds.
     #[arg(long, default_value_t = 30)]
     pub(crate) seconds: u64,
 }
 
 impl SoakArguments {
-    /// The arguments of each run: one seed after the other.
+    /// Returns the arguments of each run, with consecutive seeds.
     pub fn each_run(&self) -> impl Iterator<Item = SoakArguments> + '_ {
         (0..self.runs).map(|number| SoakArguments {
             seed: self.seed.wrapping_add(number),
@@ -70,21 +70,21 @@
         })
     }
 
-    /// Checks the arguments.
+    /// Checks the ranges of the arguments and the paths.
     ///
     /// # Errors
     ///
-    /// Fails if one is out of range, or a file is not there.
+    /// Fails if an argument is out of range, or if a file doesn't exist.
     pub fn check(&self) -> Result<(), SoakError> {
-        within("--gateways", self.size.gateways as u64, MAX_GATEWAYS as u64)?;
-        within(
+        check_range("--gateways", self.size.gateways as u64, MAX_GATEWAYS as u64)?;
+        check_range(
             "--endpoints",
             self.size.endpoints as u64,
             MAX_ENDPOINTS as u64,
         )?;
-        within("--clients", self.size.clients as u64, MAX_CLIENTS as u64)?;
-        within("--seconds", self.size.seconds, MAX_SECONDS)?;
-        within("--runs", self.runs, MAX_RUNS)?;
+        check_range("--clients", self.size.clients as u64, MAX_CLIENTS as u64)?;
+        check_range("--seconds", self.size.seconds, MAX_SECONDS)?;
+        check_range("--runs", self.runs, MAX_RUNS)?;
         check_file("--program", &self.program)?;
         self.faults_library
             .as_ref()
@@ -92,7 +92,7 @@
     }
 }
 
-fn within(argument: &'static str, value: u64, max: u64) -> Result<(), SoakError> {
+fn check_range(argument: &'static str, value: u64, max: u64) -> Result<(), SoakError> {
     if (1..=max).contains(&value) {
         return Ok(());
     }
@@ -107,7 +107,7 @@
     if path.is_file() {
         return Ok(());
     }
-    Err(SoakError::NotThere {
+    Err(SoakError::FileNotFound {
         argument,
         path: path.to_path_buf(),
     })
--- a/soak/src/endpoint.rs
+++ b/soak/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints that hand what they get to the rule checker.
+//! Endpoints that execute requests and report the attempts that they receive to the rule checker.
 
 use crate::fleet::Fleet;
 use crate::loopback::any_port;
@@ -19,24 +19,24 @@
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
-/// Time that a request takes.
+/// Execution time of a request.
 const SERVICE_TIME_MS: std::ops::Range<u64> = 3..25;
-/// Time after which an endpoint that drains ends, longer than the grace after the notice.
+/// Time for which an endpoint drains before it ends. Longer than the grace period after the notice of draining.
 const DRAIN_TIME: Duration = Duration::from_secs(4);
-/// The same where lists are polled, so that the notice may take 6 s.
+/// The drain time if lists are polled, as the notice may then take 6 s.
 const POLLED_DRAIN_TIME: Duration = Duration::from_secs(10);
 
-/// What endpoints need of a run.
+/// The state of a run that endpoints share.
 pub struct EndpointContext {
-    /// What was set for the run.
+    /// The settings of the run.
     pub settings: RunSettings,
-    /// Gets what the endpoints see.
+    /// Checks the attempts that endpoints receive.
     pub checker: SharedRuleChecker,
     /// All endpoints.
     pub fleet: Fleet,
-    /// When gateways were notified of changes.
+    /// The times at which gateways were notified of changes.
     pub notices: Rc<NoticeTimes>,
-    /// How late this process runs.
+    /// The scheduling delay of this process.
     pub delay: SchedulingDelay,
 }
 
@@ -46,7 +46,7 @@
 }
 
 impl RunningEndpoint {
-    /// Starts an endpoint and puts it into the list. Returns its number, too.
+    /// Starts an endpoint and adds it to the endpoint list. Returns its number and the endpoint.
     pub async fn start(
         context: &Rc<EndpointContext>,
         is_warming_up: bool,
@@ -67,13 +67,13 @@
         Ok((number, RunningEndpoint { server }))
     }
 
-    /// Ends the process: its connections break, and new ones are refused.
+    /// Stops the endpoint: its connections break, and new ones are refused.
     pub fn stop(self) {
         self.server.stop();
     }
 }
 
-/// One connection.
+/// One connection of an endpoint.
 struct Session {
     context: Rc<EndpointContext>,
     number: usize,
@@ -106,8 +106,8 @@
         Ok(())
     }
 
-    /// Executes a request, or finds its key known. Returns how it is answered: one whose key is known is answered from
-    /// the first execution, whatever the endpoint does otherwise.
+    /// Executes a request unless its idempotency key is known. Returns the behaviour for the response: a request
+    /// whose key is known gets the response of the first execution, whatever the endpoint's behaviour.
     async fn execute(&mut self, transaction: u64, behaviour: Behaviour) -> Behaviour {
         let is_first = self.record_execution(transaction);
         sleep(Duration::from_millis(
@@ -121,7 +121,8 @@
         }
     }
 
-    /// How this request is treated: as the endpoint behaves now, but for the few that hang in any case.
+    /// Draws the behaviour for a request: the current behaviour of the endpoint, except for the share of requests that
+    /// hang in any case.
     fn draw_behaviour(&mut self) -> Behaviour {
         if self.rng.random_range(0..100) < self.context.settings.scenario.hanging_percent {
             return Behaviour::Hangs;
@@ -129,13 +130,13 @@
         self.context.fleet.state(self.number).behaviour
     }
 
-    /// Returns false if the request's key is known.
+    /// Reports an execution to the checker. Returns false if the request's key is known.
     fn record_execution(&self, transaction: u64) -> bool {
         let mut checker = self.context.checker.borrow_mut();
         checker.execution_started(transaction, self.number)
     }
 
-    /// Hands a request to the checker. Returns its id; none if it has none.
+    /// Reports an attempt to the checker. Returns the id of the request, or `None` if a header is missing or invalid.
     fn record_attempt(&self, request: &Message) -> Option<u64> {
         let transaction = u64::from_str_radix(request.header("x-txn")?, 16).ok()?;
         let propagated_ms = request.header("x-remaining-ms")?.parse().ok()?;
@@ -163,7 +164,7 @@
     }
 }
 
-/// Has endpoints behave differently for a time.
+/// Sets the behaviour of endpoints for `duration`.
 pub async fn misbehave(
     context: &EndpointContext,
     endpoints: &[usize],
@@ -175,7 +176,8 @@
     context.fleet.set_behaviour(endpoints, Behaviour::Serves);
 }
 
-/// Replaces an endpoint by a new one: it drains and ends, or ends without notice. Returns the new one and its number.
+/// Replaces an endpoint by a new one. The old endpoint drains first, or ends without notice. Returns the number of the
+/// new endpoint and the endpoint.
 pub async fn replace(
     context: &Rc<EndpointContext>,
     number: usize,
--- a/soak/src/error.rs
+++ b/soak/src/error.rs
@@ -1,30 +1,30 @@
-//! Why a run could not be made.
+//! The error of the soak test.
 
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why a run could not be made; printed as one line.
+/// The reason why a run could not be carried out. Printed as one line.
 #[derive(Debug, Error)]
 pub enum SoakError {
     /// An argument is outside its range.
-    #[error("{argument}: {value} is not within 1 to {max}")]
+    #[error("{argument}: {value} is out of range, expected 1 to {max}")]
     OutOfRange {
-        /// The argument's name.
+        /// The name of the argument.
         argument: &'static str,
-        /// Its value.
+        /// The value that was given.
         value: u64,
-        /// Largest value allowed.
+        /// The largest value allowed.
         max: u64,
     },
-    /// A file that an argument names is not there.
-    #[error("{argument}: {} is not there", path.display())]
-    NotThere {
-        /// The argument's name.
+    /// A path that an argument names isn't an existing file.
+    #[error("{argument}: {} is not an existing file", path.display())]
+    FileNotFound {
+        /// The name of the argument.
         argument: &'static str,
-        /// The path that was looked at.
+        /// The path that was given.
         path: PathBuf,
     },
-    /// The system refused something.
+    /// The operating system refused an operation on a socket, file or process.
     #[error(transparent)]
     Io(#[from] std::io::Error),
 }
--- a/soak/src/faults/endpoint_faults.rs
+++ b/soak/src/faults/endpoint_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of endpoints: they misbehave for a time, or are replaced.
+//! Faults of endpoints, which misbehave for a time or are replaced.
 
 use super::injector::Injector;
 use crate::endpoint::{misbehave, replace};
@@ -7,9 +7,9 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 
-/// Endpoints that stay at least.
+/// Endpoints are replaced only while more than this many are running.
 const MIN_READY: usize = 6;
-/// How endpoints misbehave.
+/// The ways in which endpoints misbehave.
 const FAULTY_BEHAVIOURS: [Behaviour; 7] = [
     Behaviour::Hangs,
     Behaviour::Resets,
@@ -21,7 +21,7 @@
 ];
 
 impl Injector {
-    /// Some endpoints misbehave for a time, all in the same way.
+    /// Lets some endpoints misbehave for `duration`, all in the same way.
     pub async fn misbehave(mut self, duration: Duration) {
         let numbers = self.draw_endpoints();
         let behaviour = self.draw_behaviour();
@@ -35,7 +35,7 @@
             .unwrap_or(Behaviour::Hangs)
     }
 
-    /// Some endpoints are replaced by new ones: they drain first, or end without notice.
+    /// Replaces some endpoints by new ones. The old endpoints drain first, or end without notice.
     pub async fn replace_endpoints(mut self, drains: bool) {
         let mut replacements = JoinSet::new();
         for number in self.draw_endpoints() {
--- a/soak/src/faults/gateway_faults.rs
+++ b/soak/src/faults/gateway_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of gateways: they are restarted, killed, stalled or reloaded.
+//! Faults of gateways, which are restarted, killed, stalled or reloaded.
 
 use super::injector::Injector;
 use super::system_calls::draw_call_faults;
@@ -14,13 +14,13 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// The former address of discovery closes its connections this long after a new configuration.
+/// Discovery at its previous address closes its connections this long after the gateways got the new address.
 const PREVIOUS_CLOSE_DELAY: Duration = Duration::from_millis(1500);
-/// A configuration that was cut off.
+/// A configuration that ends too early.
 const TRUNCATED_CONFIG: &str = "{\"name\": \"n0\", ";
 
 impl Injector {
-    /// Ends some gateways, by SIGTERM or SIGKILL, and starts them again.
+    /// Ends some gateways by SIGTERM or SIGKILL, and starts them again.
     pub async fn restart(mut self, kills: bool) {
         let mut restarts = JoinSet::new();
         for index in self.draw_gateways() {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Suspends some gateways for a moment.
+    /// Suspends some gateways for `STALL_DURATION`.
     pub async fn stall(mut self) {
         let mut stalls = JoinSet::new();
         for index in self.draw_gateways() {
@@ -58,7 +58,7 @@
         while stalls.join_next().await.is_some() {}
     }
 
-    /// Moves discovery to a new address, and reloads all gateways with it.
+    /// Moves discovery to a new address, and reloads all running gateways with this address.
     pub async fn reload(self) -> Result<(), SoakError> {
         let processes = &self.context.processes;
         let listener = TcpListener::bind(any_port()).await?;
@@ -81,7 +81,7 @@
         Ok(())
     }
 
-    /// Reloads some gateways with a configuration that can't be read.
+    /// Reloads some gateways with an invalid configuration.
     pub fn reload_invalid(mut self) -> Result<(), SoakError> {
         for index in self.draw_gateways() {
             if let Some(gateway) = self.context.processes.gateways.borrow().get(&index) {
@@ -92,7 +92,7 @@
     }
 }
 
-/// Ends a gateway under clients that send until it is killed.
+/// Shuts a gateway down by SIGTERM while shutdown clients send requests to it.
 pub async fn shut_down(
     context: &ClientContext,
     gateway: Gateway,
--- a/soak/src/faults/injector.rs
+++ b/soak/src/faults/injector.rs
@@ -1,4 +1,4 @@
-//! What an injected fault needs, and what it draws.
+//! The state that faults need, and the choice of gateways and endpoints.
 
 use super::processes::Processes;
 use crate::clients::ClientContext;
@@ -14,30 +14,30 @@
 use std::rc::Rc;
 use tokio::task::JoinError;
 
-/// Largest share of gateways or endpoints that one fault meets.
-const MAX_SHARE: f64 = 0.35;
+/// Largest share of gateways or endpoints that one fault affects.
+const MAX_AFFECTED_SHARE: f64 = 0.35;
 
-/// What faults need of a run.
+/// The state of a run that faults need.
 pub struct FaultContext {
-    /// What was set for the run.
+    /// The settings of the run.
     pub settings: RunSettings,
-    /// Gets counts, and faults that could not be injected.
+    /// Collects the counters of faults, and the faults that could not be injected.
     pub observations: Rc<ObservationLog>,
-    /// For the clients of gateways that end.
+    /// The state that clients of gateways in shutdown share.
     pub clients: ClientContext,
-    /// For endpoints that are replaced.
+    /// The state that endpoints share.
     pub endpoints: Rc<EndpointContext>,
-    /// The list, and how discovery fails.
+    /// Publishes the endpoint list and sets how discovery fails.
     pub publisher: Rc<ListPublisher>,
     /// The shared counter.
     pub counter: Rc<Counter>,
-    /// Gateways and endpoints.
+    /// The gateways, the endpoints and discovery.
     pub processes: Processes,
 }
 
 impl FaultContext {
-    /// A fault that could not be injected may leave a gateway ended: it counts as a broken rule, so that the run does
-    /// not pass.
+    /// Reports a fault that could not be injected as a broken rule. Such a fault may leave a gateway stopped, so the
+    /// run must not pass.
     pub fn report_failure(&self, ended: Result<Result<(), SoakError>, JoinError>) {
         if let Ok(Err(error)) = ended {
             self.observations.report(Rule::Process, error.to_string());
@@ -47,28 +47,28 @@
 
 /// Injects one fault.
 pub struct Injector {
-    /// What it needs of the run.
+    /// The state of the run.
     pub context: Rc<FaultContext>,
-    /// Draws how and on what.
+    /// Draws the details of the fault, and the gateways or endpoints that it affects.
     pub rng: ChaCha8Rng,
 }
 
 impl Injector {
-    /// A random part of these, one at least.
+    /// Draws a random subset: at least one of the elements, and at most `MAX_AFFECTED_SHARE` of them, rounded up.
     fn draw_subset<T>(&mut self, mut all: Vec<T>) -> Vec<T> {
         all.shuffle(&mut self.rng);
-        let most = (all.len() as f64 * MAX_SHARE).ceil() as usize;
+        let most = (all.len() as f64 * MAX_AFFECTED_SHARE).ceil() as usize;
         all.truncate(self.rng.random_range(1..=most.max(1)));
         all
     }
 
-    /// Endpoints that take requests.
+    /// Draws some of the endpoints that are listed as ready.
     pub fn draw_endpoints(&mut self) -> Vec<usize> {
         let ready = self.context.endpoints.fleet.ready();
         self.draw_subset(ready)
     }
 
-    /// Gateways that run.
+    /// Draws some of the running gateways.
     pub fn draw_gateways(&mut self) -> Vec<usize> {
         let running = self.context.processes.running_gateways();
         self.draw_subset(running)
--- a/soak/src/faults/mod.rs
+++ b/soak/src/faults/mod.rs
@@ -1,10 +1,10 @@
-//! What goes wrong when, drawn from the seed.
+//! The faults of a run and their schedule, drawn from the seed.
 //!
-//! - `schedule`: two or three faults at a time until the load ends
-//! - `injector`: what an injected fault needs, and what it draws
-//! - `service_faults`, `endpoint_faults`, `gateway_faults`: the faults, by what they meet
-//! - `processes`: the gateways and endpoints that faults end and start again
-//! - `system_calls`: which system calls of a process fail
+//! - `schedule`: overlapping faults at random times until the load ends
+//! - `injector`: the state that faults need, and the choice of gateways and endpoints
+//! - `service_faults`, `endpoint_faults`, `gateway_faults`: the faults, by the process that they affect
+//! - `processes`: the gateways and endpoints that faults stop and start again
+//! - `system_calls`: the system calls of a process that fail
 
 mod endpoint_faults;
 mod gateway_faults;
--- a/soak/src/faults/processes.rs
+++ b/soak/src/faults/processes.rs
@@ -1,4 +1,4 @@
-//! The gateways and endpoints that faults end and start again.
+//! The gateways and endpoints that faults stop and start again.
 
 use crate::endpoint::RunningEndpoint;
 use crate::error::SoakError;
@@ -9,27 +9,28 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The processes of a run, and what starts gateways.
+/// The processes and stand-ins of a run that faults replace.
 pub struct Processes {
-    /// How to start gateways.
+    /// Starts gateways.
     pub launcher: Rc<Launcher>,
-    /// The gateways; one that is being restarted is not there.
+    /// The running gateways by number. A gateway that is being restarted isn't included.
     pub gateways: RefCell<HashMap<usize, Gateway>>,
-    /// The endpoints that are not being replaced.
+    /// The running endpoints by number. An endpoint that is being replaced isn't included.
     pub endpoints: RefCell<HashMap<usize, RunningEndpoint>>,
-    /// The present discovery.
+    /// The current instance of discovery.
     pub discovery: RefCell<Option<Discovery>>,
 }
 
 impl Processes {
-    /// The numbers of the gateways that run, in their order, which the map does not keep.
+    /// The numbers of the running gateways in ascending order. The order of the map is not deterministic.
     pub fn running_gateways(&self) -> Vec<usize> {
         let mut running: Vec<_> = self.gateways.borrow().keys().copied().collect();
         running.sort_unstable();
         running
     }
 
-    /// Starts a gateway again. Discovery may move while it starts; the gateway is notified of that by a reload.
+    /// Starts a gateway again. If discovery moves while the gateway starts, the gateway is reloaded with the new
+    /// address.
     pub async fn restart(
         &self,
         index: usize,
--- a/soak/src/faults/schedule.rs
+++ b/soak/src/faults/schedule.rs
@@ -1,4 +1,4 @@
-//! Two or three faults at a time until the load ends.
+//! Schedules faults at random times until the load ends. Two or three faults are active at a time.
 
 use super::injector::{FaultContext, Injector};
 use crate::error::SoakError;
@@ -11,10 +11,10 @@
 
 /// Pause between the starts of two faults.
 const PAUSE_MS: std::ops::Range<u64> = 150..900;
-/// How long a fault lasts that has no duration of its own.
+/// Duration of a fault that has no other end.
 const DURATION_MS: std::ops::Range<u64> = 300..3000;
 
-/// What can go wrong.
+/// A kind of fault. The name of the variant is part of the report.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     Restarts,
@@ -29,7 +29,7 @@
     EndpointsVanish,
 }
 
-/// The faults by likelihood; restarts come more often.
+/// The faults that are drawn with equal probability. Restarts are listed three times to be drawn more often.
 const FAULTS: [Fault; 12] = [
     Fault::Restarts,
     Fault::Restarts,
@@ -45,7 +45,7 @@
     Fault::EndpointsVanish,
 ];
 
-/// Injects faults until the load ends, and waits for the last of them.
+/// Injects faults until the load ends, and waits until all faults have ended.
 pub async fn run(context: Rc<FaultContext>) {
     let mut rng = crate::seeded_rng(context.settings.seed, "faults", 0);
     let mut running = JoinSet::new();
--- a/soak/src/faults/service_faults.rs
+++ b/soak/src/faults/service_faults.rs
@@ -19,7 +19,7 @@
 ];
 
 impl Injector {
-    /// Discovery fails for a time.
+    /// Lets discovery fail for `duration`.
     pub async fn fail_discovery(mut self, duration: Duration) {
         let mode = self.draw_mode(&DISCOVERY_FAULTS);
         self.set_discovery_mode(mode);
@@ -32,7 +32,7 @@
         self.context.publisher.set_mode(mode);
     }
 
-    /// The counter fails for a time.
+    /// Lets the counter fail for `duration`.
     pub async fn fail_counter(mut self, duration: Duration) {
         let mode = self.draw_mode(&COUNTER_FAULTS);
         self.context.counter.set_mode(mode);
--- a/soak/src/faults/system_calls.rs
+++ b/soak/src/faults/system_calls.rs
@@ -1,11 +1,11 @@
-//! Which system calls of a process fail.
+//! Draws the system calls of a process that fail.
 
 use rand::seq::IndexedRandom;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// Faults in the form of the library that injects them, `tests/shim/syscall_faults.c`: a rate in a thousand calls, or
-/// an offset of the wall clock in seconds.
+/// The faults, in the syntax of the library that injects them (`tests/shim/syscall_faults.c`). A value is a rate per
+/// thousand calls, or an offset of the wall clock in seconds.
 const CALL_FAULTS: [&str; 14] = [
     "recv_eintr=20",
     "send_eintr=20",
@@ -22,10 +22,10 @@
     "wall_clock_s=3600",
     "wall_clock_s=-7",
 ];
-/// Kinds of faults that one process has.
+/// Number of different faults in one process.
 const FAULTS_PER_PROCESS: usize = 3;
 
-/// Which system calls of a process fail; none for half of the processes.
+/// Draws the system-call faults of a process. `None` for half of the processes.
 pub fn draw_call_faults(rng: &mut ChaCha8Rng) -> Option<String> {
     if rng.random() {
         return None;
--- a/soak/src/fleet.rs
+++ b/soak/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The endpoints of a run: how they behave, and since when the list says that they take nothing new.
+//! The endpoints of a run: their behaviour and their states in the endpoint list.
 
 use stand_ins::endpoint::Behaviour;
 use stand_ins::endpoint_list::{EntryState, ListEntry};
@@ -9,30 +9,30 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// The version of the first list.
+/// The version of the first endpoint list.
 pub const FIRST_VERSION: u64 = 7;
 
-/// One endpoint.
+/// The state of one endpoint.
 #[derive(Clone, Copy)]
 pub struct EndpointState {
-    /// Its state in the list.
+    /// The state of the endpoint in the endpoint list.
     pub listed_state: EntryState,
-    /// When the list first said that it takes nothing new.
+    /// The time at which the list first showed the endpoint as draining or removed. `None` while it is ready.
     pub unavailable_since: Option<Instant>,
-    /// How it behaves now.
+    /// The current behaviour of the endpoint.
     pub behaviour: Behaviour,
-    /// When it started; none if that is long past.
+    /// The time at which the endpoint started. `None` if it started long before the run.
     pub started_at: Option<Instant>,
 }
 
-/// All endpoints by number, those that were removed included.
+/// All endpoints by number, including removed ones.
 pub struct Fleet {
     publisher: Rc<ListPublisher>,
     endpoints: RefCell<Vec<EndpointState>>,
 }
 
 impl Fleet {
-    /// No endpoints yet. Their changes go to this publisher.
+    /// Creates a fleet without endpoints, whose changes go to `publisher`.
     pub fn new(publisher: Rc<ListPublisher>) -> Self {
         Fleet {
             publisher,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Adds an endpoint that has started just now (it is warming up) or long ago. Returns its number.
+    /// Adds an endpoint that has just started (`is_warming_up`) or that started long ago. Returns its number.
     pub fn add(&self, address: SocketAddr, is_warming_up: bool) -> usize {
         let mut endpoints = self.endpoints.borrow_mut();
         let number = endpoints.len();
@@ -60,17 +60,17 @@
         number
     }
 
-    /// Sends the changes so far to the gateways.
+    /// Publishes all changes so far to the gateways.
     pub fn publish(&self) {
         self.publisher.publish();
     }
 
-    /// The list says that an endpoint drains.
+    /// Lists an endpoint as draining.
     pub fn drain(&self, number: usize) {
         self.set_listed_state(number, EntryState::Draining);
     }
 
-    /// The list says that an endpoint was removed.
+    /// Lists an endpoint as removed.
     pub fn remove(&self, number: usize) {
         self.set_listed_state(number, EntryState::Removed);
     }
@@ -83,12 +83,12 @@
         self.publisher.edit(|list| list.set_state(number, state));
     }
 
-    /// The state of one endpoint.
+    /// The state of the endpoint `number`.
     pub fn state(&self, number: usize) -> EndpointState {
         self.endpoints.borrow()[number]
     }
 
-    /// Sets how endpoints behave.
+    /// Sets the behaviour of endpoints.
     pub fn set_behaviour(&self, numbers: &[usize], behaviour: Behaviour) {
         let mut endpoints = self.endpoints.borrow_mut();
         for number in numbers {
@@ -96,7 +96,7 @@
         }
     }
 
-    /// The numbers of the endpoints that take requests.
+    /// The numbers of the endpoints that are listed as ready.
     pub fn ready(&self) -> Vec<usize> {
         let endpoints = self.endpoints.borrow();
         let numbered = endpoints.iter().enumerate();
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,15 +1,18 @@
-//! A soak test over real processes: many gateways on loopback, among stand-ins for endpoints, discovery, the counter
-//! and clients, under faults that overlap in time. What the stand-ins see is checked by the rules of the protocol;
-//! the gateways' own counters of broken rules have to stay at 0.
+//! A soak test with real processes: many gateways on loopback, with stand-ins for endpoints, discovery, the counter and
+//! clients, under faults that overlap in time. The events that the stand-ins observe are checked against the rules of
+//! the protocol. The gateways' own counters of broken rules have to stay at 0.
 //!
 //! - `arguments`, `run`, `report`: one run, from its arguments to its report
-//! - `settings`, `scenario`: what was set or drawn for a run
-//! - `rules`: what was seen of each request, and the rules that it is checked by
-//! - `fleet`, `endpoint`: the endpoints; `notices`: when gateways were notified of their changes
-//! - `gateway`: the processes under test; `gateway_directory`: what clients know of them
-//! - `clients`: the load
-//! - `faults`: what goes wrong when, drawn from the seed
-//! - `scheduling_delay`: how late this process itself runs
+//! - `settings`, `scenario`: the settings of a run and the scenario that its seed draws
+//! - `rules`: the rules of the protocol, and the observations that they are checked against
+//! - `request_class`: the classes of requests
+//! - `fleet`, `endpoint`: the endpoints; `notices`: the times at which gateways count as notified of their changes
+//! - `gateway`: the processes under test; `gateway_directory`: their states as a load balancer knows them
+//! - `clients`: the clients that put load on the gateways
+//! - `faults`: the faults and their schedule, drawn from the seed
+//! - `scheduling_delay`: the delay of this process, which the rules allow for
+//! - `loopback`: the addresses of a run
+//! - `error`: the reasons why a run fails
 
 mod arguments;
 mod clients;
--- a/soak/src/loopback.rs
+++ b/soak/src/loopback.rs
@@ -1,9 +1,9 @@
-//! Where the sockets of a run are.
+//! The loopback addresses of a run.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// An unused port of an address on loopback that other runs don't use: a port that an endpoint has given up may be
-/// taken again while gateways still know it, and has to belong to the same run.
+/// Returns port 0, which binds an unused port, of a loopback address that no other run uses. Gateways may still send
+/// requests to the former port of a stopped endpoint, so only the same run may reuse this port.
 pub fn any_port() -> SocketAddr {
     let [_, high, middle, low] = std::process::id().to_be_bytes();
     SocketAddr::from((Ipv4Addr::new(127, high % 0x7f + 1, middle, low), 0))
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -6,7 +6,7 @@
 
 /// Exit code if a rule was broken.
 const EXIT_RULE_BROKEN: u8 = 1;
-/// Exit code of a run that could not be made.
+/// Exit code if the arguments are invalid or a run could not be carried out.
 const EXIT_FAILURE: u8 = 2;
 
 fn main() -> ExitCode {
@@ -23,7 +23,7 @@
     }
 }
 
-/// Makes all runs. Returns in how many of them a rule was broken.
+/// Carries out all runs. Returns the number of runs in which a rule was broken.
 fn run_all(arguments: &SoakArguments) -> Result<usize, SoakError> {
     arguments.check()?;
     let mut broken_runs = 0;
--- a/soak/src/notices.rs
+++ b/soak/src/notices.rs
@@ -1,4 +1,4 @@
-//! When a change of the endpoint list counts as notified to a gateway.
+//! The times at which gateways count as notified of changes of the endpoint list.
 
 use stand_ins::service_mode::ServiceMode;
 use std::cell::RefCell;
@@ -6,35 +6,36 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// After SIGHUP, whatever discovery publishes counts as notified this much later at the latest.
+/// After SIGHUP, all changes that discovery has published count as notified after this time at the latest.
 const RELOAD_GRACE: Duration = Duration::from_secs(4);
-/// An agent that was silent sends what was missed when it is back; the gateway may have to give up a call first.
+/// After a time in which the agent was silent, the missed changes count as notified after this time. The agent sends
+/// them when it is available again, but the gateway may have to time out a call first.
 const SILENCE_GRACE: Duration = Duration::from_secs(1);
-/// After a failed or rejected call, and where lists are polled, a change counts as notified this much later.
+/// After failed or rejected calls, and if lists are polled, a change counts as notified after this time.
 const FAILURE_GRACE: Duration = Duration::from_secs(6);
-/// A change that was published this shortly before an outage may not have arrived.
+/// A change that was published less than this time before an outage may not have arrived.
 const TRANSFER_TIME: Duration = Duration::from_millis(100);
 
-/// A time in which discovery was not available.
+/// A period in which discovery was not available.
 #[derive(Clone, Copy, Debug)]
 struct Outage {
     from: Instant,
-    /// None while it lasts.
+    /// The end of the outage. `None` while the outage lasts.
     until: Option<Instant>,
-    /// What was missed counts as notified this long after its end.
+    /// Missed changes count as notified this long after the end of the outage.
     grace: Duration,
 }
 
-/// Records what delays notices: outages of discovery, and reloads of gateways.
+/// Records the events that delay notices of changes: outages of discovery and reloads of gateways.
 pub struct NoticeTimes {
     is_polled: bool,
     outages: RefCell<Vec<Outage>>,
-    /// When SIGHUP was sent, by gateway.
+    /// The times at which SIGHUP was sent, by gateway.
     reloads: RefCell<HashMap<usize, Vec<Instant>>>,
 }
 
 impl NoticeTimes {
-    /// Nothing has delayed a notice yet.
+    /// Creates a record without outages and reloads.
     pub fn new(is_polled: bool) -> Self {
         NoticeTimes {
             is_polled,
@@ -43,11 +44,11 @@
         }
     }
 
-    /// Discovery treats calls in this way from now on.
+    /// Records that discovery treats calls in the given way from now on.
     pub fn record_discovery_mode(&self, mode: ServiceMode) {
         let mut outages = self.outages.borrow_mut();
-        let open = outages.last_mut().filter(|outage| outage.until.is_none());
-        match (mode, open) {
+        let current = outages.last_mut().filter(|outage| outage.until.is_none());
+        match (mode, current) {
             (ServiceMode::Available, Some(outage)) => outage.until = Some(Instant::now()),
             (ServiceMode::Available, None) | (_, Some(_)) => {}
             (_, None) => outages.push(Outage {
@@ -58,13 +59,14 @@
         }
     }
 
-    /// SIGHUP is sent to a gateway.
+    /// Records that SIGHUP is sent to a gateway.
     pub fn record_reload(&self, gateway: usize) {
         let mut reloads = self.reloads.borrow_mut();
         reloads.entry(gateway).or_default().push(Instant::now());
     }
 
-    /// When a change of this moment counts as notified to a gateway; none while that is open.
+    /// Returns the time at which a gateway counts as notified of a change that was published at `changed_at`. `None`
+    /// while an outage delays the notice.
     pub fn notified_at(&self, gateway: usize, changed_at: Instant) -> Option<Instant> {
         let mut notified_at = if self.is_polled {
             changed_at + FAILURE_GRACE
--- a/soak/src/notices/tests.rs
+++ b/soak/src/notices/tests.rs
@@ -1,4 +1,5 @@
-//! What delays a notice. Without these delays the checker would blame a gateway for a list that it could not have.
+//! Outages, polling and reloads delay notices. Without these delays the checker would report a gateway for not
+//! following an endpoint list that it could not have received.
 
 use super::{NoticeTimes, FAILURE_GRACE, RELOAD_GRACE, SILENCE_GRACE, TRANSFER_TIME};
 use stand_ins::service_mode::ServiceMode;
@@ -9,7 +10,7 @@
 const OUTAGE: Duration = Duration::from_secs(2);
 
 #[tokio::test(start_paused = true)]
-async fn a_change_is_notified_at_once_or_after_the_poll() {
+async fn a_change_is_notified_immediately_or_after_the_poll() {
     let changed_at = Instant::now();
     let pushed = NoticeTimes::new(false);
     assert_eq!(pushed.notified_at(GATEWAY, changed_at), Some(changed_at));
@@ -18,8 +19,8 @@
     assert_eq!(polled.notified_at(GATEWAY, changed_at), Some(expected));
 }
 
-/// Discovery is silent while an endpoint begins to drain. Gateways go on sending to it until discovery is back, which
-/// is no fault of theirs.
+/// Discovery is silent while an endpoint begins to drain. The gateways keep sending requests to the endpoint until
+/// discovery is available again, which is not a fault of the gateways.
 #[tokio::test(start_paused = true)]
 async fn an_outage_delays_notices_until_after_its_end() {
     let notices = NoticeTimes::new(false);
@@ -41,9 +42,9 @@
     assert_eq!(notices.notified_at(GATEWAY, now), Some(now + FAILURE_GRACE));
 }
 
-/// A gateway is reloaded with a new address of discovery, and has no list from there yet.
+/// A gateway is reloaded with a new address of discovery, and has received no list from that address yet.
 #[tokio::test(start_paused = true)]
-async fn a_reload_delays_the_notices_of_its_gateway_alone() {
+async fn a_reload_delays_only_the_notices_of_the_reloaded_gateway() {
     let notices = NoticeTimes::new(false);
     let reloaded_at = Instant::now();
     notices.record_reload(GATEWAY);
--- a/soak/src/report.rs
+++ b/soak/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run has shown.
+//! The report of a run.
 
 use crate::rules::{Rule, Violation};
 use crate::scenario::Scenario;
@@ -6,20 +6,20 @@
 use std::fmt::{Display, Formatter};
 use std::time::Duration;
 
-/// Violations that a report shows in full.
-const MAX_SHOWN: usize = 30;
+/// Number of violations that a report shows in full.
+const MAX_SHOWN_VIOLATIONS: usize = 30;
 
-/// What a run has shown.
+/// The report of a run.
 pub struct SoakReport {
-    /// The broken rules.
+    /// The violations, in the order of their reports.
     pub violations: Vec<Violation>,
-    /// What was counted, by name.
+    /// The counters and largest values of the run, by name.
     pub counts: BTreeMap<String, u64>,
-    /// The seed.
+    /// The seed of the run.
     pub seed: u64,
     /// The scenario that the seed drew.
     pub scenario: Scenario,
-    /// By how much this process ran late at worst.
+    /// The longest scheduling delay of this process.
     pub worst_delay: Duration,
 }
 
@@ -35,11 +35,15 @@
         for (rule, count) in by_rule {
             writeln!(formatter, "{count:8} times broken: {rule:?}")?;
         }
-        for violation in self.violations.iter().take(MAX_SHOWN) {
+        for violation in self.violations.iter().take(MAX_SHOWN_VIOLATIONS) {
             writeln!(formatter, "{violation}")?;
         }
-        if self.violations.len() > MAX_SHOWN {
-            writeln!(formatter, "and {} more", self.violations.len() - MAX_SHOWN)?;
+        if self.violations.len() > MAX_SHOWN_VIOLATIONS {
+            writeln!(
+                formatter,
+                "and {} more",
+                self.violations.len() - MAX_SHOWN_VIOLATIONS
+            )?;
         }
         let (seed, broken) = (self.seed, self.violations.len());
         writeln!(
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run, from its arguments to its report.
+//! One run: starts stand-ins and gateways, applies load and faults, and reports the violations.
 
 use crate::arguments::{RunSize, SoakArguments};
 use crate::clients::{run_idle, run_misbehaving, Client, ClientContext, TransactionIds};
@@ -28,19 +28,19 @@
 use tokio::task::{JoinSet, LocalSet};
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// Clients that misbehave, for each gateway.
+/// Number of misbehaving clients per gateway.
 const MISBEHAVING_CLIENTS_PER_GATEWAY: usize = 1;
-/// Requests that are in progress when the load ends have ended within this time.
+/// Timeout for the requests that are in progress when the load ends.
 const LOAD_END_TIMEOUT: Duration = Duration::from_secs(4);
-/// Time that a call of the counter takes.
+/// Duration of a call to the counter.
 const COUNTER_CALL_TIME: Duration = Duration::from_millis(1);
 
 impl SoakArguments {
-    /// Makes one run, with the first seed.
+    /// Carries out one run with the seed of the arguments.
     ///
     /// # Errors
     ///
-    /// Fails if the system refuses a socket or a process.
+    /// Fails if the operating system refuses a socket, a file or a process.
     pub fn run(&self) -> Result<SoakReport, SoakError> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -51,7 +51,7 @@
     async fn run_scenario(&self) -> Result<SoakReport, SoakError> {
         let context = self.start().await?;
         let mut load = start_load(&context.clients, &self.size);
-        if self.calm {
+        if self.without_faults {
             sleep_until(context.settings.load_ends_at).await;
         } else {
             faults::run(context.clone()).await;
@@ -71,8 +71,8 @@
     }
 
     fn settings(&self) -> RunSettings {
-        let scenario = if self.calm {
-            Scenario::calm()
+        let scenario = if self.without_faults {
+            Scenario::without_faults()
         } else {
             Scenario::draw(self.seed)
         };
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Starts stand-ins and gateways, and waits until these are ready.
+    /// Starts stand-ins and gateways, and waits until the gateways are ready.
     async fn start(&self) -> Result<Rc<FaultContext>, SoakError> {
         let settings = self.settings();
         let observations = Rc::new(ObservationLog::start());
@@ -155,7 +155,7 @@
         let counter = counter
             .clone()
             .start(TcpListener::bind(any_port()).await?)?;
-        let services = Services {
+        let services = ServiceAddresses {
             discovery: discovery.address(),
             counter: counter.address(),
         };
@@ -169,9 +169,9 @@
     }
 }
 
-/// Where the services are that gateways call.
+/// The addresses of the services that gateways call.
 #[derive(Clone, Copy)]
-struct Services {
+struct ServiceAddresses {
     discovery: SocketAddr,
     counter: SocketAddr,
 }
@@ -191,7 +191,7 @@
 
 async fn start_gateways(
     launcher: &Rc<Launcher>,
-    services: Services,
+    services: ServiceAddresses,
 ) -> Result<HashMap<usize, Gateway>, SoakError> {
     let mut rng = crate::seeded_rng(launcher.settings.seed, "call faults", 0);
     let mut gateways = HashMap::new();
@@ -211,7 +211,7 @@
     Ok(gateways)
 }
 
-/// A port that nobody uses at present.
+/// Returns a loopback address with a port that is currently unused.
 fn free_address() -> std::io::Result<SocketAddr> {
     std::net::TcpListener::bind(any_port())?.local_addr()
 }
@@ -237,7 +237,7 @@
     load
 }
 
-/// Reads from each gateway the broken rules that it has counted, and ends it.
+/// Checks each gateway's process and its count of broken rules, and shuts all gateways down.
 async fn finish(context: &Rc<FaultContext>) {
     let gateways = context.processes.gateways.take();
     let mut ends = JoinSet::new();
@@ -254,11 +254,11 @@
     match gateway.counted_violations().await {
         Some(0) => {}
         Some(count) => {
-            let detail = format!("gateway {index} has counted {count} broken rules");
+            let detail = format!("gateway {index} counted {count} broken rules");
             observations.report(Rule::OwnCheck, detail);
         }
         None => {
-            let detail = format!("gateway {index} does not answer with its metrics");
+            let detail = format!("gateway {index} did not respond to the request for its metrics");
             observations.report(Rule::Process, detail);
         }
     }
--- a/soak/src/scenario.rs
+++ b/soak/src/scenario.rs
@@ -1,4 +1,4 @@
-//! The scenario of a run, drawn from its seed: deadlines, and what makes shutdowns harder.
+//! The scenario of a run, drawn from its seed: deadlines, and conditions that make shutdowns harder.
 
 use crate::request_class::RequestClass;
 use rand::Rng;
@@ -10,28 +10,28 @@
 
 /// Bounds of the longest deadline of a run, in seconds.
 const LONGEST_DEADLINE_S: std::ops::Range<f64> = 0.1..5.0;
-/// No deadline is shorter.
+/// The shortest deadline of a class.
 const MIN_DEADLINE: Duration = Duration::from_millis(100);
-/// The deadlines of the other classes, as parts of the longest.
-const OTHER_DEADLINE_PARTS: std::ops::Range<f64> = 0.3..1.0;
-/// The longest deadline of a run without faults.
-const CALM_DEADLINE: Duration = Duration::from_secs(2);
-/// A longer deadline does not put off SIGKILL any further.
+/// The deadlines of the other classes, as shares of the longest deadline.
+const OTHER_DEADLINE_SHARES: std::ops::Range<f64> = 0.3..1.0;
+/// The deadline of all classes in a run without faults.
+const DEADLINE_WITHOUT_FAULTS: Duration = Duration::from_secs(2);
+/// Deadlines longer than this don't delay SIGKILL any further.
 const MAX_DEADLINE_BEFORE_KILL: Duration = Duration::from_secs(3);
-/// SIGKILL comes this long after the longest deadline of a request that arrived at SIGTERM.
+/// SIGKILL is sent this long after the longest deadline of a request that arrived at SIGTERM.
 const KILL_GRACE: Duration = Duration::from_millis(700);
-/// Requests in a hundred that endpoints execute and never answer.
+/// Percentages of requests that endpoints execute but never respond to, one of which is drawn for a run.
 const HANGING_PERCENTS: [u32; 3] = [0, 12, 30];
-/// Gateways that share one processor in a run that is short of them.
+/// Number of gateways that share one processor in a run with few processors.
 const GATEWAYS_PER_PROCESSOR: usize = 8;
-/// Sockets that a gateway may have.
+/// The limit of sockets of a gateway.
 const SOCKETS: u64 = 256;
-/// Sockets that a gateway may have in a run with idle clients.
+/// The limit of sockets of a gateway in a run with idle clients.
 const SOCKETS_WITH_IDLE_CLIENTS: u64 = 96;
-/// Idle clients of each gateway in a run with them: more than it has slots for.
+/// Number of idle clients per gateway in a run with idle clients: more than a gateway has slots for.
 const IDLE_CLIENTS: usize = 44;
 
-/// The deadlines of the classes: clients wait no longer.
+/// The deadlines of the request classes. Clients wait no longer.
 #[derive(Clone, Copy, Debug)]
 struct Deadlines {
     idempotent: Duration,
@@ -39,34 +39,34 @@
     at_most_once: Duration,
 }
 
-/// What makes one run differ from another.
+/// The conditions that differ from run to run.
 #[derive(Clone, Copy, Debug)]
 pub struct Scenario {
     deadlines: Deadlines,
-    /// Requests in a hundred that endpoints execute and never answer.
+    /// Percentage of requests that endpoints execute but never respond to.
     pub hanging_percent: u32,
-    /// Idle clients fill the gateways' descriptors.
+    /// Idle clients use up the gateways' file descriptors.
     pub has_idle_clients: bool,
-    /// Gateways that share one processor; none if all may use all.
+    /// Number of gateways that share one processor. `None` if each gateway may use all processors.
     pub gateways_per_processor: Option<usize>,
-    /// SIGTERM and SIGHUP come again and again while a gateway ends.
+    /// SIGTERM and SIGHUP are sent repeatedly while a gateway shuts down.
     pub repeats_signals: bool,
 }
 
 impl Scenario {
-    /// The scenario of a run with faults.
+    /// Draws the scenario of a run with faults.
     #[must_use]
     pub fn draw(seed: u64) -> Self {
         let mut rng = crate::seeded_rng(seed, "conditions", 0);
         let (shortest, longest) = (LONGEST_DEADLINE_S.start.ln(), LONGEST_DEADLINE_S.end.ln());
         let longest_s = rng.random_range(shortest..longest).exp();
-        let mut other = || {
+        let mut draw_other = || {
             let deadline =
-                Duration::from_secs_f64(longest_s * rng.random_range(OTHER_DEADLINE_PARTS));
+                Duration::from_secs_f64(longest_s * rng.random_range(OTHER_DEADLINE_SHARES));
             deadline.max(MIN_DEADLINE)
         };
-        let with_key = other();
-        let at_most_once = other();
+        let with_key = draw_other();
+        let at_most_once = draw_other();
         let deadlines = Deadlines {
             idempotent: Duration::from_secs_f64(longest_s),
             with_key,
@@ -81,14 +81,14 @@
         }
     }
 
-    /// The scenario of a run without faults.
+    /// Returns the scenario of a run without faults.
     #[must_use]
-    pub fn calm() -> Self {
+    pub fn without_faults() -> Self {
         Scenario {
             deadlines: Deadlines {
-                idempotent: CALM_DEADLINE,
-                with_key: CALM_DEADLINE,
-                at_most_once: CALM_DEADLINE,
+                idempotent: DEADLINE_WITHOUT_FAULTS,
+                with_key: DEADLINE_WITHOUT_FAULTS,
+                at_most_once: DEADLINE_WITHOUT_FAULTS,
             },
             hanging_percent: 0,
             has_idle_clients: false,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// How long clients wait for requests of this class at most.
+    /// The deadline of a class: the longest time that clients wait for a response.
     #[must_use]
     pub fn deadline(&self, class: RequestClass) -> Duration {
         match class {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// The longest of the deadlines.
+    /// The longest deadline of all classes.
     #[must_use]
     pub fn longest_deadline(&self) -> Duration {
         self.deadlines
@@ -116,13 +116,13 @@
             .max(self.deadlines.at_most_once)
     }
 
-    /// How long after SIGTERM SIGKILL comes: as early as the protocol permits.
+    /// The time from SIGTERM to SIGKILL: the shortest that the protocol permits.
     #[must_use]
     pub fn kill_after(&self) -> Duration {
         self.longest_deadline().min(MAX_DEADLINE_BEFORE_KILL) + KILL_GRACE
     }
 
-    /// Sockets that a gateway may have.
+    /// The limit of sockets of each gateway.
     #[must_use]
     pub fn sockets(&self) -> u64 {
         if self.has_idle_clients {
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Idle clients that keep connections to each gateway.
+    /// The number of idle clients per gateway.
     #[must_use]
     pub fn idle_clients(&self) -> usize {
         if self.has_idle_clients {
--- a/soak/src/scenario/tests.rs
+++ b/soak/src/scenario/tests.rs
@@ -1,4 +1,4 @@
-//! What is drawn is within the protocol's bounds, and each seed draws the same again.
+//! Drawn scenarios are within the bounds of the protocol, and each seed always draws the same scenario.
 
 use super::{Scenario, MIN_DEADLINE};
 use crate::request_class::RequestClass;
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn the_kill_comes_at_the_earliest() {
+fn sigkill_is_sent_at_the_earliest_permitted_time() {
     for seed in SEEDS {
         let scenario = Scenario::draw(seed);
         let counted = scenario.longest_deadline().min(Duration::from_secs(3));
@@ -37,10 +37,10 @@
     }
 }
 
-/// A find is reported with its seed, and the kept seeds of the test command stand for what they draw. A change of the
-/// draws, or of their order, would turn them into other runs unnoticed.
+/// A failure is reported with its seed, and the test command uses these seeds for the scenarios that they draw. A
+/// change of the draws or of their order would silently turn them into other scenarios.
 #[test]
-fn the_kept_seeds_draw_what_they_always_drew() {
+fn the_seeds_of_the_test_command_draw_the_same_scenarios_as_before() {
     for (seed, drawn) in [
         (
             13,
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_seed_draws_the_same_again_and_some_seed_each_difficulty() {
+fn draws_are_reproducible_and_cover_all_conditions() {
     let drawn: Vec<_> = SEEDS.map(Scenario::draw).collect();
     for (seed, scenario) in SEEDS.zip(&drawn) {
         assert_eq!(scenario.to_string(), Scenario::draw(seed).to_string());
--- a/soak/src/scheduling_delay.rs
+++ b/soak/src/scheduling_delay.rs
@@ -1,5 +1,5 @@
-//! How late this process runs. Clients and stand-ins see everything late by as much, so that much is allowed for when
-//! the rules are checked.
+//! Measures the scheduling delay of this process. Clients and stand-ins observe all events late by this delay, so the
+//! rules allow for it.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -7,21 +7,21 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Instant};
 
-/// Interval between two measurements.
+/// Time between two measurements.
 const INTERVAL: Duration = Duration::from_millis(5);
-/// A delay counts for this long after it was measured.
+/// A measured delay is kept as the worst recent delay for this long.
 const RETENTION: Duration = Duration::from_millis(400);
-/// What timers and loopback take at any time.
-const USUAL_DELAY: Duration = Duration::from_millis(15);
+/// Delay that timers and loopback cause at any time.
+const BASELINE_DELAY: Duration = Duration::from_millis(15);
 
-/// One measured delay.
+/// A measured delay and the time of its measurement.
 #[derive(Clone, Copy)]
 struct Measurement {
     at: Instant,
     delay: Duration,
 }
 
-/// Measures by how much timers of this process go off late.
+/// Measures the delay with which timers of this process fire.
 #[derive(Clone)]
 pub struct SchedulingDelay {
     worst_recent: Rc<Cell<Measurement>>,
@@ -29,7 +29,7 @@
 }
 
 impl SchedulingDelay {
-    /// Starts to measure.
+    /// Starts the measurement in a task of the current `LocalSet`.
     pub fn start() -> Self {
         let delay = SchedulingDelay {
             worst_recent: Rc::new(Cell::new(Measurement {
@@ -56,12 +56,12 @@
         }
     }
 
-    /// What to allow for at present.
+    /// The delay that the rules have to allow for at present.
     pub fn allowance(&self) -> Duration {
-        self.worst_recent.get().delay + USUAL_DELAY
+        self.worst_recent.get().delay + BASELINE_DELAY
     }
 
-    /// The worst delay of the run.
+    /// The longest delay since the start of the measurement.
     pub fn worst_ever(&self) -> Duration {
         self.worst_ever.get()
     }
--- a/soak/src/settings.rs
+++ b/soak/src/settings.rs
@@ -1,23 +1,23 @@
-//! What all parts of a run know of it.
+//! The settings of a run.
 
 use crate::scenario::Scenario;
 use tokio::time::Instant;
 
-/// What was set or drawn for a run.
+/// The settings of a run, from its arguments and its seed.
 #[derive(Clone, Copy)]
 pub struct RunSettings {
-    /// Deadlines and what makes shutdowns harder.
+    /// The scenario that the seed draws.
     pub scenario: Scenario,
     /// The seed of all random streams.
     pub seed: u64,
-    /// Gateways poll a service that all share for the list, in place of an agent that pushes it.
+    /// Gateways poll a shared service for the endpoint list. Otherwise an agent pushes the list.
     pub is_polled: bool,
-    /// Clients and faults begin nothing new from then on.
+    /// The time after which clients start no new requests and no faults are injected. Shutdown clients are exempt.
     pub load_ends_at: Instant,
 }
 
 impl RunSettings {
-    /// True once the load has ended.
+    /// True once `load_ends_at` has passed.
     pub fn has_load_ended(&self) -> bool {
         Instant::now() >= self.load_ends_at
     }
