--- a/src/bin/quota-gateway/reload.rs
+++ b/src/bin/quota-gateway/reload.rs
@@ -34,7 +34,9 @@
             }
             Err(error) => {
                 self.metrics.failed_reloads.inc();
-                tracing::warn!("SIGHUP: the old configuration stands: {error}");
+                tracing::warn!(
+                    "SIGHUP: reload failed, the running configuration stays in use: {error}"
+                );
             }
         }
     }
--- a/tests/gateway/crossings.rs
+++ b/tests/gateway/crossings.rs
@@ -75,7 +75,9 @@
         Reply::Send(response(200, "", &list))
     });
     config["discovery"] = crowded.to_string().into();
-    assert!(!gateway.reload(&config.to_string()).contains("stands"));
+    assert!(!gateway
+        .reload(&config.to_string())
+        .contains("reload failed"));
     for _ in 0..3 {
         listed
             .recv_timeout(TEST_TIMEOUT)
--- a/tests/gateway/service.rs
+++ b/tests/gateway/service.rs
@@ -115,7 +115,9 @@
     config["counter"] = start_counter(amounts.clone()).to_string().into();
     for (round, discovery) in [&second, &first, &second].into_iter().enumerate() {
         config["discovery"] = discovery.addr.to_string().into();
-        assert!(!gateway.reload(&config.to_string()).contains("stands"));
+        assert!(!gateway
+            .reload(&config.to_string())
+            .contains("reload failed"));
         let (line, mut list) = discovery.next_watch();
         assert!(
             !line.contains("stream"),
@@ -156,7 +158,10 @@
         invalid.to_string(),
     ] {
         let logged = gateway.reload(&text);
-        assert!(logged.contains("the old configuration stands"), "{logged}");
+        assert!(
+            logged.contains("reload failed, the running configuration stays in use"),
+            "{logged}"
+        );
         customer += 1;
         assert_eq!(gateway.get(customer, 1).status(), 200);
     }
--- a/tests/gateway/system_faults.rs
+++ b/tests/gateway/system_faults.rs
@@ -147,7 +147,9 @@
     let config = config_with_silent_discovery(&[endpoint]);
     let mut gateway = Gateway::with_faults(&config, "unix_eintr=400");
     for customer in 0..10 {
-        assert!(!gateway.reload(&config.to_string()).contains("stands"));
+        assert!(!gateway
+            .reload(&config.to_string())
+            .contains("reload failed"));
         assert_eq!(gateway.get(customer, 1).status(), 200);
     }
     gateway.signal("-TERM");
