--- a/src/bin/quota-gateway/driver/actions.rs
+++ b/src/bin/quota-gateway/driver/actions.rs
@@ -1,4 +1,4 @@
-//! The loop of the library: hands it events and carries out its actions, in order.
+//! Passes events to the decision library and carries out the actions that the library returns, in order.
 
 use super::clock::duration_from_ms;
 use super::enforcement::StartRefusal;
@@ -13,7 +13,8 @@
 use tokio::time::{sleep, Instant};
 
 impl Driver {
-    /// Hands an event to the library, and then the events that its own actions cause at once.
+    /// Passes an event to the library, carries out the actions that follow, and then handles the events that these
+    /// actions cause at once.
     pub(super) fn dispatch(self: &Rc<Self>, event: Event) {
         let mut events = VecDeque::from([event]);
         let mut actions = self.actions.take();
@@ -28,7 +29,7 @@
         self.actions.replace(actions);
     }
 
-    /// Carries out one action. Returns the event that reports an action which failed at once.
+    /// Carries out one action. Returns the event that reports a failure if the action failed at once.
     fn perform(self: &Rc<Self>, action: Action) -> Option<Event> {
         match action {
             Action::SendAttempt {
@@ -71,7 +72,7 @@
             } => {
                 return self.add_to_counter(key, amount, ttl_ms);
             }
-            // Discovery keeps its watch open without being asked.
+            // The discovery task keeps the endpoint watch open without a request from the library.
             Action::WatchEndpoints => {}
             Action::Gossip { to, body } => {
                 if let Some(gossip) = &self.gossip {
@@ -82,7 +83,7 @@
         None
     }
 
-    /// Starts the request's next attempt, or reports that it was not sent.
+    /// Starts the request's next attempt. Returns the event that reports it as not sent if it was refused.
     fn send_attempt(
         self: &Rc<Self>,
         id: RequestId,
@@ -119,7 +120,7 @@
         });
     }
 
-    /// Calls the counter. Returns the reply of a call that its queue has no room for.
+    /// Queues an increment of the shared counter. If the queue is full, returns the event that rejects the call.
     fn add_to_counter(&self, key: u64, amount: f64, ttl_ms: f64) -> Option<Event> {
         let counter = self.counter.as_ref()?;
         if counter.call(IncrementCall {
--- a/src/bin/quota-gateway/driver/attempts.rs
+++ b/src/bin/quota-gateway/driver/attempts.rs
@@ -1,4 +1,4 @@
-//! Sends attempts. Each has a task of its own, which reports its end to an `AttemptReportHandler`.
+//! Sends attempts. A task for each attempt sends it and reports its end to an `AttemptReportHandler`.
 
 use super::clock::Clock;
 use super::endpoints::Endpoints;
@@ -20,33 +20,30 @@
 use tokio::task::yield_now;
 use tokio::time::Instant;
 
-/// How often an attempt lets all other tasks run until its client's connection has read what had arrived. The buffers
-/// of one connection, the client's and the gateway's, are empty after fewer turns.
-const MAX_READING_TURNS: u32 = 64;
+/// Maximum number of times that an attempt yields to other tasks until the connection of its client has read what
+/// arrived. The buffers of one connection, the client's and the gateway's, are empty after fewer turns.
+const MAX_READ_YIELDS: u32 = 64;
 
 /// The end of one attempt.
 pub(super) struct AttemptReport {
-    /// The request.
     pub request: RequestId,
-    /// The attempt's number among the request's.
+    /// Position of the attempt among the request's attempts, from 0.
     pub number: usize,
-    /// Where it was sent.
     pub endpoint: EndpointId,
-    /// How it ended.
     pub outcome: Outcome,
-    /// Time since it began, in ms.
+    /// Time from the start of the attempt to its end, in ms.
     pub elapsed_ms: f64,
-    /// The response, if the outcome is success.
-    pub served: Option<EndpointResponse>,
+    /// The endpoint's response; `None` unless the outcome is success.
+    pub response: Option<EndpointResponse>,
 }
 
-/// Receives the ends of attempts.
+/// Receives the reports of ended attempts.
 pub(super) trait AttemptReportHandler {
-    /// An attempt has ended; each reports that once.
+    /// Handles the end of an attempt. Called exactly once for each attempt that was started.
     fn attempt_ended(self: Rc<Self>, report: AttemptReport);
 }
 
-/// What attempts are sent with and checked against. The driver shares it with the tasks of all attempts.
+/// The shared state that attempts are sent with and checked against. The driver and the tasks of all attempts share it.
 pub(super) struct AttemptSender {
     pub clock: Clock,
     pub registry: Rc<RefCell<RequestRegistry>>,
@@ -58,7 +55,7 @@
 }
 
 impl AttemptSender {
-    /// Starts the task of an attempt. The registry can end the task by cancelling the attempt.
+    /// Starts the task of an attempt. Cancelling the attempt in the registry ends the task.
     pub fn spawn(
         self: &Rc<Self>,
         request: RequestId,
@@ -96,7 +93,7 @@
         let result = tokio::select! {
             biased;
             result = self.pool.attempt(target, attempt.times.deadline, &outgoing) => result,
-            // Dropping the attempt closes its connection.
+            // Dropping the pool's future closes its connection.
             Ok(()) = &mut attempt.cancelled => {
                 let outcome = if attempt.written.get() { Outcome::Cancelled } else { Outcome::NotSent };
                 AttemptResult::without_response(outcome)
@@ -108,29 +105,29 @@
             endpoint,
             outcome: result.outcome,
             elapsed_ms: elapsed_ms(attempt.times.started_at),
-            served: served_response(result),
+            response: success_response(result),
         }
     }
 }
 
-/// An attempt about to be written, unless `enforcement` refuses it.
+/// An attempt about to be written, unless a check in `enforcement` refuses it.
 struct AttemptRequest {
     sender: Rc<AttemptSender>,
     request: RequestId,
     target: Target,
     forwarded: Rc<ForwardedRequest>,
     times: AttemptTimes,
-    /// The last peek into the client's socket.
+    /// Result of the last peek into the client's socket.
     client: Cell<PeekResult>,
-    /// The time that is left until its deadline, as it is propagated to the endpoint (`X-Remaining-Ms`).
+    /// Time left until the attempt's deadline, as propagated to the endpoint in `X-Remaining-Ms`.
     propagated_deadline: Cell<Duration>,
-    /// Set once the last byte is written.
+    /// True once the last byte of the attempt is written.
     written: Rc<Cell<bool>>,
 }
 
 impl AttemptRequest {
-    /// What is known right now, for the check before the first byte.
-    fn to_write(&self) -> AttemptToWrite {
+    /// Collects the current state for the check before the first byte.
+    fn state_before_write(&self) -> AttemptToWrite {
         let sender = &self.sender;
         AttemptToWrite {
             record: sender.registry.borrow().record(self.request),
@@ -144,7 +141,7 @@
         }
     }
 
-    /// Checks what has just been written.
+    /// Checks the attempt against the rules on sending, after its last byte was written.
     fn check_after_write(&self) {
         let sender = &self.sender;
         let Some(record) = sender.registry.borrow().record(self.request) else {
@@ -181,7 +178,7 @@
     }
 
     fn refusal(&self) -> Option<Outcome> {
-        let refusal = enforce_before_write(&self.to_write()).err()?;
+        let refusal = enforce_before_write(&self.state_before_write()).err()?;
         let label = AttemptRefusal::from(refusal);
         self.sender.metrics.attempt_refusals.increment(label);
         tracing::debug!(
@@ -194,7 +191,7 @@
     }
 
     fn encode(&self) -> Vec<u8> {
-        // The process may end before the request's own deadline.
+        // The process may exit before the deadline of the request.
         let deadline = self.sender.lifecycle.limit_deadline(self.times.deadline);
         self.propagated_deadline
             .set(deadline.saturating_duration_since(Instant::now()));
@@ -207,7 +204,7 @@
     }
 }
 
-/// The label by which metrics and log name a refusal.
+/// Maps a refusal to the label that names it in metrics and in the log.
 impl From<WriteRefusal> for AttemptRefusal {
     fn from(refusal: WriteRefusal) -> Self {
         match refusal {
@@ -222,14 +219,15 @@
     }
 }
 
-/// Lets the client's connection read what has arrived. Returns what its socket holds afterwards.
+/// Waits until the client's connection has read what arrived. Returns what the client's socket holds afterwards.
 ///
-/// Guards against a client that sends more and then disconnects: the attempt would be executed for nobody. A close that
-/// the system knows of is seen behind unread bytes, too (`WeakSocket::peek_or_closed`). This is for a close that arrives
-/// after them: each turn lets the task of the client's connection read, and the next peek looks again, until the buffer
-/// is empty. A client that has more to read after the last turn is still sending, so it is still connected.
+/// Guards against a client that sends more data and then disconnects: the endpoint would execute the attempt for
+/// nobody. `WeakSocket::peek_or_closed` detects a close that the system already knows of, even if unread bytes precede
+/// it. The loop here detects a close that arrives after those bytes: each turn lets the task of the client's connection
+/// read, and the next peek checks the socket again, until the buffer is empty. A client whose socket still holds data
+/// after the last turn is still sending, and therefore still connected.
 async fn wait_until_read(client: WeakSocket) -> PeekResult {
-    for _ in 0..MAX_READING_TURNS {
+    for _ in 0..MAX_READ_YIELDS {
         yield_now().await;
         let peeked = client.peek_or_closed();
         if peeked != PeekResult::Data {
@@ -239,8 +237,8 @@
     PeekResult::Data
 }
 
-/// What the client gets of a successful attempt.
-fn served_response(result: AttemptResult) -> Option<EndpointResponse> {
+/// Returns what the client gets of a successful attempt's response; `None` for other outcomes.
+fn success_response(result: AttemptResult) -> Option<EndpointResponse> {
     match (result.outcome, result.response) {
         (Outcome::Success, Some(CompleteResponse { head, body })) => Some(EndpointResponse {
             units: head.units,
--- a/src/bin/quota-gateway/driver/endpoint_ids.rs
+++ b/src/bin/quota-gateway/driver/endpoint_ids.rs
@@ -1,16 +1,16 @@
-//! The library's ids of endpoints, by the names in the list.
+//! Assigns the decision library's numeric ids to the endpoint names in the list.
 
 use quota_gateway::EndpointId;
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The id of a removed endpoint is kept for this long: longer than the library remembers the endpoint, which is
-/// `FORGET_REMOVED_MS` (60 s) of `policy::load_balancer`.
+/// Time for which the id of a removed endpoint is kept. It exceeds the time for which the library remembers a removed
+/// endpoint, `FORGET_REMOVED_MS` (60 s) of `policy::load_balancer`.
 pub const REMOVED_ID_RETENTION: Duration = Duration::from_secs(90);
 
-/// Assigns ids. No id is assigned twice. That of a removed endpoint is kept while the library may remember it and then
-/// dropped, as names are never reused.
+/// Maps endpoint names to ids. No id is assigned twice. The id of a removed endpoint is kept while the library may
+/// remember the endpoint and then dropped, as names are never reused.
 #[derive(Default)]
 pub struct EndpointIds {
     last_id: EndpointId,
@@ -20,22 +20,22 @@
 struct AssignedId {
     id: EndpointId,
     start: StartTime,
-    /// When the endpoint was removed; none while it is listed.
+    /// Time of the endpoint's removal; `None` while it is listed.
     removed_at: Option<Instant>,
 }
 
-/// When an endpoint started, in Unix milliseconds; 0 if that is long past.
+/// The start time of an endpoint, in Unix milliseconds; 0 if that is long past.
 #[derive(Clone, Copy, Default)]
 struct StartTime {
-    /// As listed, by the clock of the endpoint's machine.
+    /// Start time as listed, by the clock of the endpoint's machine.
     listed_ms: f64,
-    /// By this machine's clock, as `StartTimes` estimates it.
+    /// Start time by this machine's clock, as estimated by `StartTimes`.
     estimated_ms: f64,
 }
 
 impl EndpointIds {
-    /// The id of a listed endpoint, and when it started, in Unix milliseconds. `estimate` is called for a start that was
-    /// not listed before.
+    /// Returns the id of a listed endpoint and its start time in Unix milliseconds. `estimate` is called if the listed
+    /// start is later than the one recorded for this name.
     pub fn get_or_assign(
         &mut self,
         name: String,
@@ -67,7 +67,7 @@
         (assigned.id, started_ms)
     }
 
-    /// Marks all endpoints as removed that a complete list does not name.
+    /// Marks as removed all endpoints that are missing from a complete list.
     pub fn mark_unlisted_removed(&mut self, listed: &HashSet<EndpointId>) {
         for assigned in self.assigned.values_mut() {
             if assigned.removed_at.is_none() && !listed.contains(&assigned.id) {
--- a/src/bin/quota-gateway/driver/endpoints.rs
+++ b/src/bin/quota-gateway/driver/endpoints.rs
@@ -1,5 +1,4 @@
-//! The listed endpoints: their states and start times, under the library's ids. Their addresses are in the connection
-//! pool.
+//! The states and start times of the listed endpoints, by the library's ids. The connection pool holds their addresses.
 
 use super::endpoint_ids::{EndpointIds, REMOVED_ID_RETENTION};
 use super::start_times::StartTimes;
@@ -14,23 +13,22 @@
 #[cfg(test)]
 mod tests;
 
-/// All listed endpoints.
+/// The listed endpoints, and those removed at most `REMOVED_ID_RETENTION` ago.
 pub struct Endpoints {
     ids: EndpointIds,
-    /// The states of endpoints that are listed with an address and not removed.
+    /// States of the endpoints that are listed with an address and not removed.
     states: HashMap<EndpointId, EndpointState>,
-    /// The number of ready endpoints.
     ready_count: usize,
-    /// Since when endpoints are not ready, for those that drain or were removed.
+    /// Time at which an endpoint stopped being ready, for endpoints that are draining or were removed.
     not_ready_since: HashMap<EndpointId, Instant>,
-    /// When endpoints started, in Unix milliseconds, for those that are ready and did not start long ago.
+    /// Start times in Unix milliseconds, for ready endpoints that did not start long ago.
     started_at: HashMap<EndpointId, f64>,
     topology: TopologyNames,
     start_times: StartTimes,
 }
 
 impl Endpoints {
-    /// Without endpoints, until a list arrives.
+    /// Creates an empty set; the first list adds endpoints.
     pub fn new(topology: TopologyNames) -> Self {
         Endpoints {
             ids: EndpointIds::default(),
@@ -43,27 +41,28 @@
         }
     }
 
-    /// True if an endpoint takes new requests.
+    /// True if the endpoint accepts new requests.
     pub fn is_ready(&self, id: EndpointId) -> bool {
         self.states.get(&id) == Some(&EndpointState::Ready)
     }
 
-    /// True if any endpoint takes new requests.
+    /// True if any endpoint accepts new requests.
     pub fn any_ready(&self) -> bool {
         self.ready_count > 0
     }
 
-    /// How many endpoints take new requests.
+    /// Number of endpoints that accept new requests.
     pub fn ready_count(&self) -> usize {
         self.ready_count
     }
 
-    /// Since when an endpoint takes no new requests; none if it does, or it was removed long ago.
+    /// Time at which the endpoint stopped accepting new requests; `None` if it accepts them, or was removed longer ago
+    /// than `REMOVED_ID_RETENTION`.
     pub fn not_ready_since(&self, id: EndpointId) -> Option<Instant> {
         self.not_ready_since.get(&id).copied()
     }
 
-    /// When a ready endpoint started, in Unix milliseconds; none if that is long past.
+    /// Start time of a ready endpoint in Unix milliseconds; `None` if that is long past.
     pub fn started_at(&self, id: EndpointId) -> Option<f64> {
         self.started_at.get(&id).copied()
     }
@@ -94,8 +93,8 @@
         self.start_times.synced();
     }
 
-    /// Applies a list, also to the pool's addresses. Returns the entries in the library's terms; `now_ms` is the
-    /// present Unix time by the library's clock.
+    /// Applies a list, and updates the addresses in the pool. Returns the entries in the library's terms. `now_ms` is
+    /// the current Unix time by the library's clock.
     pub fn update(
         &mut self,
         list: EndpointList,
@@ -153,7 +152,7 @@
         }
     }
 
-    /// Removes the endpoints that a complete list does not name.
+    /// Removes the endpoints that are missing from a complete list.
     fn remove_unlisted(&mut self, listed: &[Endpoint], pool: &ConnectionPool) {
         let listed: HashSet<_> = listed.iter().map(|endpoint| endpoint.id).collect();
         self.ids.mark_unlisted_removed(&listed);
--- a/src/bin/quota-gateway/driver/endpoints/tests.rs
+++ b/src/bin/quota-gateway/driver/endpoints/tests.rs
@@ -1,4 +1,4 @@
-//! How lists change the endpoints' ids, states and addresses.
+//! Tests how endpoint lists change the ids, states and addresses of endpoints.
 
 use super::{Endpoints, TopologyNames, REMOVED_ID_RETENTION};
 use crate::discovery::list::{EndpointEntries, EndpointEntry, EndpointList, EntryState};
@@ -69,16 +69,16 @@
     assert_eq!(listed[0].zone, 1);
     assert_eq!(
         listed[0].kind, 1,
-        "one past the last for a name that the settings don't have"
+        "one past the last index for a name that is not in the settings"
     );
     assert_eq!(listed[0].cell, 3);
     assert!(!fleet.endpoints.any_ready());
 }
 
-/// A watch event names one endpoint that begins to drain. It must keep its id and its address and get no more requests,
-/// and the other endpoints must not change.
+/// A watch event reports that one endpoint begins to drain. The endpoint must keep its id and its address and get no
+/// more requests, and the other endpoints must not change.
 #[test]
-fn a_change_keeps_ids_and_leaves_other_endpoints_alone() {
+fn a_change_keeps_ids_and_does_not_affect_other_endpoints() {
     let mut fleet = Fleet::new();
     let before = fleet.update(
         true,
@@ -98,10 +98,10 @@
     );
 }
 
-/// An endpoint is removed while the watch is broken, so that no event says so. The next complete list does not name
-/// it. It must get no more requests.
+/// An endpoint is removed while the watch is broken, so no event reports the removal. The next complete list does not
+/// name the endpoint, which must get no more requests.
 #[test]
-fn a_complete_list_removes_what_it_does_not_name() {
+fn a_complete_list_removes_endpoints_that_it_does_not_name() {
     let mut fleet = Fleet::new();
     let before = fleet.update(
         true,
@@ -116,11 +116,11 @@
     assert!(fleet.endpoints.is_ready(before[1].id));
 }
 
-/// An endpoint is removed, and late events still name it. If another endpoint had its id, their outcomes would count for
-/// that one. An id must be kept while the library may remember the endpoint, and never be used again. The clock is
-/// paused.
+/// Late events may still name an endpoint after its removal. If another endpoint had the same id, outcomes of the
+/// removed one would count for the other. An id must be kept while the library may remember the endpoint, and must
+/// never be assigned again. Runs on the paused clock.
 #[tokio::test(start_paused = true)]
-async fn the_id_of_a_removed_endpoint_is_kept_for_a_time_and_never_assigned_again() {
+async fn the_id_of_a_removed_endpoint_is_kept_temporarily_and_never_assigned_again() {
     let mut fleet = Fleet::new();
     let first = fleet.update(true, vec![entry("s-1", EntryState::Ready)])[0].id;
     fleet.update(false, vec![entry("s-1", EntryState::Gone)]);
@@ -138,7 +138,8 @@
     );
 }
 
-/// An estimate holds for as long as the list states the same start: a repeated entry must not begin slow start again.
+/// The estimate of a start time holds for as long as the list states the same start: a repeated entry must not begin
+/// slow start again.
 #[test]
 fn a_start_is_estimated_only_when_it_changes() {
     let mut fleet = Fleet::new();
--- a/src/bin/quota-gateway/driver/enforcement.rs
+++ b/src/bin/quota-gateway/driver/enforcement.rs
@@ -1,13 +1,13 @@
-//! Enforcement of the rules on sending, at the two moments before something leaves this process.
+//! Enforces the rules on sending, at the two points before data leaves this process.
 //!
-//! Whether a request may be sent, and sent again, is decided by the library: the rule is in `src/policy/retry.rs`. The
-//! functions here decide nothing of their own. They hold that decision against what only the program knows, as time
-//! passes between the decision and the write:
+//! The library decides whether a request may be sent, and sent again: the rule is in `src/policy/retry.rs`. The
+//! functions here make no decisions of their own. They check that decision against state that only the program knows,
+//! as time passes between the decision and the write:
 //!
 //! - `enforce_before_start`: before the task of an attempt starts
 //! - `enforce_before_write`: right before the first byte of an attempt
 //!
-//! `rule_checks` verifies afterwards that both did their work.
+//! `rule_checks` verifies afterwards that both checks worked.
 
 use super::registered_request::RequestRecord;
 use crate::socket::PeekResult;
@@ -19,32 +19,32 @@
 #[cfg(test)]
 mod tests;
 
-/// Limits on what is sent for one request, whatever the library asks for.
+/// Limits on the attempts of one request, applied whatever the library asks for.
 pub struct AttemptLimits {
-    /// Attempts of one request.
+    /// Maximum number of attempts of one request.
     pub max_attempts: usize,
-    /// Two attempts of one request may be in flight at once.
+    /// True if two attempts of one request may be in flight at once.
     pub hedging: bool,
 }
 
-/// An attempt that the library has requested, and the state of its request.
+/// An attempt that the library requested, and the state of its request.
 pub struct AttemptToStart {
-    /// The request has its final response, or its client has disconnected.
+    /// True if the request has its final response, or its client has disconnected.
     pub request_closed: bool,
-    /// Attempts made before, those included that were never sent.
+    /// Number of earlier attempts, including attempts that were never sent.
     pub earlier_attempts: usize,
-    /// One of them is still in flight.
+    /// True if one of the earlier attempts is still in flight.
     pub attempt_in_flight: bool,
-    /// Until the deadline of the attempt.
+    /// Time until the deadline of the attempt.
     pub time_left: Duration,
-    /// The present address of the endpoint; none if it is no longer listed.
+    /// Current address of the endpoint; `None` if it is no longer listed.
     pub endpoint_addr: Option<SocketAddr>,
 }
 
-/// Why an attempt is not started.
+/// The reason why an attempt is not started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartRefusal {
-    /// The request has its final response, or its client disconnected.
+    /// The request has its final response, or its client has disconnected.
     RequestClosed,
     /// The deadline of the attempt has passed.
     DeadlineExceeded,
@@ -56,16 +56,16 @@
     EndpointRemoved,
 }
 
-/// Why an attempt is not written.
+/// The reason why an attempt is not written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteRefusal {
     /// The request has its final response, or its client has disconnected.
     RequestClosed,
-    /// The client has closed its side, or its connection broke.
+    /// The client has closed its side of the connection, or the connection broke.
     ClientDisconnected,
     /// The request may have been executed and must not be executed twice.
     MayHaveExecuted,
-    /// The process ends before a response could arrive.
+    /// The process exits before a response could arrive.
     ShuttingDown,
     /// The deadline for the first byte has passed: the endpoint may no longer know the idempotency key, and could execute
     /// the request a second time.
@@ -76,33 +76,33 @@
     EndpointMoved,
 }
 
-/// What is known of an attempt right before its first byte.
+/// The state of an attempt right before its first byte.
 pub struct AttemptToWrite {
-    /// Its request; none if that is no longer open.
+    /// The attempt's request; `None` if the request is no longer open.
     pub record: Option<RequestRecord>,
-    /// The last peek into the client's socket.
+    /// Result of the last peek into the client's socket.
     pub client: PeekResult,
-    /// Enough time is left for a response before the process ends.
+    /// True if enough time is left for a response before the process exits.
     pub process_may_forward: bool,
-    /// Its first byte must not be written after this.
+    /// The first byte must not be written after this time.
     pub start_deadline: Instant,
-    /// The present time.
+    /// The current time.
     pub now: Instant,
-    /// The endpoint takes new requests.
+    /// True if the endpoint accepts new requests.
     pub endpoint_is_ready: bool,
-    /// The present address of the endpoint; none if it is no longer listed.
+    /// Current address of the endpoint; `None` if it is no longer listed.
     pub endpoint_addr: Option<SocketAddr>,
-    /// The address that the connection leads to.
+    /// The address to which the connection was established.
     pub connected_addr: SocketAddr,
 }
 
-/// Refuses to start an attempt that the library has requested.
+/// Refuses to start an attempt that must not be sent; otherwise returns the address of its endpoint.
 ///
-/// Guards against a library whose view of the request is not the registry's: an event that is still queued may have
-/// answered the request, the deadline may have passed since the library was given the time, and a fault of the library
-/// may request one attempt too many. The attempt would be executed for nobody, or beside another one. The check holds
-/// because the registry alone gives final responses and counts attempts, and because nothing else runs between this
-/// check and the registration of the attempt.
+/// Guards against a library whose view of the request differs from the registry's: an event that is still queued may
+/// have answered the request, the deadline may have passed since the library was given the time, and a fault of the
+/// library may request one attempt too many. The attempt would be executed for nobody, or concurrently with another
+/// one. The check holds because only the registry gives final responses and counts attempts, and because nothing else
+/// runs between this check and the registration of the attempt.
 pub fn enforce_before_start(
     limits: &AttemptLimits,
     attempt: &AttemptToStart,
@@ -122,13 +122,14 @@
     attempt.endpoint_addr.ok_or(StartRefusal::EndpointRemoved)
 }
 
-/// Refuses to write an attempt.
+/// Refuses to write an attempt that must not be sent.
 ///
-/// Guards against what happens while a connection is found, which takes up to the connect timeout: the client
-/// disconnects, an earlier attempt turns out to have been executed, the process begins to end, the retry window of the
-/// idempotency key closes, or the endpoint drains, is removed or moves. Each would show as a request that is executed
-/// without a reader, executed twice, cut off at the exit, or sent to an endpoint that must get no more. The check holds
-/// because it runs on the thread of all tasks, right before the first byte, and again whenever that write has to wait.
+/// Guards against changes that occur while the pool finds a connection, which takes up to the connect timeout: the
+/// client disconnects, an earlier attempt turns out to have been executed, the process begins to shut down, the retry
+/// window of the idempotency key closes, or the endpoint drains, is removed or moves. The request would be executed
+/// without a client that reads the response, executed twice, cut off when the process exits, or sent to an endpoint
+/// that must get no more requests. The check holds because it runs on the thread of all tasks, right before the first
+/// byte, and again whenever the write of that byte has to wait.
 pub fn enforce_before_write(attempt: &AttemptToWrite) -> Result<(), WriteRefusal> {
     let record = attempt.record.filter(|record| record.ended_at.is_none());
     let record = record.ok_or(WriteRefusal::RequestClosed)?;
@@ -153,8 +154,8 @@
     Ok(())
 }
 
-/// The outcome of an attempt that was refused, in the library's terms. One that only its endpoint stood against counts
-/// as rejected, as another endpoint may be tried.
+/// The outcome of a refused attempt, in the library's terms. A refusal that concerns only the endpoint counts as
+/// rejected, because another endpoint may be tried.
 pub fn refusal_outcome(refusal: WriteRefusal) -> Outcome {
     match refusal {
         WriteRefusal::RequestClosed
--- a/src/bin/quota-gateway/driver/enforcement/tests.rs
+++ b/src/bin/quota-gateway/driver/enforcement/tests.rs
@@ -1,4 +1,4 @@
-//! What stands against starting and against writing an attempt.
+//! Tests which conditions prevent an attempt from being started or written.
 
 use super::{
     enforce_before_start, enforce_before_write, refusal_outcome, AttemptLimits, AttemptToStart,
@@ -30,8 +30,9 @@
     }
 }
 
-/// The library requests an attempt, while its view of the request is outdated or wrong. The attempt would be executed for
-/// a client that has its response, or beside another one. It must not start, and the first reason against it is given.
+/// The library may request an attempt while its view of the request is outdated or wrong. The endpoint would execute
+/// the attempt for a client that already has its response, or concurrently with another attempt. The attempt must not
+/// start, and the error must name the first reason that applies.
 #[test]
 fn an_outdated_attempt_is_not_started() {
     let mut attempt = attempt_to_start();
@@ -49,11 +50,11 @@
     assert_eq!(refusal(&attempt), StartRefusal::RequestClosed);
 }
 
-/// While a connection is found, the client, the endpoint and the process may change. An attempt written all the same
-/// would be executed without a reader, or twice, or on an endpoint that drains. It must be refused, and only where the
-/// endpoint alone stands against it may another one be tried.
+/// The client, the endpoint and the process may change while the pool finds a connection. An attempt that is written
+/// even so would be executed without a client that reads the response, executed twice, or sent to an endpoint that
+/// drains. The attempt must be refused. Another endpoint may be tried only if the refusal concerns the endpoint alone.
 #[test]
-fn an_attempt_is_not_written_once_something_stands_against_it() {
+fn an_attempt_that_must_not_be_sent_is_not_written() {
     let now = Instant::now();
     let mut attempt = AttemptToWrite {
         record: Some(RequestRecord {
--- a/src/bin/quota-gateway/driver/events.rs
+++ b/src/bin/quota-gateway/driver/events.rs
@@ -1,4 +1,5 @@
-//! Turns what happens outside the library into its events: requests, ends of attempts, counter replies, gossip, lists.
+//! Converts what happens outside the decision library to its events: requests, ends of attempts, counter replies,
+//! gossip messages and endpoint lists.
 
 use super::attempts::{AttemptReport, AttemptReportHandler};
 use super::messages::{ForwardedRequest, IncomingRequest, StartedRequest};
@@ -15,31 +16,32 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// A final response is sent this long before the client's deadline, in ms: the network needs that time for the request
-/// and the response.
+/// Time before the client's deadline at which a final response is due, in ms: the network needs this time for the
+/// request and the response.
 const RESPONSE_MARGIN_MS: f64 = 10.0;
 
-/// When a request's final response is due.
+/// The deadline of a request's final response.
 struct RequestTimes {
     deadline: Instant,
-    /// From now until the deadline, in ms.
+    /// Time from now until the deadline, in ms.
     timeout_ms: f64,
 }
 
 impl Driver {
-    /// Registers a request and hands it to the library. Its final response comes by the receiver that is returned.
+    /// Registers a request and passes it to the library. The receiver in the result yields the request's final
+    /// response.
     pub fn start_request(
         self: &Rc<Self>,
         incoming: &IncomingRequest,
         forwarded: ForwardedRequest,
         client_socket: WeakSocket,
     ) -> StartedRequest {
-        let (client, response) = oneshot::channel();
+        let (response_sender, response) = oneshot::channel();
         let RequestTimes {
             deadline,
             timeout_ms,
         } = self.request_times(incoming);
-        let new = NewRequest {
+        let request = NewRequest {
             transaction_id: incoming.transaction_id,
             forwarded,
             deadline,
@@ -47,7 +49,7 @@
                 + Duration::from_secs_f64(incoming.remaining_ms / 1000.0),
             client_socket,
         };
-        let id = self.registry.borrow_mut().insert(new, client);
+        let id = self.registry.borrow_mut().insert(request, response_sender);
         tracing::debug!(
             txn = %format_args!("{:016x}", incoming.transaction_id),
             request_id = id,
@@ -71,7 +73,7 @@
         }
     }
 
-    /// The time that a request has until its final response: what its client's deadline and the shutdown leave.
+    /// Computes the deadline of a request's final response, limited by the client's deadline and by the shutdown.
     fn request_times(&self, incoming: &IncomingRequest) -> RequestTimes {
         let elapsed_ms = incoming.received_at.elapsed().as_secs_f64() * 1000.0;
         let timeout_ms = (incoming.remaining_ms - elapsed_ms - RESPONSE_MARGIN_MS).max(0.0);
@@ -86,8 +88,8 @@
         }
     }
 
-    /// Ends a request that nobody waits for any more: nothing more is sent for it. The final response that the registry
-    /// records reaches no one: the server does not read it any more.
+    /// Ends a request whose client no longer waits for a response. Nothing more is sent for it. The registry records a
+    /// final response that reaches no one, because the server no longer reads it.
     pub fn cancel_request(self: &Rc<Self>, id: RequestId) {
         if self.registry.borrow().is_closed(id) {
             return;
@@ -95,8 +97,8 @@
         self.close_request(id, FinalResponse::Failed);
     }
 
-    /// Ends a request whose deadline has passed. Returns the response that its client gets from the server: the receiver
-    /// of `start_request` is not read any more.
+    /// Ends a request whose deadline has passed. Returns the response that the server has to send to the client,
+    /// because the server no longer reads the receiver from `start_request`.
     pub fn expire_request(self: &Rc<Self>, id: RequestId) -> FinalResponse {
         let may_have_executed = self.registry.borrow().may_have_executed(id);
         self.cancel_request(id);
@@ -106,7 +108,7 @@
         failed_if_executed(may_have_executed, rejected)
     }
 
-    /// Gives all open requests their final response at the end of the process.
+    /// Gives all open requests their final response when the process ends.
     pub fn end_open_requests(self: &Rc<Self>) {
         let ids = self.registry.borrow().unanswered();
         for id in ids {
@@ -121,16 +123,17 @@
         }
     }
 
-    /// Gives an open request its final response, and notifies the library. A disconnect, a deadline and the shutdown are
-    /// one event for it: in each case the request is over, and what is in flight only settles its units.
+    /// Gives an open request its final response, and notifies the library. The library has one event for a disconnect,
+    /// a passed deadline and the shutdown: in each case the request is over, and attempts in flight only settle their
+    /// units.
     fn close_request(self: &Rc<Self>, id: RequestId, response: FinalResponse) {
         self.registry.borrow_mut().respond(id, response);
         self.dispatch(Event::ClientDisconnected { id });
     }
 }
 
-/// The final response to a request that ends unserved: failed if an endpoint may have executed it, as a retry could
-/// execute it twice, else the response that permits a retry.
+/// The final response to a request that ends unserved. The response is `Failed` if an endpoint may have executed the
+/// request, as a retry could execute it twice; otherwise it is `unexecuted`, which permits a retry.
 fn failed_if_executed(may_have_executed: bool, unexecuted: FinalResponse) -> FinalResponse {
     if may_have_executed {
         FinalResponse::Failed
@@ -154,7 +157,7 @@
             report.request,
             report.number,
             report.outcome,
-            report.served,
+            report.response,
         );
         let Some(finished) = finished else { return };
         self.dispatch(Event::AttemptEnded(AttemptEnd {
@@ -189,7 +192,7 @@
 impl EndpointListHandler for Driver {
     fn endpoint_list_changed(self: Rc<Self>, list: EndpointList) {
         if list.endpoints.invalid > 0 {
-            self.bad_entry_warning
+            self.invalid_entry_warning
                 .warn("discovery", "an entry of the list is invalid and ignored");
         }
         let complete = list.complete;
--- a/src/bin/quota-gateway/driver/messages.rs
+++ b/src/bin/quota-gateway/driver/messages.rs
@@ -1,4 +1,4 @@
-//! What the server hands to the driver for each request, and what it gets back.
+//! The messages between the server and the driver: requests, and the final responses to them.
 
 use crate::http::header_names::REMAINING_MS;
 use bytes::Bytes;
@@ -13,39 +13,39 @@
 
 /// The fields of a client's request, checked by the server.
 pub struct IncomingRequest {
-    /// The client's id of the transaction; no other open request has it.
+    /// The client's id of the transaction; no other open request has the same id.
     pub transaction_id: u64,
-    /// The customer whose quota it uses.
+    /// The customer whose quota the request uses.
     pub customer: u64,
-    /// The customer's plan, an index into the settings.
+    /// The customer's plan, an index into the plans of the settings.
     pub plan: u32,
-    /// Its class, an index into the settings.
+    /// The request's class, an index into the classes of the settings.
     pub class: u32,
-    /// Units of the quota that it is estimated to use.
+    /// Estimated quota units that the request uses.
     pub units: f64,
     /// Number of gateways over which this customer's requests are spread.
     pub gateway_set_size: f64,
-    /// The client marked it as a retry.
+    /// True if the client marked the request as a retry.
     pub is_retry: bool,
-    /// Time until the client's deadline, from `received_at` on.
+    /// Time from `received_at` until the client's deadline, in ms.
     pub remaining_ms: f64,
-    /// When its head was complete.
+    /// Time at which the request's head was complete.
     pub received_at: Instant,
 }
 
-/// The request as endpoints get it. The line with the remaining time is only known when an attempt is sent, and goes
-/// between the two parts.
+/// A request as it is forwarded to endpoints. The header line with the remaining time is only known when an attempt is
+/// sent, and is inserted between the two parts.
 pub struct ForwardedRequest {
     /// The request line and all other headers.
     pub head: Vec<u8>,
     /// The empty line that ends the head, and the body.
     pub body: Vec<u8>,
-    /// It must not be executed twice, and endpoints do not deduplicate retries.
+    /// True if the request must not be executed twice and endpoints do not deduplicate retries.
     pub at_most_once: bool,
 }
 
 impl ForwardedRequest {
-    /// The bytes of an attempt that propagates this remaining time, on the wire as whole milliseconds.
+    /// Encodes an attempt that propagates this remaining time, in whole milliseconds.
     pub fn encode(&self, remaining: Duration) -> Vec<u8> {
         let mut message =
             Vec::with_capacity(self.head.len() + self.body.len() + REMAINING_LINE_BYTES);
@@ -59,9 +59,9 @@
 
 /// A request that the driver has accepted.
 pub struct StartedRequest {
-    /// The gateway's own id for it.
+    /// The gateway's id of the request.
     pub id: RequestId,
-    /// The final response is due by then.
+    /// Time at which the final response is due.
     pub deadline: Instant,
     /// Yields the final response.
     pub response: oneshot::Receiver<FinalResponse>,
@@ -69,20 +69,19 @@
 
 /// The final response to a request.
 pub enum FinalResponse {
-    /// An endpoint served it.
+    /// An endpoint served the request.
     Success {
-        /// The endpoint's `Content-Type`.
         content_type: Option<Bytes>,
-        /// The endpoint's body.
         body: Bytes,
     },
-    /// It was rejected, and the client may safely retry: it was never executed, or a second execution does no harm.
+    /// The request was rejected and the client may safely retry: it was never executed, or a second execution does no
+    /// harm.
     Rejected {
-        /// Time after which the client should retry; 0 for no advice.
+        /// Time after which the client should retry, in ms; 0 for no advice.
         retry_after_ms: f64,
     },
-    /// It failed and may have been executed, and another execution could do harm.
+    /// The request failed and may have been executed, and another execution could do harm.
     Failed,
-    /// The process ends, and the request was never executed, so that the client may retry at another gateway.
+    /// The process is shutting down and the request was never executed, so the client may retry at another gateway.
     ShuttingDown,
 }
--- a/src/bin/quota-gateway/driver/mod.rs
+++ b/src/bin/quota-gateway/driver/mod.rs
@@ -1,21 +1,21 @@
-//! Drives the decision library: turns what happens into its events and carries out its actions. It alone gives a
-//! request its final response, and gives it once.
+//! Drives the decision library: converts what happens to events of the library and carries out the library's actions.
+//! Only the driver gives a request its final response, and it does so once.
 //!
-//! Arrows go downwards only: `events` calls `actions`, which calls `attempts` and the parts below. Attempts report to a
-//! trait that they define, which `events` implements.
+//! Calls go in one direction only: `events` calls `actions`, which calls `attempts` and the modules below it. Attempts
+//! report to a trait that `attempts` defines and `events` implements.
 //!
-//! - `events`: what comes in, from the server, attempts, the counter, other gateways and discovery
-//! - `actions`: the library's loop, and what it asks for
+//! - `events`: input from the server, attempts, the counter, other gateways and discovery
+//! - `actions`: the event loop of the library, and the actions that the library requests
 //! - `attempts`: the tasks that send attempts
 //! - `registry`, `registered_request`: the open requests and their attempts
 //! - `enforcement`: refuses attempts right before they are started or written
-//! - `rule_checks`: finds rules that were broken in spite of that
-//! - `slow_start_check`: what endpoints in slow start may get
+//! - `rule_checks`: finds rules that were broken in spite of `enforcement`
+//! - `slow_start_check`: limits the attempts that endpoints in slow start may get
 //! - `endpoints`, `endpoint_ids`: the states of the listed endpoints, and the library's ids of them
-//! - `start_times`: when endpoints started, although clocks may be wrong
+//! - `start_times`: estimates when endpoints started, as clocks may be wrong
 //! - `topology`: the names of zones and kinds
 //! - `clock`: the library's clock
-//! - `messages`: what the server hands to the driver and gets back
+//! - `messages`: the messages between the server and the driver
 
 mod actions;
 mod attempts;
@@ -53,24 +53,24 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Without an answer from discovery, a gateway is ready after this time, with the endpoints of its configuration.
+/// Time after which a gateway is ready without a response from discovery, with the endpoints of its configuration.
 const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Bits of a request's id below the clock's milliseconds: one process serves fewer than 2^16 requests per millisecond.
+/// Number of low bits of a request's id that lie below the clock's milliseconds: one process serves fewer than 2^16
+/// requests per millisecond.
 const REQUEST_ID_SHIFT: u32 = 16;
 
-/// The sockets that the driver sends on.
+/// The sockets on which the driver sends.
 pub struct Transports {
-    /// The connections to endpoints.
     pub pool: ConnectionPool,
-    /// The shared counter; absent where the settings have none.
+    /// The client of the shared counter; `None` if the settings have no counter.
     pub counter: Option<CounterClient>,
-    /// The socket between gateways; absent where the settings have none.
+    /// The socket for gossip between gateways; `None` if the settings disable gossip.
     pub gossip: Option<Rc<GossipSocket>>,
 }
 
-/// The driver. All tasks share it, on one thread. Each part of its state is borrowed for single steps only, never across
-/// an `await`.
+/// The driver. All tasks share it on one thread. Each part of its state is borrowed within a single step only, never
+/// across an `await`.
 pub struct Driver {
     clock: Clock,
     decisions: RefCell<Gateway>,
@@ -84,14 +84,14 @@
     gossip: Option<Rc<GossipSocket>>,
     discovery_synced: Cell<bool>,
     started_at: Instant,
-    bad_entry_warning: RateLimitedWarning,
+    invalid_entry_warning: RateLimitedWarning,
     rule_checker: Rc<RuleChecker>,
     lifecycle: Rc<Lifecycle>,
     metrics: Rc<Metrics>,
 }
 
 impl Driver {
-    /// A driver with no requests.
+    /// Creates a driver without open requests.
     pub fn new(
         settings: Settings,
         seed: u64,
@@ -106,7 +106,7 @@
             hedging: settings.limits.hedging,
         };
         let max_units = settings.max_units;
-        // Ids start from the clock, so that no request has the id of one from before a restart.
+        // Request ids start from the clock, so that no request gets an id that was in use before a restart.
         let first_id = (clock.now_ms() as u64) << REQUEST_ID_SHIFT;
         let rule_checker = Rc::new(RuleChecker::new(&settings.rules, metrics.clone()));
         let decisions = Gateway::new(settings, seed, clock.now_ms());
@@ -136,31 +136,32 @@
             gossip: transports.gossip,
             discovery_synced: Cell::new(false),
             started_at: Instant::now(),
-            bad_entry_warning: RateLimitedWarning::default(),
+            invalid_entry_warning: RateLimitedWarning::default(),
             rule_checker,
             lifecycle,
             metrics,
         })
     }
 
-    /// The counters of this process.
+    /// The metrics of this process.
     pub fn metrics(&self) -> &Rc<Metrics> {
         &self.metrics
     }
 
-    /// Reports broken rules.
+    /// The checker that counts and logs broken rules.
     pub fn rule_checker(&self) -> &RuleChecker {
         &self.rule_checker
     }
 
-    /// True once requests can be served: the list is up to date, or discovery does not answer, and an endpoint is ready.
+    /// True if requests can be served: an endpoint is ready, and either the list is up to date or discovery has not
+    /// responded within `DISCOVERY_TIMEOUT`.
     pub fn is_ready(&self) -> bool {
         let list_is_usable =
             self.discovery_synced.get() || self.started_at.elapsed() > DISCOVERY_TIMEOUT;
         list_is_usable && self.endpoints.borrow().any_ready()
     }
 
-    /// Periodic clean-up: closes expired idle connections and forgets endpoints that were removed long ago.
+    /// Closes expired idle connections and forgets endpoints that were removed long ago. Called periodically.
     pub fn sweep(&self) {
         self.pool.close_expired();
         self.endpoints.borrow_mut().drop_expired();
--- a/src/bin/quota-gateway/driver/registry.rs
+++ b/src/bin/quota-gateway/driver/registry.rs
@@ -1,4 +1,4 @@
-//! The registry of open requests and their attempts. It alone owns who waits for a final response.
+//! The registry of open requests and their attempts. Only the registry knows who waits for a final response.
 
 use super::enforcement::{enforce_before_start, AttemptLimits, AttemptToStart, StartRefusal};
 use super::messages::FinalResponse;
@@ -20,13 +20,12 @@
 /// An attempt that was refused before it started.
 #[derive(Clone, Copy)]
 pub struct UnsentAttempt {
-    /// Its number among the request's attempts.
+    /// Position of the attempt among the request's attempts, from 0.
     pub number: usize,
-    /// Why it was refused.
     pub reason: StartRefusal,
 }
 
-/// All open requests.
+/// The open requests: those without a final response, and those with an attempt in flight.
 pub struct RequestRegistry {
     open: HashMap<RequestId, RegisteredRequest>,
     next_id: RequestId,
@@ -35,7 +34,8 @@
 }
 
 impl RequestRegistry {
-    /// Ids are assigned in order from `first_id`. Endpoints can't report more units for one request than `max_units`.
+    /// Creates an empty registry. Ids are assigned in order from `first_id`. Units that an endpoint reports for one
+    /// request are ignored above `max_units`.
     pub fn new(first_id: RequestId, limits: AttemptLimits, max_units: f64) -> Self {
         RequestRegistry {
             open: HashMap::new(),
@@ -45,15 +45,20 @@
         }
     }
 
-    /// Adds a request. Its final response goes to `client`.
-    pub fn insert(&mut self, new: NewRequest, client: oneshot::Sender<FinalResponse>) -> RequestId {
+    /// Adds a request and returns its id. Its final response is sent to `response_sender`.
+    pub fn insert(
+        &mut self,
+        request: NewRequest,
+        response_sender: oneshot::Sender<FinalResponse>,
+    ) -> RequestId {
         let id = self.next_id;
         self.next_id += 1;
-        self.open.insert(id, RegisteredRequest::new(new, client));
+        self.open
+            .insert(id, RegisteredRequest::new(request, response_sender));
         id
     }
 
-    /// The ids of all requests that have no final response.
+    /// The ids of all requests without a final response.
     pub fn unanswered(&self) -> Vec<RequestId> {
         self.open
             .iter()
@@ -69,22 +74,23 @@
             .is_none_or(RegisteredRequest::may_have_executed)
     }
 
-    /// What the rules on sending depend on; none if the request is no longer open.
+    /// The state of the request that the rules on sending depend on; `None` if the request is no longer open.
     pub fn record(&self, id: RequestId) -> Option<RequestRecord> {
         self.open.get(&id).map(RegisteredRequest::record)
     }
 
-    /// The connection of a request's client; none if the request is no longer open.
+    /// The socket of the client's connection; `None` if the request is no longer open.
     pub fn client_socket(&self, id: RequestId) -> Option<WeakSocket> {
         Some(self.open.get(&id)?.client_socket.clone())
     }
 
-    /// True once a request has its final response, its client has disconnected, or it is not in the registry any more.
+    /// True if the request has its final response, its client has disconnected, or it is no longer in the registry.
     pub fn is_closed(&self, id: RequestId) -> bool {
         self.open.get(&id).is_none_or(RegisteredRequest::is_closed)
     }
 
-    /// Gives a request its final response, unless it has one, and cancels its attempts that are not written.
+    /// Gives a request its final response, unless it already has one, and cancels its attempts that are not yet
+    /// written.
     pub fn respond(&mut self, id: RequestId, response: FinalResponse) {
         if let Some(request) = self.open.get_mut(&id) {
             request.respond(response);
@@ -92,7 +98,8 @@
         }
     }
 
-    /// Registers a request's next attempt. The error says why `enforcement` refused it; it takes a number all the same.
+    /// Registers a request's next attempt. The error says why `enforcement` refused the attempt, which takes a number
+    /// even so.
     pub fn start_attempt(
         &mut self,
         id: RequestId,
@@ -132,23 +139,24 @@
         }
     }
 
-    /// Cancels an attempt. Its task closes the connection, then reports the end; it counts as in flight until then.
+    /// Cancels an attempt. The attempt's task closes the connection, then reports the end; the attempt counts as in
+    /// flight until then.
     pub fn cancel_attempt(&mut self, id: RequestId, number: usize) {
         if let Some(request) = self.open.get_mut(&id) {
             request.cancel_attempt(number);
         }
     }
 
-    /// Records the end of an attempt; none if its request is no longer open.
+    /// Records the end of an attempt. Returns `None` if its request is no longer open.
     pub fn finish_attempt(
         &mut self,
         id: RequestId,
         number: usize,
         outcome: Outcome,
-        served: Option<EndpointResponse>,
+        response: Option<EndpointResponse>,
     ) -> Option<FinishedAttempt> {
         let request = self.open.get_mut(&id)?;
-        let finished = request.finish_attempt(number, outcome, served, self.max_units);
+        let finished = request.finish_attempt(number, outcome, response, self.max_units);
         self.remove_if_finished(id);
         Some(finished)
     }
--- a/src/bin/quota-gateway/driver/registry/tests.rs
+++ b/src/bin/quota-gateway/driver/registry/tests.rs
@@ -1,4 +1,4 @@
-//! Which attempts are started, what answers a request, and when it is no longer open.
+//! Tests which attempts are started, which attempt answers a request, and when a request is no longer open.
 
 use super::{EndpointResponse, NewRequest, RequestRegistry, StartedAttempt};
 use crate::driver::enforcement::AttemptLimits;
@@ -30,21 +30,21 @@
 }
 
 fn insert(registry: &mut RequestRegistry) -> (RequestId, oneshot::Receiver<FinalResponse>) {
-    let (client, response) = oneshot::channel();
+    let (response_sender, response) = oneshot::channel();
     let forwarded = ForwardedRequest {
         head: Vec::new(),
         body: Vec::new(),
         at_most_once: true,
     };
     let deadline = Instant::now() + TIMEOUT;
-    let new = NewRequest {
+    let request = NewRequest {
         transaction_id: 7,
         forwarded,
         deadline,
         client_deadline: deadline,
         client_socket: WeakSocket::default(),
     };
-    (registry.insert(new, client), response)
+    (registry.insert(request, response_sender), response)
 }
 
 fn start(registry: &mut RequestRegistry, id: RequestId) -> Option<StartedAttempt> {
@@ -61,8 +61,8 @@
     }
 }
 
-/// A fault of the library requests more attempts than the settings allow, a second one at once, or one without an
-/// endpoint or without time. Endpoints would execute requests too often. Each such attempt must be refused.
+/// A faulty library may request more attempts than the settings allow, a second one at once, or one without an endpoint
+/// or without time. Endpoints would execute requests too often. Each such attempt must be refused.
 #[test]
 fn an_attempt_is_sent_only_within_the_limits() {
     for (hedging, second_is_sent) in [(false, false), (true, true)] {
@@ -72,31 +72,31 @@
         assert_eq!(
             start(&mut registry, id).is_some(),
             second_is_sent,
-            "beside another one"
+            "second attempt in flight"
         );
         registry.finish_attempt(id, 0, Outcome::NotSent, None);
         assert!(
             start(&mut registry, id).is_none(),
-            "past the limit: one that was not sent counts as well"
+            "an attempt that was not sent counts towards the limit"
         );
     }
     let mut registry = new_registry(false);
     let (id, _response) = insert(&mut registry);
     assert!(
         registry.start_attempt(id, None, TIMEOUT, TIMEOUT).is_err(),
-        "without an address"
+        "endpoint without an address"
     );
     assert!(
         registry
             .start_attempt(id, Some(address()), Duration::ZERO, TIMEOUT)
             .is_err(),
-        "out of time"
+        "no time left"
     );
-    assert!(start(&mut registry, id + 1).is_none(), "of no open request");
+    assert!(start(&mut registry, id + 1).is_none(), "unknown request");
 }
 
-/// Two hedged attempts are served. The client must get one final response, that of the first, and its customer must
-/// be charged once.
+/// Both of two hedged attempts are served. The client must get one final response, that of the attempt that ended
+/// first, and its customer must be charged once.
 #[test]
 fn the_first_served_attempt_answers_the_request() {
     let mut registry = new_registry(true);
@@ -111,17 +111,20 @@
     let second = registry
         .finish_attempt(id, 0, Outcome::Success, Some(served(1.0, "second")))
         .unwrap();
-    assert_eq!(second.actual_units, None, "it did not answer the request");
+    assert_eq!(
+        second.actual_units, None,
+        "the second response does not answer the request"
+    );
     assert!(
         matches!(response.try_recv(), Ok(FinalResponse::Success { body, .. }) if body == "first")
     );
     assert!(registry.record(id).is_none());
 }
 
-/// A faulty endpoint reports more units than one request can take, and would use up the quota of its customer. The
-/// number must be ignored, and the response delivered.
+/// A faulty endpoint reports more units than one request can use, which would use up the quota of its customer. The
+/// reported number must be ignored, and the response delivered.
 #[test]
-fn units_beyond_what_a_request_can_take_are_ignored() {
+fn units_above_the_maximum_of_a_request_are_ignored() {
     let mut registry = new_registry(false);
     let (id, _response) = insert(&mut registry);
     start(&mut registry, id).unwrap();
@@ -132,8 +135,8 @@
     assert_eq!(finished.actual_units, None);
 }
 
-/// A request is answered while attempts are in flight. One that is not written yet would be executed for nobody and
-/// must be cancelled. One that is written is left to the library, as the settings may forbid cancelling it.
+/// A request is answered while attempts are in flight. An attempt that is not yet written would be executed for nobody
+/// and must be cancelled. An attempt that is written is left to the library, as the settings may forbid cancelling it.
 #[test]
 fn a_response_cancels_only_attempts_that_are_not_written() {
     let mut registry = new_registry(true);
@@ -147,12 +150,12 @@
     registry.cancel_attempt(id, written.number);
     assert!(
         written.cancelled.try_recv().is_ok(),
-        "the decision library cancels it all the same"
+        "the library may still cancel a written attempt"
     );
 }
 
-/// An attempt ends after its request was answered. Its end must still find the request, as the rules on sending are
-/// checked against it, and the request must be removed afterwards, or the registry would grow without bound.
+/// An attempt ends after its request was answered. The request must still be in the registry, as the rules on sending
+/// are checked against it, and must be removed afterwards, or the registry would grow without bound.
 #[test]
 fn an_answered_request_stays_open_until_its_last_attempt_has_ended() {
     let mut registry = new_registry(false);
@@ -174,11 +177,11 @@
         .is_none());
 }
 
-/// An attempt ends without a response, as its connection was reset. The endpoint may have executed it, and a retry of
-/// a request that must be executed once could be the second execution. That must be on record for as long as the
-/// request is open.
+/// An attempt ends without a response because its connection was reset. The endpoint may have executed the request, so
+/// a retry of a request that must be executed once could be a second execution. The record must say so for as long as
+/// the request is open.
 #[test]
-fn a_request_that_may_have_executed_is_on_record() {
+fn the_record_states_that_a_request_may_have_executed() {
     for (outcome, may_have_executed) in [
         (Outcome::Rejected, false),
         (Outcome::ConnectFailed, false),
@@ -198,10 +201,10 @@
     }
 }
 
-/// The process ends while requests are open. A client that is refused sends its request again, to another gateway, so
-/// that a request must be refused only if no endpoint can have executed it.
+/// The process exits while requests are open. A client whose request is refused sends it again, to another gateway, so
+/// a request may be refused only if no endpoint can have executed it.
 #[test]
-fn what_was_never_written_was_not_executed() {
+fn a_request_that_was_never_written_was_not_executed() {
     let mut registry = new_registry(false);
     let (id, _response) = insert(&mut registry);
     assert_eq!(registry.unanswered(), [id]);
@@ -215,5 +218,5 @@
     start(&mut registry, id).unwrap();
     registry.finish_attempt(id, 1, Outcome::ConnectionReset, None);
     assert!(registry.may_have_executed(id));
-    assert!(registry.may_have_executed(id + 1), "nothing is known of it");
+    assert!(registry.may_have_executed(id + 1), "unknown request");
 }
--- a/src/bin/quota-gateway/driver/rule_checks.rs
+++ b/src/bin/quota-gateway/driver/rule_checks.rs
@@ -1,6 +1,6 @@
-//! Checks of the rules on sending, made on each attempt after it was written. They find the faults of `enforcement`: an
-//! attempt that breaks a rule should not have been written, so that each find is a fault of this program. It is counted
-//! in `gateway_rule_violations_total` and logged as `rule broken` with the ids.
+//! Checks each attempt against the rules on sending after it was written. The checks find faults of `enforcement`: an
+//! attempt that breaks a rule should not have been written, so each broken rule is a fault of this program. Each is
+//! counted in `gateway_rule_violations_total` and logged as `rule broken` with the ids.
 
 use super::clock::duration_from_ms;
 use super::registered_request::RequestRecord;
@@ -17,36 +17,34 @@
 #[cfg(test)]
 mod tests;
 
-/// An attempt that is written this long after its request has ended breaks a rule of the protocol.
+/// An attempt written longer than this after its request has ended breaks a rule of the protocol.
 const CLOSED_REQUEST_GRACE: Duration = Duration::from_millis(100);
-/// The time limits of the settings' rules are measured with this tolerance: notices reach the program over sockets.
+/// Tolerance of the time limits that the settings' rules define: notices reach the program over sockets.
 const SOCKET_TOLERANCE: Duration = Duration::from_millis(50);
-/// Tolerance of checks by the clock: the program may stall for this long between reading the clock and writing.
+/// Tolerance of the checks that only compare times of this process: the process may stall for this long between reading
+/// the clock and writing.
 const STALL_TOLERANCE: Duration = Duration::from_millis(150);
 
-/// What is known when an attempt has been written.
+/// The state of an attempt when it has been written.
 pub struct WrittenAttempt<'a> {
-    /// Its request.
     pub record: &'a RequestRecord,
-    /// Where it was sent.
     pub target: Target,
-    /// Since when its endpoint is not ready; none if it is.
+    /// Time at which the endpoint stopped being ready; `None` if it is ready.
     pub not_ready_since: Option<Instant>,
-    /// Time since its endpoint started, in ms; none if that is long past.
+    /// Time since the endpoint started, in ms; `None` if that is long past.
     pub endpoint_age_ms: Option<f64>,
-    /// Number of ready endpoints.
     pub ready_endpoints: usize,
-    /// Its first byte must not be written after this.
+    /// The first byte must not be written after this time.
     pub start_deadline: Instant,
-    /// The time that was left until its deadline, as it propagated it to its endpoint (`X-Remaining-Ms`).
+    /// Time that was left until the attempt's deadline, as propagated to the endpoint in `X-Remaining-Ms`.
     pub propagated_deadline: Duration,
-    /// When its last byte was written.
+    /// Time at which the last byte was written.
     pub written_at: Instant,
-    /// Since when the process refuses requests; none if it does not.
+    /// Time at which the process began to refuse requests; `None` if it does not refuse them.
     pub refusing_since: Option<Instant>,
 }
 
-/// Finds, counts and logs broken rules. There is one for the process.
+/// Finds, counts and logs broken rules. The process has one instance.
 pub struct RuleChecker {
     metrics: Rc<Metrics>,
     drain_grace: Duration,
@@ -54,7 +52,7 @@
 }
 
 impl RuleChecker {
-    /// For these rules.
+    /// Creates a checker for the rules of the settings.
     pub fn new(rules: &Rules, metrics: Rc<Metrics>) -> Self {
         RuleChecker {
             metrics,
@@ -67,15 +65,16 @@
     pub fn check_after_write(&self, attempt: &WrittenAttempt<'_>) {
         let is_within_share = self.record_for_slow_start(attempt);
         for rule in self.broken_rules(attempt, is_within_share) {
-            let what = format_args!(
+            let subject = format_args!(
                 "txn {:016x} to endpoint {} at {}",
                 attempt.record.transaction_id, attempt.target.endpoint, attempt.target.addr
             );
-            self.report(rule, what);
+            self.report(rule, subject);
         }
     }
 
-    /// Counts an attempt for the check of slow start. False if its endpoint has now got more than it may.
+    /// Counts an attempt for the check of slow start. Returns false if its endpoint has now got more attempts than slow
+    /// start allows.
     fn record_for_slow_start(&self, attempt: &WrittenAttempt<'_>) -> bool {
         self.slow_start.borrow_mut().record(
             attempt.target.endpoint,
@@ -85,8 +84,8 @@
         )
     }
 
-    /// The rules that an attempt broke in being written. `is_within_share` says that its endpoint has got no more than
-    /// slow start allows.
+    /// Returns the rules that an attempt broke when it was written. `is_within_share` is true if its endpoint has got
+    /// no more attempts than slow start allows.
     fn broken_rules(&self, attempt: &WrittenAttempt<'_>, is_within_share: bool) -> Vec<Rule> {
         let since = |at: Option<Instant>| at.map_or(Duration::ZERO, |at| attempt.written_at - at);
         let record = attempt.record;
@@ -124,13 +123,13 @@
             .collect()
     }
 
-    /// Counts and logs a broken rule. `what` names the request or connection that broke it.
-    pub fn report(&self, rule: Rule, what: impl Display) {
+    /// Counts and logs a broken rule. `subject` names the request or connection that broke it.
+    pub fn report(&self, rule: Rule, subject: impl Display) {
         self.metrics.violations.increment(rule);
-        tracing::error!("rule broken: {rule}: {what}");
+        tracing::error!("rule broken: {rule}: {subject}");
     }
 
-    /// How many rules were broken since the process started.
+    /// Number of rules broken since the process started.
     pub fn violations(&self) -> u64 {
         self.metrics.violations.total()
     }
--- a/src/bin/quota-gateway/driver/rule_checks/tests.rs
+++ b/src/bin/quota-gateway/driver/rule_checks/tests.rs
@@ -1,4 +1,4 @@
-//! What is found to break a rule.
+//! Tests which attempts are found to break a rule.
 
 use super::{RuleChecker, WrittenAttempt};
 use crate::driver::registered_request::RequestRecord;
@@ -11,7 +11,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// An attempt that breaks no rule, but for what a test changes.
+/// An attempt that breaks no rule, except for what a test changes.
 struct Case {
     record: RequestRecord,
     not_ready_since: Option<Instant>,
@@ -65,8 +65,8 @@
     }
 }
 
-/// A fault of the program writes an attempt that breaks a rule. If the check misses it, nobody learns of the fault;
-/// if it reports what the tolerances allow, the engineer on call is called for nothing. Each rule must be found
+/// A fault of the program writes an attempt that breaks a rule. If the check misses it, nobody learns of the fault. If
+/// the check reports what the tolerances allow, the engineer on call is paged for nothing. Each rule must be found
 /// broken right past its tolerance, and not before.
 #[test]
 fn each_rule_is_broken_past_its_tolerance_and_not_before() {
--- a/src/bin/quota-gateway/driver/slow_start_check/tests.rs
+++ b/src/bin/quota-gateway/driver/slow_start_check/tests.rs
@@ -1,4 +1,4 @@
-//! How many attempts an endpoint in slow start may get.
+//! Tests how many attempts an endpoint in slow start may get.
 
 use super::SlowStartCheck;
 use quota_gateway::Rules;
@@ -15,22 +15,25 @@
     })
 }
 
-/// An endpoint that has just started is overloaded by its full share of requests. The check must find that, and not
-/// what chance brings.
-/// Of 105 attempts to 10 endpoints a cold one may get 10.5 * 0.25 * 2 = 5.25, and 3 roots of that and 3 more: 15.1.
+/// An endpoint that has just started is overloaded by its full share of requests. The check must detect that, but must
+/// not report random variation. Of 105 attempts to 10 endpoints, one that has just started may get 10.5 * 0.25 * 2 =
+/// 5.25 attempts, plus 3 times the square root of that, plus 3: 15.1.
 #[test]
-fn an_endpoint_in_slow_start_may_get_its_part_and_a_tolerance() {
+fn an_endpoint_in_slow_start_may_get_its_share_plus_a_tolerance() {
     let mut check = check();
     let now = Instant::now();
     for _ in 0..90 {
         assert!(check.record(1, None, 10, now));
     }
-    let kept = (0..20)
+    let allowed = (0..20)
         .take_while(|_| check.record(2, Some(0.0), 10, now))
         .count();
-    assert_eq!(kept, 15);
-    assert!(check.record(2, Some(10_000.0), 10, now), "it is warm");
-    assert!(check.record(3, Some(0.0), 10, now), "another one");
+    assert_eq!(allowed, 15);
+    assert!(
+        check.record(2, Some(10_000.0), 10, now),
+        "slow start is over"
+    );
+    assert!(check.record(3, Some(0.0), 10, now), "another endpoint");
 }
 
 #[test]
--- a/src/bin/quota-gateway/driver/start_times.rs
+++ b/src/bin/quota-gateway/driver/start_times.rs
@@ -1,9 +1,9 @@
-//! Estimates when endpoints started.
+//! Estimates the start times of endpoints.
 //!
-//! Guards against wrong clocks: the list states a start by the clock of the endpoint's machine, and it is compared with
-//! the clock of this one. If either is wrong, an endpoint that has just started seems to have run for long, skips slow
-//! start and is overloaded. But discovery reports a change soon after it happens: a start that was not known at its last
-//! report can't be much older than that.
+//! Guards against wrong clocks: the list states a start time by the clock of the endpoint's machine, and the gateway
+//! compares it with the clock of its own machine. If either clock is wrong, an endpoint that has just started seems to
+//! have run for long, skips slow start and is overloaded. But discovery reports a change soon after it happens: a start
+//! that was not known at discovery's last report can't be much older than that report.
 
 use crate::discovery::PROPAGATION_LIMIT;
 use tokio::time::Instant;
@@ -11,13 +11,13 @@
 #[cfg(test)]
 mod tests;
 
-/// Longest time, in ms, from a change of the list until a gateway is notified of it.
+/// Longest time from a change of the list until a gateway is notified of it, in ms.
 const PROPAGATION_LIMIT_MS: f64 = PROPAGATION_LIMIT.as_millis() as f64;
 
-/// Estimates the start times of endpoints from those that lists state.
+/// Estimates the start times of endpoints from the listed ones.
 #[derive(Default)]
 pub struct StartTimes {
-    /// When discovery last reported that all changes so far are known; none before the first report.
+    /// Time of the last report of discovery that all changes so far are known; `None` before the first report.
     synced_at: Option<Instant>,
 }
 
@@ -27,9 +27,9 @@
         self.synced_at = Some(Instant::now());
     }
 
-    /// The time of a start that was not listed before, in Unix milliseconds of this machine. `started_ms` is the listed
-    /// time, 0 if it is long past; `now_ms` the present time. A start in the future, or one that discovery would have
-    /// reported earlier, counts as a start now.
+    /// Estimates a start that was not listed before, in Unix milliseconds by this machine's clock. `started_ms` is the
+    /// listed time, 0 if it is long past. `now_ms` is the current time. A start in the future, or one that discovery
+    /// would have reported earlier, counts as a start now.
     pub fn estimate(&self, started_ms: f64, now_ms: f64) -> f64 {
         let started_ms = started_ms.min(now_ms);
         let Some(synced_at) = self.synced_at else {
--- a/src/bin/quota-gateway/driver/start_times/tests.rs
+++ b/src/bin/quota-gateway/driver/start_times/tests.rs
@@ -1,4 +1,4 @@
-//! Start times that wrong clocks state, on the paused clock.
+//! Tests the estimates for start times that wrong clocks state, on the paused clock.
 
 use super::StartTimes;
 use std::time::Duration;
@@ -7,15 +7,16 @@
 const NOW_MS: f64 = 1_700_000_000_000.0;
 const HOUR_MS: f64 = 3_600_000.0;
 
-/// The clock of an endpoint's machine is wrong, and the list states a start that is long past or in the future. Taken as
-/// stated, the endpoint would skip slow start. A start that discovery has only now reported must count as recent.
+/// The clock of an endpoint's machine is wrong, and the list states a start that is long past or in the future. If that
+/// start were used as stated, the endpoint would skip slow start. A start that discovery has only just reported must
+/// count as recent.
 #[tokio::test(start_paused = true)]
-async fn a_reported_start_that_is_long_past_counts_as_now() {
+async fn a_newly_reported_start_that_is_long_past_counts_as_now() {
     let mut times = StartTimes::default();
     assert_eq!(
         times.estimate(NOW_MS - HOUR_MS, NOW_MS),
         NOW_MS - HOUR_MS,
-        "the first list may be old"
+        "the endpoint may have started long before the first list"
     );
     assert_eq!(
         times.estimate(NOW_MS + HOUR_MS, NOW_MS),
@@ -28,14 +29,14 @@
     assert_eq!(
         times.estimate(NOW_MS - 7000.0, NOW_MS),
         NOW_MS - 7000.0,
-        "a change takes time to be notified"
+        "a change may be reported this late"
     );
     assert_eq!(times.estimate(NOW_MS - 9000.0, NOW_MS), NOW_MS);
-    assert_eq!(times.estimate(0.0, NOW_MS), 0.0, "stated as long past");
+    assert_eq!(times.estimate(0.0, NOW_MS), 0.0, "0 means long past");
     advance(Duration::from_secs(60)).await;
     assert_eq!(
         times.estimate(NOW_MS - 60_000.0, NOW_MS),
         NOW_MS - 60_000.0,
-        "discovery has reported nothing since"
+        "discovery has not reported since"
     );
 }
