--- a/src/bin/quota-gateway/driver/enforcement.rs
+++ b/src/bin/quota-gateway/driver/enforcement.rs
@@ -67,8 +67,8 @@
     MayHaveExecuted,
     /// The process exits before a response could arrive.
     ShuttingDown,
-    /// The deadline for the first byte has passed: the endpoint may no longer know the idempotency key, and could execute
-    /// the request a second time.
+    /// The deadline for the first byte has passed: the endpoint may no longer know the idempotency key, and could
+    /// execute the request a second time.
     RetryWindowOver,
     /// The endpoint is draining or was removed.
     EndpointNotReady,
--- a/src/bin/quota-gateway/lifecycle/mod.rs
+++ b/src/bin/quota-gateway/lifecycle/mod.rs
@@ -1,12 +1,13 @@
-//! The phase of the process, from its start to its exit. One owner holds it for all tasks, and it never goes back:
+//! The phase of the process, from its start to its exit. One `Lifecycle` holds the phase for all tasks. The phase never
+//! goes back:
 //!
 //! ```text
 //! Running -- SIGTERM --> Accepting --> NoNewConnections --> Refusing --> Ended
 //! ```
 //!
-//! The times of the phases are those of the `timeline`. Whether something may still be forwarded is read from the
-//! clock and not from the phase alone. Guards against a request that is forwarded too late and cut off at the exit:
-//! after a stall of the process tasks run in any order, some before the one that moves the phase on.
+//! `timeline` defines the times of the phases. Whether a request may still be forwarded depends on the clock, and not
+//! on the phase alone. This guards against a request that is forwarded too late and cut off when the process exits:
+//! after a stall of the process tasks run in any order, some of them before the task that advances the phase.
 
 mod timeline;
 
@@ -20,32 +21,33 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// The phases, in their order.
+/// The phases of the process, in their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
     /// Before SIGTERM.
     Running,
-    /// The process reports that it is not ready, and still accepts connections.
+    /// The process reports that it is not ready, but still accepts connections.
     Accepting,
-    /// No more connections are accepted. Open ones close after their next response; requests on them are served.
+    /// No more connections are accepted. Open connections close after their next response; requests on them are served.
     NoNewConnections,
     /// Requests that arrive are refused and not forwarded. Connections close once no response is due on them. Requests
-    /// that arrive up to 50 ms earlier are refused as well: `may_forward` is false from `last_forwarding_at` on.
+    /// that arrive up to 50 ms before this phase are refused as well: `may_forward` is false from `last_forwarding_at`
+    /// on.
     Refusing,
     /// Nothing more is read; the process exits.
     Ended,
 }
 
-/// The phase and the times of the shutdown.
+/// The phase of the process and the times of its shutdown.
 pub struct Lifecycle {
     phase: watch::Sender<Phase>,
     timeline: Cell<Option<Timeline>>,
-    /// When requests began to be refused, or will be.
+    /// Time from which requests are refused, past or planned; `None` before SIGTERM.
     refusing_at: Cell<Option<Instant>>,
 }
 
 impl Lifecycle {
-    /// In the phase `Running`.
+    /// Creates a lifecycle in the phase `Running`.
     pub fn new() -> Rc<Self> {
         Rc::new(Lifecycle {
             phase: watch::Sender::new(Phase::Running),
@@ -54,7 +56,7 @@
         })
     }
 
-    /// Begins the shutdown, at SIGTERM. A second SIGTERM has no effect.
+    /// Begins the shutdown on SIGTERM. A second SIGTERM has no effect.
     pub fn begin_shutdown(&self, timeline: Timeline) {
         if self.timeline.get().is_none() {
             self.timeline.set(Some(timeline));
@@ -63,7 +65,7 @@
         }
     }
 
-    /// Enters a phase, unless it or a later one has been entered.
+    /// Enters a phase, unless this phase or a later one has already been entered.
     pub fn advance_to(&self, phase: Phase) {
         if phase >= Phase::Refusing {
             let now = Instant::now();
@@ -82,7 +84,7 @@
         self.timeline.get().is_some()
     }
 
-    /// Whether a request may still be forwarded. False from `last_forwarding_at` on, which is before `Refusing`.
+    /// True if a request may still be forwarded. False from `last_forwarding_at` on, which is before `Refusing`.
     pub fn may_forward(&self) -> bool {
         let Some(timeline) = self.timeline.get() else {
             return true;
@@ -90,26 +92,26 @@
         self.refusing_since().is_none() && Instant::now() < timeline.last_forwarding_at
     }
 
-    /// Since when requests are refused; none if they are not.
+    /// Time since which requests are refused; `None` if they are not refused.
     pub fn refusing_since(&self) -> Option<Instant> {
         self.refusing_at.get().filter(|at| *at <= Instant::now())
     }
 
-    /// The earlier of a request's deadline and that of the shutdown.
+    /// Returns the earlier of a request's deadline and the deadline of the shutdown.
     pub fn limit_deadline(&self, deadline: Instant) -> Instant {
         self.timeline
             .get()
             .map_or(deadline, |timeline| deadline.min(timeline.request_deadline))
     }
 
-    /// A receiver that is notified of each change of the phase.
+    /// Returns a receiver that is notified of each change of the phase.
     pub fn subscribe(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
     }
 
-    /// Waits until a phase, or a later one, is entered.
+    /// Waits until this phase or a later one is entered.
     pub async fn reached(&self, phase: Phase) {
-        // It fails only without a sender, which `self` holds.
+        // Waiting fails only without a sender, and `self` holds one.
         let _ = self.subscribe().wait_for(|current| *current >= phase).await;
     }
 }
--- a/src/bin/quota-gateway/lifecycle/tests.rs
+++ b/src/bin/quota-gateway/lifecycle/tests.rs
@@ -1,4 +1,4 @@
-//! The phase of the process, on the paused clock.
+//! Tests the phase of the process, on the paused clock.
 
 use super::{Lifecycle, Phase, Timeline};
 use std::time::Duration;
@@ -12,8 +12,8 @@
     timeline
 }
 
-/// Tasks enter phases in any order after a stall, and a second SIGTERM arrives. If the phase went back, or the times
-/// were set anew, the process would accept requests that SIGKILL cuts off. Neither must happen.
+/// After a stall, tasks enter phases in any order, and a second SIGTERM arrives. If the phase went back, or the times
+/// were set again, the process would accept requests that SIGKILL cuts off. Neither must happen.
 #[tokio::test(start_paused = true)]
 async fn the_phase_never_goes_back() {
     let lifecycle = Lifecycle::new();
@@ -28,14 +28,14 @@
     advance(Duration::from_millis(300)).await;
     begin(&lifecycle);
     assert_eq!(*phase.borrow(), Phase::Refusing);
-    let far = Instant::now() + Duration::from_secs(60);
-    assert_eq!(lifecycle.limit_deadline(far), timeline.request_deadline);
+    let distant = Instant::now() + Duration::from_secs(60);
+    assert_eq!(lifecycle.limit_deadline(distant), timeline.request_deadline);
 }
 
-/// After a stall, tasks run before the one that moves the phase on. A request that they forward would be cut off at
-/// the exit. By the clock nothing may be forwarded, whatever the phase.
+/// After a stall, some tasks run before the task that advances the phase. A request that they forward would be cut off
+/// when the process exits. Once the time for forwarding is over, nothing may be forwarded, whatever the phase.
 #[tokio::test(start_paused = true)]
-async fn nothing_is_forwarded_once_the_time_for_that_is_over() {
+async fn nothing_is_forwarded_after_the_time_for_forwarding() {
     let lifecycle = Lifecycle::new();
     let timeline = begin(&lifecycle);
     advance(timeline.last_forwarding_at - Instant::now() - Duration::from_millis(1)).await;
@@ -48,10 +48,10 @@
     assert_eq!(*lifecycle.subscribe().borrow(), Phase::Accepting);
 }
 
-/// The process ends early, as no request is open. A request that arrives then would have no response. It must not be
-/// forwarded, although the time for that is not over.
+/// The process exits early because no request is open. A request that arrives then would have no response. Such a
+/// request must not be forwarded, although the time for forwarding is not over.
 #[tokio::test(start_paused = true)]
-async fn an_early_end_forwards_nothing_more() {
+async fn nothing_is_forwarded_after_an_early_end() {
     let lifecycle = Lifecycle::new();
     begin(&lifecycle);
     assert!(lifecycle.may_forward());
@@ -60,15 +60,15 @@
     assert_eq!(lifecycle.refusing_since(), Some(Instant::now()));
 }
 
-/// A deadline after the exit would have an endpoint work for a process that has ended. During the shutdown it must be
-/// limited to the shutdown's own; otherwise deadlines are those of the clients.
+/// With a deadline after the exit, an endpoint would work for a process that has ended. During the shutdown, deadlines
+/// must be limited to that of the shutdown; otherwise they are those of the clients.
 #[tokio::test(start_paused = true)]
 async fn deadlines_are_limited_during_the_shutdown_only() {
     let lifecycle = Lifecycle::new();
-    let far = Instant::now() + Duration::from_secs(60);
-    assert_eq!(lifecycle.limit_deadline(far), far);
+    let distant = Instant::now() + Duration::from_secs(60);
+    assert_eq!(lifecycle.limit_deadline(distant), distant);
     let timeline = begin(&lifecycle);
-    assert_eq!(lifecycle.limit_deadline(far), timeline.request_deadline);
-    let near = Instant::now() + Duration::from_millis(20);
-    assert_eq!(lifecycle.limit_deadline(near), near);
+    assert_eq!(lifecycle.limit_deadline(distant), timeline.request_deadline);
+    let close = Instant::now() + Duration::from_millis(20);
+    assert_eq!(lifecycle.limit_deadline(close), close);
 }
--- a/src/bin/quota-gateway/lifecycle/timeline.rs
+++ b/src/bin/quota-gateway/lifecycle/timeline.rs
@@ -1,9 +1,9 @@
-//! When each phase of the shutdown begins. All times derive from one: the earliest moment of SIGKILL, counted from the
-//! moment at which the program notices SIGTERM.
+//! The time at which each phase of the shutdown begins. All times derive from the earliest time of SIGKILL, counted
+//! from the time at which the program notices SIGTERM.
 //!
-//! Two delays are not part of the plan: SIGTERM that is noticed late (`signals`, up to 0.1 s if the wake-up was lost),
-//! and the last read after a stall that took the closing time (`LAST_READ_TIME` in `shutdown`, up to 10 ms). Both
-//! are covered by the time that is planned for a stall, so far as a stall does not need it.
+//! Two delays are not part of the plan: SIGTERM may be noticed late (`signals`, up to 0.1 s if the wake-up was lost),
+//! and there may be a last read after a stall that used up the closing time (`LAST_READ_TIME` in `shutdown`, up to 10
+//! ms). The time planned for a stall covers both, as far as a stall does not use it.
 
 use quota_gateway::Settings;
 use std::time::Duration;
@@ -12,36 +12,37 @@
 #[cfg(test)]
 mod tests;
 
-/// The part of the longest request deadline that the termination grace period covers: a longer one counts as this.
+/// Upper bound of the request deadline that the termination grace period covers: a longer deadline counts as this.
 const GRACE_DEADLINE_CAP: Duration = Duration::from_secs(3);
-/// The part of the termination grace period beyond the longest request deadline.
+/// Time by which the termination grace period exceeds the longest request deadline.
 const GRACE_MARGIN: Duration = Duration::from_millis(700);
-/// Time planned for one stall of the process, at any point of the shutdown. With it the process ends before SIGKILL,
-/// unless one of the delays that the plan leaves out (see the module) is added to a stall of this length.
+/// Time planned for one stall of the process, at any point of the shutdown. With this margin the process ends before
+/// SIGKILL, unless one of the delays that the plan leaves out (see the module) is added to a stall of this length.
 const MAX_STALL: Duration = Duration::from_millis(150);
-/// From the last check of the connections until the process has exited: tasks are dropped and the log is flushed.
+/// Time from the last check of the connections until the process has exited: tasks are dropped and the log is flushed.
 const EXIT_TIME: Duration = Duration::from_millis(70);
-/// The last responses are written and the connections closed within this time.
+/// Time within which the last responses are written and the connections closed.
 pub const CLOSING_TIME: Duration = Duration::from_millis(80);
-/// The library gives open requests their final response this long before the driver ends those that remain. It has to
-/// be longer than `DEADLINE_GRACE` of `server::handler`, after which the handler ends a request by itself.
+/// Time between the final response that the library gives open requests and the end of the remaining requests by the
+/// driver. It must be longer than `DEADLINE_GRACE` of `server::handler`, after which the handler ends a request itself.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(10);
-/// A request is forwarded only if at least this much time is left to it: with less, it would most likely be cut off
-/// after its execution has begun.
+/// Minimum time that must be left to a request for it to be forwarded: with less, the request would most likely be cut
+/// off after its execution has begun.
 const MIN_FORWARDING_TIME: Duration = Duration::from_millis(40);
-/// Connections are accepted for at least this long after SIGTERM: the load balancer in front may still make new ones for
-/// up to 0.4 s. The soak's load balancer does so for 0.3 s (`LOAD_BALANCER_DELAY` in `soak/src/gateway_directory.rs`).
+/// Minimum time after SIGTERM during which connections are accepted: the load balancer in front may still open new ones
+/// for up to 0.4 s. The soak test's load balancer does so for 0.3 s (`LOAD_BALANCER_DELAY` in
+/// `soak/src/gateway_directory.rs`).
 const MIN_ACCEPTING_TIME: Duration = Duration::from_millis(420);
-/// Connections are accepted for this long if the timeline has room for it: the load balancer in front may be slow.
+/// Time during which connections are accepted if the timeline has room for it: the load balancer in front may be slow.
 const PREFERRED_ACCEPTING_TIME: Duration = Duration::from_millis(600);
-/// The process drains for at least this long after SIGTERM. Then it may exit while idle clients are connected: those that
-/// connected in time have sent their first request.
+/// Minimum time after SIGTERM during which the process drains. After that the process may exit while idle clients are
+/// connected: clients that connected in time have sent their first request.
 const MIN_DRAIN_TIME: Duration = Duration::from_secs(1);
-/// Longest deadline that is taken from the settings, in ms. A `Duration` can't hold every number of the settings: the
-/// conversion of a larger one would panic.
+/// Upper bound of the deadlines in the settings, in ms. A `Duration` can't hold every number that the settings may
+/// contain: the conversion of a larger one would panic.
 const MAX_DEADLINE_MS: f64 = 86_400_000.0;
 
-/// The longest time that a client waits, over all classes of the settings.
+/// Returns the longest time that a client waits, over all classes of the settings.
 pub fn longest_deadline(settings: &Settings) -> Duration {
     let longest_ms = settings
         .classes
@@ -51,24 +52,24 @@
     Duration::from_secs_f64(longest_ms.clamp(0.0, MAX_DEADLINE_MS) / 1000.0)
 }
 
-/// The moments of one shutdown.
+/// The planned times of one shutdown.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeline {
-    /// No new connections are accepted from then on.
+    /// Time from which no new connections are accepted.
     pub no_new_connections_at: Instant,
-    /// No attempt is sent from then on, neither a first one nor a retry.
+    /// Time from which no attempt is sent, neither a first one nor a retry.
     pub last_forwarding_at: Instant,
-    /// Each forwarded request has to have its response by then. No later deadline is propagated to endpoints.
+    /// Time by which each forwarded request must have its response. No later deadline is propagated to endpoints.
     pub request_deadline: Instant,
-    /// Open requests are ended then, later ones are refused, and all connections close.
+    /// Time at which open requests are ended. Later requests are refused, and all connections close.
     pub refusing_at: Instant,
-    /// From then on the process exits once no request is open, though idle connections remain.
+    /// Time from which the process exits once no request is open, even if idle connections remain.
     pub idle_exit_from: Instant,
 }
 
 impl Timeline {
-    /// The shutdown of a process that got SIGTERM at this moment, with this longest request deadline. SIGKILL comes once
-    /// the termination grace period is over: the longest deadline, capped, and a margin.
+    /// Plans the shutdown of a process that noticed SIGTERM at `terminated_at`. SIGKILL follows at the end of the
+    /// termination grace period, which is the longest deadline, capped, plus a margin.
     pub fn new(terminated_at: Instant, longest_deadline: Duration) -> Self {
         let termination_grace = longest_deadline.min(GRACE_DEADLINE_CAP) + GRACE_MARGIN;
         let refuse_after = termination_grace.saturating_sub(MAX_STALL + EXIT_TIME + CLOSING_TIME);
--- a/src/bin/quota-gateway/lifecycle/timeline/tests.rs
+++ b/src/bin/quota-gateway/lifecycle/timeline/tests.rs
@@ -1,9 +1,9 @@
-//! The times of a shutdown, over deadlines from none to longer than the termination grace period covers.
+//! Tests the times of a shutdown, with deadlines from zero to more than the termination grace period covers.
 
 use super::*;
 use quota_gateway::Class;
 
-/// Deadlines whose shutdowns are looked at, in ms.
+/// Longest request deadlines of the tested shutdowns, in ms.
 const DEADLINES_MS: [u64; 9] = [0, 10, 100, 120, 300, 800, 1700, 3000, 8000];
 
 fn termination_grace(deadline_ms: u64) -> Duration {
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn the_phases_come_in_their_order_whatever_the_deadline() {
+fn the_phases_are_in_order_for_any_deadline() {
     let terminated_at = Instant::now();
     for deadline_ms in DEADLINES_MS {
         let timeline = Timeline::new(terminated_at, Duration::from_millis(deadline_ms));
@@ -34,10 +34,10 @@
     }
 }
 
-/// A process that is still running at SIGKILL drops the responses that it owes. A stall of the machine delays its end.
-/// It must be over before SIGKILL though it stalls once.
+/// A process that is still running at SIGKILL drops its open responses. A stall of the machine delays the end of the
+/// process, which must be over before SIGKILL even after one stall.
 #[test]
-fn the_process_ends_before_sigkill_though_it_stalls_once() {
+fn the_process_ends_before_sigkill_even_after_one_stall() {
     let terminated_at = Instant::now();
     for deadline_ms in DEADLINES_MS {
         let timeline = Timeline::new(terminated_at, Duration::from_millis(deadline_ms));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn requests_have_as_much_time_as_there_is() {
+fn requests_get_most_of_the_termination_grace_period() {
     let terminated_at = Instant::now();
     for deadline_ms in DEADLINES_MS {
         let timeline = Timeline::new(terminated_at, Duration::from_millis(deadline_ms));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn new_connections_are_accepted_for_as_long_as_they_keep_coming() {
+fn new_connections_are_accepted_while_the_load_balancer_may_open_them() {
     let terminated_at = Instant::now();
     for deadline_ms in DEADLINES_MS {
         let timeline = Timeline::new(terminated_at, Duration::from_millis(deadline_ms));
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn the_longest_deadline_is_that_of_all_classes() {
+fn the_longest_deadline_is_the_maximum_over_all_classes() {
     for (deadlines, longest_ms) in [
         (vec![400.0], 400),
         (vec![2500.0, 900.0], 2500),
--- a/src/bin/quota-gateway/signals.rs
+++ b/src/bin/quota-gateway/signals.rs
@@ -1,9 +1,10 @@
-//! SIGTERM and SIGHUP.
+//! Handling of SIGTERM and SIGHUP.
 //!
-//! Guards against two failures. The runtime's own signal handling panics if reading its pipe is interrupted, which ends
-//! the process. And the byte that wakes the waiting task may be lost, as a write to a pipe can fail: the signal would not
-//! be noticed, and SIGKILL would come without a shutdown. Here the handler sets a flag before it writes to the pipe. The
-//! pipe only wakes the task; the flag is what counts, and it is read at intervals as well.
+//! Guards against two failures. The runtime's own signal handling panics if a read of its pipe is interrupted, which
+//! ends the process. And the byte that wakes the waiting task may be lost, as a write to a pipe can fail: the process
+//! would not notice the signal, and SIGKILL would follow without a shutdown. Here the handler sets a flag before it
+//! writes to the pipe. The pipe only wakes the task. The flag records the signal, and the task also reads it at
+//! intervals.
 
 use nix::libc::c_int;
 use signal_hook::consts::{SIGHUP, SIGTERM};
@@ -20,13 +21,13 @@
 mod tests;
 
 /// Interval at which the flag is read without a wake-up: a signal whose byte was lost is noticed after this time at the
-/// latest. The times of the shutdown count from then, so it has to be less than the time that `lifecycle::timeline`
-/// plans for a stall. There is no time left for such a stall in the same shutdown.
+/// latest. The times of the shutdown are counted from then, so this must be less than the time that
+/// `lifecycle::timeline` plans for a stall. After such a delay no time is left for a full stall in the same shutdown.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Bytes read from the pipe at once; each signal writes one.
+/// Number of bytes read from the pipe at once; each signal writes one byte.
 const PIPE_READ_BYTES: usize = 64;
 
-/// The signals that the program handles, from the moment on in which they are registered.
+/// The signals that the program handles, recorded from their registration on.
 pub struct Signals {
     /// SIGTERM: shut down gracefully.
     pub terminate: RegisteredSignal,
@@ -35,12 +36,8 @@
 }
 
 impl Signals {
-    /// Sets the handlers. A signal that arrives earlier ends the process by the system's default, so the program calls
-    /// this first.
-    ///
-    /// # Errors
-    ///
-    /// Fails if the system refuses a handler or a pipe.
+    /// Registers the handlers. A signal that arrives earlier ends the process by the system's default action, so the
+    /// program calls this first.
     pub fn register() -> io::Result<Self> {
         Ok(Signals {
             terminate: RegisteredSignal::new(SIGTERM)?,
@@ -65,11 +62,7 @@
         Ok(RegisteredSignal { received, pipe })
     }
 
-    /// The signal as a task on the runtime waits for it.
-    ///
-    /// # Errors
-    ///
-    /// Fails if the runtime can't watch the pipe.
+    /// Converts to a stream on which a task of the runtime waits for the signal.
     pub fn listen(self) -> io::Result<SignalStream> {
         Ok(SignalStream {
             received: self.received,
@@ -78,28 +71,28 @@
     }
 }
 
-/// One kind of signal.
+/// The receiving end of one kind of signal.
 pub struct SignalStream {
-    /// Set by the handler, and before it writes into the pipe.
+    /// Set by the handler before it writes to the pipe.
     received: Arc<AtomicBool>,
-    /// Becomes readable with a signal.
+    /// Becomes readable when the signal arrives.
     pipe: UnixStream,
 }
 
 impl SignalStream {
-    /// Waits for the signal. Several that came since the last one was waited for count as one.
+    /// Waits for the signal. Several signals that arrived since the last call count as one.
     pub async fn recv(&mut self) {
         while !self.received.swap(false, Ordering::SeqCst) {
-            // Whatever this returns, the flag says whether the signal has arrived.
+            // The flag says whether the signal has arrived, whatever this wait returns.
             let _ = timeout(CHECK_INTERVAL, self.pipe.readable()).await;
             self.drain_pipe();
         }
     }
 
     fn drain_pipe(&self) {
-        let mut space = [0; PIPE_READ_BYTES];
+        let mut buffer = [0; PIPE_READ_BYTES];
         loop {
-            match self.pipe.try_read(&mut space) {
+            match self.pipe.try_read(&mut buffer) {
                 Ok(bytes) if bytes > 0 => {}
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 _ => return,
--- a/src/bin/quota-gateway/signals/tests.rs
+++ b/src/bin/quota-gateway/signals/tests.rs
@@ -1,4 +1,4 @@
-//! A signal whose wake-up is lost, on the paused clock.
+//! Tests a signal whose wake-up is lost, on the paused clock.
 
 use super::SignalStream;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -7,11 +7,12 @@
 use tokio::net::UnixStream;
 use tokio::time::{sleep, Instant};
 
-/// What the shutdown may lose of its time before it knows of SIGTERM.
+/// Longest time by which SIGTERM may be noticed late.
 const MAX_DELAY: Duration = Duration::from_millis(100);
 
-/// The byte that wakes the task is lost, as a write to the pipe may fail. The process would run on until SIGKILL, which
-/// comes 0.7 s and a deadline after SIGTERM. The signal must be noticed all the same, with time left for the shutdown.
+/// The byte that wakes the task is lost, as a write to the pipe may fail. If the signal were not noticed, the process
+/// would run until SIGKILL, which follows a deadline and 0.7 s after SIGTERM. The signal must still be noticed, with
+/// time left for the shutdown.
 #[tokio::test(start_paused = true)]
 async fn a_signal_whose_byte_was_lost_is_noticed_in_time() {
     for set_after in [0, 3, 60, 130, 470] {
