--- a/src/bin/quota-gateway/upstream/attempt.rs
+++ b/src/bin/quota-gateway/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: finds a connection, writes the request, reads the response.
+//! Runs one attempt: finds a connection, writes the request and reads the response.
 
 use super::connection::{Connection, WriteResult};
 use super::pool::{ConnectError, ConnectionPool};
@@ -10,22 +10,20 @@
 
 /// A complete response of an endpoint, whatever its status.
 pub struct CompleteResponse {
-    /// Its head.
     pub head: Head,
-    /// Its body.
     pub body: Bytes,
 }
 
-/// The end of an attempt.
+/// The result of an attempt.
 pub struct AttemptResult {
-    /// The outcome, in the decision library's terms.
+    /// Outcome in the decision library's terms.
     pub outcome: Outcome,
-    /// The endpoint's response, if a complete one came.
+    /// The endpoint's response; `None` if no complete response arrived.
     pub response: Option<CompleteResponse>,
 }
 
 impl AttemptResult {
-    /// An attempt that ended without a response.
+    /// Creates the result of an attempt that ended without a response.
     pub fn without_response(outcome: Outcome) -> Self {
         AttemptResult {
             outcome,
@@ -35,9 +33,9 @@
 }
 
 impl ConnectionPool {
-    /// Sends one request and waits for its response. Its connection is closed before this returns, unless the
-    /// response is complete; dropping the future closes it, too. The request may be refused right before its first byte
-    /// (`OutgoingRequest::refusal`).
+    /// Sends one request and waits for its response. The connection is closed before this returns, unless the response
+    /// is complete and the connection can be reused. Dropping the future closes the connection as well. The request may
+    /// be refused right before its first byte (`OutgoingRequest::refusal`).
     pub async fn attempt(
         &self,
         target: Target,
@@ -55,7 +53,7 @@
                 Ok(Err(_)) => return AttemptResult::without_response(Outcome::ConnectionReset),
                 Err(_) => return AttemptResult::without_response(Outcome::Timeout),
             };
-        // Bytes behind the response would be read as the response to the next request.
+        // Bytes after the response would be read as the response to the next request.
         if head.keep_alive && !connection.reader.has_unread_bytes() {
             self.put_back(target, connection);
         }
@@ -65,8 +63,8 @@
         }
     }
 
-    /// Writes the request, on an idle connection if there is one. The error is the outcome of an attempt of which the
-    /// last byte was not written: the endpoint can't have begun to execute it.
+    /// Writes the request, on an idle connection if one is usable. The error is the outcome of an attempt whose last
+    /// byte was not written: the endpoint can't have begun to execute the request.
     async fn send(
         &self,
         target: Target,
@@ -86,11 +84,11 @@
             match timeout_at(deadline, connection.write(request)).await {
                 Ok(Ok(WriteResult::Complete)) => return Ok(connection),
                 Ok(Ok(WriteResult::Refused(outcome))) => {
-                    // Nothing was written: the connection can be used again.
+                    // Nothing was written, so the connection can be reused.
                     self.put_back(target, connection);
                     return Err(outcome);
                 }
-                // A connection that broke while it was idle says nothing about its endpoint: another one is tried.
+                // A connection that broke while idle says nothing about its endpoint, so another one is tried.
                 Ok(Err(_)) if is_reused => {}
                 Ok(Err(_)) => return Err(Outcome::ConnectFailed),
                 Err(_) => return Err(Outcome::NotSent),
@@ -109,7 +107,7 @@
 fn outcome_of(head: &Head) -> Outcome {
     match head.status {
         200 => Outcome::Success,
-        // Only these two with this header prove that the request was never executed.
+        // Only these two statuses with the rejection header prove that the request was never executed.
         503 | 504 if head.rejected => Outcome::Rejected,
         _ => Outcome::ErrorResponse,
     }
--- a/src/bin/quota-gateway/upstream/connection.rs
+++ b/src/bin/quota-gateway/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an endpoint.
+//! A connection to an endpoint.
 
 use super::request::OutgoingRequest;
 use crate::http::Reader;
@@ -12,26 +12,26 @@
 #[cfg(test)]
 mod tests;
 
-/// The number of open connections, over all endpoints.
+/// Counts the open connections to all endpoints.
 #[derive(Clone, Default)]
 pub struct OpenConnections {
     count: Rc<Cell<usize>>,
 }
 
 impl OpenConnections {
-    /// How many are open or being opened.
+    /// Number of connections that are open or being opened.
     pub fn count(&self) -> usize {
         self.count.get()
     }
 
-    /// Counts one more until the permit is dropped.
+    /// Counts one more connection until the permit is dropped.
     pub fn acquire(&self) -> ConnectionPermit {
         self.count.set(self.count.get() + 1);
         ConnectionPermit { open: self.clone() }
     }
 }
 
-/// One open connection, counted until this is dropped.
+/// An open connection, counted until the permit is dropped.
 pub struct ConnectionPermit {
     open: OpenConnections,
 }
@@ -42,25 +42,25 @@
     }
 }
 
-/// How writing a request ended, if the connection did not fail.
+/// The result of writing a request, if the connection did not fail.
 pub enum WriteResult {
-    /// All of it is written.
+    /// The whole request is written.
     Complete,
-    /// Nothing is: it was refused, with this as the attempt's outcome.
+    /// Nothing is written: the request was refused, and this is the outcome of the attempt.
     Refused(Outcome),
 }
 
 /// An established connection to an endpoint.
 pub struct Connection {
-    /// Reads the responses.
+    /// Reads responses, and owns the socket.
     pub reader: Reader<Socket>,
-    /// When it was established or last became idle.
+    /// Time at which the connection was established or last became idle.
     pub idle_since: Instant,
     _permit: ConnectionPermit,
 }
 
 impl Connection {
-    /// A connection that has just been established.
+    /// Creates a connection from a socket that has just been connected.
     pub fn new(socket: Socket, permit: ConnectionPermit) -> Self {
         Connection {
             reader: Reader::new(socket),
@@ -69,21 +69,21 @@
         }
     }
 
-    /// Whether the next request may be sent on it.
+    /// True if the next request may be sent on this connection.
     ///
-    /// Guards against two failures. An endpoint closes a connection while it is idle: a request written to it ends as a
-    /// reset and may have been executed, so that it can't be retried. An endpoint sends bytes behind a response, such as
-    /// a second copy: they would be read as the response to the next request, of another client. The check
-    /// peeks into the system's buffer, as the runtime may not have been notified of what it holds.
+    /// Guards against two failures. First, an endpoint closes a connection while it is idle: a request written to it
+    /// ends as a reset and may have been executed, so it can't be retried. Second, an endpoint sends bytes after a
+    /// response, such as a second copy: they would be read as the response to the next request, from another client.
+    /// The check peeks into the system's buffer, because the runtime may not yet have been notified of data in it.
     pub fn is_usable(&self) -> bool {
         !self.reader.has_unread_bytes() && self.reader.io.peek() == PeekResult::Empty
     }
 
     /// Writes a complete request, unless it is refused.
     ///
-    /// Guards against a write that begins long after its check: a socket that takes no bytes makes it wait, and meanwhile
-    /// the client may disconnect and the endpoint drain. Each try of the first byte is preceded by a check, and nothing
-    /// else runs between the two. After the first byte the request is written to its end.
+    /// Guards against a write that begins long after its check: if the socket accepts no bytes, the write has to wait,
+    /// and meanwhile the client may disconnect or the endpoint drain. A check precedes each attempt to write the first
+    /// byte, and nothing else runs between the two. After the first byte the request is written to its end.
     pub async fn write(&self, request: &dyn OutgoingRequest) -> io::Result<WriteResult> {
         let socket = &self.reader.io;
         let mut message = Vec::new();
@@ -93,7 +93,7 @@
             if written == 0 {
                 if let Some(preparation) = request.prepare() {
                     preparation.await;
-                    // Other tasks have run: the endpoint may have closed the connection.
+                    // Other tasks have run, so the endpoint may have closed the connection.
                     if !self.is_usable() {
                         return Err(ErrorKind::ConnectionReset.into());
                     }
--- a/src/bin/quota-gateway/upstream/connection/tests.rs
+++ b/src/bin/quota-gateway/upstream/connection/tests.rs
@@ -1,4 +1,4 @@
-//! An endpoint that closes its connection between the choice of that and the first byte.
+//! Tests an endpoint that closes its connection between the choice of the connection and the first byte of the request.
 
 use super::{Connection, OpenConnections, OutgoingRequest, WriteResult};
 use crate::socket::{PeekResult, Socket};
@@ -8,13 +8,13 @@
 use std::net::TcpListener;
 use tokio::net::TcpStream;
 
-/// A request whose endpoint closes the connection while it is being prepared.
-struct CrossedRequest {
+/// A request whose endpoint closes the connection while the request is being prepared.
+struct ClosedWhilePreparing {
     endpoint: RefCell<Option<std::net::TcpStream>>,
     connection: Socket,
 }
 
-impl OutgoingRequest for CrossedRequest {
+impl OutgoingRequest for ClosedWhilePreparing {
     fn prepare(&self) -> Option<Preparation<'_>> {
         Some(Box::pin(async {
             drop(self.endpoint.take());
@@ -33,10 +33,10 @@
     }
 }
 
-/// An endpoint closes an idle connection while a request is being prepared for it. Written there, the request would end
-/// as a reset and might have been executed, so that one that is not idempotent fails. Nothing must be written.
+/// An endpoint closes an idle connection while a request is being prepared for it. The request would end as a reset and
+/// might have been executed, so that one that is not idempotent would fail. Nothing must be written.
 #[tokio::test]
-async fn nothing_is_written_on_a_connection_that_was_closed_during_the_preparation() {
+async fn nothing_is_written_on_a_connection_closed_during_preparation() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let stream = TcpStream::connect(listener.local_addr().unwrap())
         .await
@@ -44,13 +44,13 @@
     let (endpoint, _) = listener.accept().unwrap();
     let socket = Socket::new(stream);
     let connection = Connection::new(socket.clone(), OpenConnections::default().acquire());
-    let request = CrossedRequest {
+    let request = ClosedWhilePreparing {
         endpoint: RefCell::new(Some(endpoint)),
         connection: socket,
     };
     let written = connection.write(&request).await;
     assert!(
         !matches!(written, Ok(WriteResult::Complete)),
-        "written on a closed connection"
+        "the request was written on a closed connection"
     );
 }
--- a/src/bin/quota-gateway/upstream/mod.rs
+++ b/src/bin/quota-gateway/upstream/mod.rs
@@ -1,9 +1,9 @@
-//! Connections to endpoints, and attempts on them. One connection carries one request at a time.
+//! Connections to endpoints, and attempts on them. A connection carries one request at a time.
 //!
-//! - `pool`: the idle connections to each endpoint, and the bound on all open ones
-//! - `connection`: one connection: whether it can be used again, writing on it
-//! - `request`: what an attempt sends, and where
-//! - `attempt`: one attempt: a connection, the request, the response, the outcome
+//! - `pool`: the idle connections to each endpoint, and the limit on all open connections
+//! - `connection`: a single connection: writing a request, and whether the connection can be reused
+//! - `request`: the request that an attempt sends, and its target
+//! - `attempt`: a single attempt: connection, request, response and outcome
 
 mod attempt;
 mod connection;
--- a/src/bin/quota-gateway/upstream/pool.rs
+++ b/src/bin/quota-gateway/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! All connections to endpoints: the idle ones by endpoint, and a bound on the open ones.
+//! The pool of connections to endpoints: keeps the idle connections of each endpoint and limits the open ones.
 
 use super::connection::{Connection, OpenConnections};
 use super::request::Target;
@@ -15,26 +15,26 @@
 #[cfg(test)]
 mod tests;
 
-/// A connection is not used again for this long after a response. Guards against an endpoint that sends a second
-/// response some milliseconds after the first: it would be read as the response to the next request. Once it has
-/// arrived, `Connection::is_usable` sees it.
+/// Time after a response during which its connection is not reused. Guards against an endpoint that sends a second
+/// response some milliseconds after the first: it would be read as the response to the next request. Once the second
+/// response has arrived, `Connection::is_usable` detects it.
 const REUSE_DELAY: Duration = Duration::from_millis(10);
 
-/// An idle connection is used for this share of the idle time-out of endpoints: after that its endpoint may be about to
-/// close it, and a request on it could be lost.
+/// Share of the endpoints' idle timeout during which an idle connection is used: after that its endpoint may be about
+/// to close the connection, and a request on it could be lost.
 const USABLE_IDLE_SHARE: f64 = 0.5;
 
-/// Why a connection could not be established.
+/// The reason why a connection could not be established.
 #[derive(Clone, Copy, Debug, Error)]
 pub enum ConnectError {
     #[error("the endpoint is down, unreachable or full")]
     Endpoint,
-    /// Says nothing about the endpoint.
-    #[error("no time or no descriptors left here")]
+    /// The failure says nothing about the endpoint.
+    #[error("the gateway has no time or no file descriptors left")]
     Local,
 }
 
-/// The idle connections to one endpoint, longest idle first.
+/// The address of an endpoint, and its idle connections, longest idle first.
 struct EndpointConnections {
     addr: SocketAddr,
     idle: Vec<Connection>,
@@ -49,9 +49,9 @@
     }
 }
 
-/// All connections to endpoints, and their present addresses.
+/// The idle connections to all endpoints, and their current addresses.
 pub struct ConnectionPool {
-    /// The listed endpoints, each with its present address.
+    /// The listed endpoints, each with its current address and idle connections.
     endpoints: RefCell<HashMap<EndpointId, EndpointConnections>>,
     open: OpenConnections,
     max_open: usize,
@@ -60,8 +60,9 @@
 }
 
 impl ConnectionPool {
-    /// At most `max_open` connections, each established within `connect_ms`. `idle_ms` is the idle time after which
-    /// endpoints close a connection; one that was idle for `USABLE_IDLE_SHARE` of it is not used again.
+    /// Creates an empty pool with at most `max_open` connections, each established within `connect_ms`. `idle_ms` is
+    /// the idle time after which endpoints close a connection; a connection that was idle for `USABLE_IDLE_SHARE` of it
+    /// is not reused.
     pub fn new(max_open: usize, connect_ms: f64, idle_ms: f64) -> Self {
         ConnectionPool {
             endpoints: RefCell::default(),
@@ -72,7 +73,7 @@
         }
     }
 
-    /// The address of an endpoint; none if it is not listed.
+    /// The address of an endpoint; `None` if the endpoint is not listed.
     pub fn address(&self, endpoint: EndpointId) -> Option<SocketAddr> {
         self.endpoints
             .borrow()
@@ -80,7 +81,7 @@
             .map(|connections| connections.addr)
     }
 
-    /// Sets the address of an endpoint. Its idle connections to another address are closed.
+    /// Sets the address of an endpoint. Idle connections to a previous address are closed.
     pub fn set_address(&self, endpoint: EndpointId, addr: SocketAddr) {
         let mut endpoints = self.endpoints.borrow_mut();
         let connections = endpoints
@@ -96,7 +97,7 @@
         self.endpoints.borrow_mut().remove(&endpoint);
     }
 
-    /// Closes connections that were idle for too long, or broke.
+    /// Closes idle connections that were idle for too long or broke.
     pub fn close_expired(&self) {
         for connections in self.endpoints.borrow_mut().values_mut() {
             connections
@@ -105,13 +106,14 @@
         }
     }
 
-    /// The connection used last that is usable; none if there is none. One whose last response is younger than
-    /// `REUSE_DELAY` is passed over.
+    /// Takes the most recently used connection that is usable; `None` if there is none. A connection whose last
+    /// response is more recent than `REUSE_DELAY` is skipped.
     pub(super) fn take_idle(&self, endpoint: EndpointId) -> Option<Connection> {
         let mut endpoints = self.endpoints.borrow_mut();
         let idle = &mut endpoints.get_mut(&endpoint)?.idle;
-        let has_waited = |connection: &Connection| connection.idle_since.elapsed() >= REUSE_DELAY;
-        while let Some(index) = idle.iter().rposition(has_waited) {
+        let delay_has_passed =
+            |connection: &Connection| connection.idle_since.elapsed() >= REUSE_DELAY;
+        while let Some(index) = idle.iter().rposition(delay_has_passed) {
             let connection = idle.remove(index);
             if self.is_reusable(&connection) {
                 return Some(connection);
@@ -120,8 +122,8 @@
         None
     }
 
-    /// Keeps a connection for another request, or closes it if its endpoint was removed or moved: its address may be
-    /// another endpoint's by now.
+    /// Keeps a connection for another request. Closes it instead if its endpoint was removed or moved, because the
+    /// address may belong to another endpoint by now.
     pub(super) fn put_back(&self, target: Target, mut connection: Connection) {
         connection.idle_since = Instant::now();
         let mut endpoints = self.endpoints.borrow_mut();
@@ -133,7 +135,7 @@
         }
     }
 
-    /// Opens a connection. With too many open, the one longest idle is closed for it.
+    /// Opens a connection. If `max_open` connections are open, the one that has been idle longest is closed first.
     pub(super) async fn connect(
         &self,
         addr: SocketAddr,
@@ -146,7 +148,7 @@
             return Err(ConnectError::Local);
         }
         let permit = self.open.acquire();
-        // A machine that has failed never answers a connect.
+        // A machine that has failed never answers a connection attempt.
         let connect_deadline = Instant::now() + self.connect_timeout;
         let socket = match timeout_at(deadline.min(connect_deadline), Socket::connect(addr)).await {
             Ok(Ok(socket)) => socket,
--- a/src/bin/quota-gateway/upstream/pool/tests.rs
+++ b/src/bin/quota-gateway/upstream/pool/tests.rs
@@ -1,12 +1,12 @@
-//! When a connection is used again.
+//! Tests when a connection is reused.
 
 use super::{Connection, ConnectionPool, Socket, Target};
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// An endpoint sends two responses to one request, the second some milliseconds late. Read as the response to the next
-/// request, it would reach another client. The connection must rest until the second one would have arrived. The clock
-/// is paused, and only the test advances it.
+/// An endpoint sends two responses to one request, the second some milliseconds late. If it were read as the response
+/// to the next request, it would reach another client. The connection must stay unused until the second response would
+/// have arrived. The clock is paused, and only the test advances it.
 #[tokio::test(start_paused = true)]
 async fn a_connection_is_not_reused_until_a_late_second_response_would_have_arrived() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
--- a/src/bin/quota-gateway/upstream/request.rs
+++ b/src/bin/quota-gateway/upstream/request.rs
@@ -1,33 +1,33 @@
-//! What an attempt sends, and where.
+//! The request that an attempt sends, and its target.
 
 use quota_gateway::{EndpointId, Outcome};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::pin::Pin;
 
-/// Where an attempt goes.
+/// The endpoint of an attempt.
 #[derive(Clone, Copy)]
 pub struct Target {
-    /// The endpoint.
     pub endpoint: EndpointId,
-    /// The address that it had when the attempt began.
+    /// Address of the endpoint when the attempt started.
     pub addr: SocketAddr,
 }
 
-/// The wait that `OutgoingRequest::prepare` asks for.
+/// The future that `OutgoingRequest::prepare` returns.
 pub type Preparation<'a> = Pin<Box<dyn Future<Output = ()> + 'a>>;
 
 /// A request about to be written. `prepare`, `refusal` and `encode` are called right before its first byte, in this
 /// order, and again if that byte could not be written.
 pub trait OutgoingRequest {
-    /// The wait that `refusal` needs before it can decide; none if it can decide at once.
+    /// Returns a future that must complete before `refusal` can decide; `None` if `refusal` can decide at once.
     fn prepare(&self) -> Option<Preparation<'_>> {
         None
     }
-    /// The attempt's outcome, if it must not be sent after all.
+    /// Returns the outcome of the attempt if the request must not be sent.
     fn refusal(&self) -> Option<Outcome>;
-    /// The bytes to write. They propagate the remaining time, which passes while a connection comes up.
+    /// Returns the bytes to write. They propagate the remaining time, which decreases while a connection is
+    /// established.
     fn encode(&self) -> Vec<u8>;
-    /// Its last byte is written.
+    /// Called once the last byte is written.
     fn on_written(&self) {}
 }
