--- a/src/bin/quota-gateway/metrics/family.rs
+++ b/src/bin/quota-gateway/metrics/family.rs
@@ -1,32 +1,33 @@
-//! Counters: single ones, and families with one for each value of a label.
+//! Counters: single counters, and families with one counter for each value of a label.
 
 use prometheus::{IntCounter, IntCounterVec, Opts, Registry};
 use std::marker::PhantomData;
 
 /// A label of a metric, as an enumeration of its values.
 pub trait Label: Copy + 'static {
-    /// The label's name.
+    /// Name of the label in the text format.
     const NAME: &'static str;
-    /// All values.
+    /// All values, in the order of their indexes.
     const ALL: &'static [Self];
-    /// The value's index in `ALL`.
+    /// Index of the value in `ALL`.
     fn index(self) -> usize;
-    /// The value in the text format.
+    /// Text of the value in the text format.
     fn text(self) -> &'static str;
 }
 
-/// A counter for each value of a label.
+/// A family of counters with one counter for each value of a label.
 pub struct CounterFamily<L> {
     counters: Vec<IntCounter>,
     label: PhantomData<L>,
 }
 
 impl<L: Label> CounterFamily<L> {
-    /// Registers the counters, all at 0.
+    /// Registers the counters of all values, all at 0.
     pub(super) fn register(registry: &Registry, name: &str, help: &str) -> Self {
         let family = IntCounterVec::new(options(name, help), &[L::NAME]);
-        let family = family.expect("the name of a metric is valid, as a test shows");
-        // It fails if the name is already registered; the counters are then missing from the text, as a test would show.
+        let family = family.expect("metric names are valid, as a test verifies");
+        // Registering fails if the name is already registered. The counters are then missing from the text, which a
+        // test would detect.
         let _ = registry.register(Box::new(family.clone()));
         let counters = L::ALL
             .iter()
@@ -38,18 +39,18 @@
         }
     }
 
-    /// The sum over all values.
+    /// Returns the sum over all values.
     pub fn total(&self) -> u64 {
         self.counters.iter().map(IntCounter::get).sum()
     }
 
-    /// Counts one more.
+    /// Increments the counter of a value.
     pub fn increment(&self, value: L) {
         self.counters[value.index()].inc();
     }
 }
 
-/// Options of a metric of this program.
+/// Returns the options of a metric, whose full name is `gateway_{name}_total`.
 fn options(name: &str, help: &str) -> Opts {
     Opts::new(format!("gateway_{name}_total"), help)
 }
@@ -57,8 +58,9 @@
 /// Registers a counter without labels, at 0.
 pub(super) fn register_counter(registry: &Registry, name: &str, help: &str) -> IntCounter {
     let counter = IntCounter::with_opts(options(name, help));
-    let counter = counter.expect("the name of a metric is valid, as a test shows");
-    // It fails if the name is already registered; the counter is then missing from the text, as a test would show.
+    let counter = counter.expect("metric names are valid, as a test verifies");
+    // Registering fails if the name is already registered. The counter is then missing from the text, which a test
+    // would detect.
     let _ = registry.register(Box::new(counter.clone()));
     counter
 }
--- a/src/bin/quota-gateway/metrics/labels.rs
+++ b/src/bin/quota-gateway/metrics/labels.rs
@@ -1,7 +1,7 @@
 //! The labels of the metrics and their values.
 //!
-//! Operators' dashboards and alerts use the texts, so they stay when a name in the code changes: `client_gone`, `repeat`,
-//! `repeat_window_over`, `may_have_run` and `request_answered` are older than the names beside them.
+//! Dashboards and alerts of operators use the texts, so a text stays when the name in the code changes: `client_gone`,
+//! `repeat`, `repeat_window_over`, `may_have_run` and `request_answered` are older than the names of their variants.
 
 use super::family::Label;
 use quota_gateway::Outcome;
@@ -39,53 +39,54 @@
 }
 
 label! {
-    /// How a request ended.
+    /// The end of a request.
     RequestEnd, "outcome", {
-        /// An endpoint served it.
+        /// An endpoint served the request.
         Success => "success",
-        /// It was rejected and may safely be retried: it was never executed, or a second execution does no harm.
+        /// The request was rejected and may safely be retried: it was never executed, or a second execution does no
+        /// harm.
         Rejected => "rejected",
-        /// It failed and may have been executed.
+        /// The request failed and may have been executed.
         Failed => "failed",
-        /// It was malformed, or not complete in time.
+        /// The request was malformed, or not complete in time.
         Invalid => "invalid",
-        /// It was refused at the end of the process, and was never executed.
+        /// The request was refused because the process is shutting down, and was never executed.
         ShuttingDown => "shutting_down",
-        /// The gateway answered it by itself: a health check, or a collection of metrics.
+        /// The gateway answered the request itself: a health check, or a collection of metrics.
         HealthCheck => "health_check",
-        /// Its client disconnected before it had a response.
+        /// The client disconnected before it had a response.
         Disconnected => "disconnected",
     }
 }
 
 label! {
-    /// How an attempt ended.
+    /// The outcome of an attempt.
     AttemptOutcome, "outcome", {
-        /// The endpoint served it.
+        /// The endpoint served the attempt.
         Success => "success",
-        /// The endpoint rejected it unexecuted, or takes no more requests.
+        /// The endpoint rejected the attempt unexecuted, or accepts no more requests.
         Rejected => "rejected",
         /// The endpoint responded with an error.
         ErrorResponse => "error_response",
         /// No connection could be established.
         ConnectFailed => "connect_failed",
-        /// The connection broke, or the response can't be read.
+        /// The connection broke, or the response can't be parsed.
         ConnectionReset => "connection_reset",
         /// No complete response arrived in time.
         Timeout => "timeout",
-        /// It was cancelled after it was written.
+        /// The attempt was cancelled after it was written.
         Cancelled => "cancelled",
-        /// It was not sent, for a reason that says nothing about the endpoint.
+        /// The attempt was not sent, for a reason that says nothing about the endpoint.
         NotSent => "not_sent",
     }
 }
 
 label! {
-    /// Why an attempt was refused right before its first byte.
+    /// The reason why an attempt was refused right before its first byte.
     AttemptRefusal, "reason", {
         /// The request has its response, or its client has disconnected.
         RequestClosed => "request_answered",
-        /// The client has closed its side, or its connection broke.
+        /// The client has closed its side of the connection, or the connection broke.
         ClientDisconnected => "client_gone",
         /// The endpoint is draining or was removed.
         EndpointNotReady => "endpoint_not_ready",
@@ -96,27 +97,28 @@
         RetryWindowOver => "repeat_window_over",
         /// The request may have been executed and must not be executed twice.
         MayHaveExecuted => "may_have_run",
-        /// The process ends before a response could arrive.
+        /// The process exits before a response could arrive.
         ShuttingDown => "shutting_down",
     }
 }
 
 label! {
-    /// Why a client's connection ended.
+    /// The reason why a client's connection ended.
     ConnectionEnd, "reason", {
-        /// It ended by HTTP: the client closed it or sent no valid HTTP, or the gateway's response asked to close.
+        /// The connection ended as HTTP provides: the client closed it or sent invalid HTTP, or the gateway's response
+        /// asked to close it.
         Finished => "finished",
         /// The client disconnected while its request was being served.
         ClientDisconnected => "client_gone",
         /// No complete head arrived in time.
         TimedOut => "timed_out",
-        /// It gave up its slot to another client.
+        /// The connection gave up its slot to another client.
         Evicted => "evicted",
-        /// There was no slot for it.
+        /// No slot was free for the connection.
         NoSlot => "no_slot",
-        /// The process shuts down, and no response was due on it.
+        /// The process is shutting down, and no response was due on the connection.
         Draining => "draining",
-        /// The process shuts down, and a request that had arrived in part was refused.
+        /// The process is shutting down, and a request that had arrived in part was refused.
         Incomplete => "incomplete",
     }
 }
@@ -124,19 +126,19 @@
 label! {
     /// A rule of the protocol that must never be broken.
     Rule, "rule", {
-        /// An attempt was written over 0.1 s after its request had ended.
+        /// An attempt was written more than 0.1 s after its request had ended.
         SendForClosedRequest => "send_for_closed_request",
-        /// An attempt was written to an endpoint past the grace time of its draining or removal.
+        /// An attempt was written to an endpoint after the grace time of its draining or removal.
         SendToDraining => "send_to_draining",
-        /// An attempt propagated more time than its client has left.
+        /// An attempt propagated more remaining time than its client has left.
         RemainingTime => "remaining_time",
         /// An attempt was written that may be a second execution of a request that must be executed once.
         UnsafeRetry => "repeat",
-        /// A connection was closed under a complete request without a response.
+        /// A connection with a complete request was closed without a response.
         CloseUnanswered => "close_unanswered",
         /// An attempt was written after the process had begun to refuse requests.
         SendWhileRefusing => "send_while_refusing",
-        /// An endpoint in slow start was sent more than this gateway's share of its capacity.
+        /// An endpoint in slow start was sent more attempts than this gateway's share of its capacity.
         SlowStart => "slow_start",
     }
 }
--- a/src/bin/quota-gateway/metrics/mod.rs
+++ b/src/bin/quota-gateway/metrics/mod.rs
@@ -1,7 +1,7 @@
-//! Counters of requests, attempts, connections and broken rules, each by its reason, in the text format of Prometheus, at
-//! `/health/metrics`.
+//! Counters of requests, attempts, connections and broken rules, labelled with their reasons or outcomes. They are
+//! served in the text format of Prometheus at `/health/metrics`.
 //!
-//! - `family`: counters, single ones and one for each value of a label
+//! - `family`: single counters, and families with one counter for each value of a label
 //! - `labels`: the labels and their values
 
 mod family;
@@ -15,7 +15,7 @@
 use prometheus::{IntCounter, Registry, TextEncoder};
 use std::rc::Rc;
 
-/// All counters. There is one instance in the process.
+/// All counters. The process has one instance.
 pub struct Metrics {
     registry: Registry,
     /// Final responses to clients.
@@ -24,24 +24,24 @@
     pub attempts: CounterFamily<AttemptOutcome>,
     /// Attempts that were refused right before their first byte.
     pub attempt_refusals: CounterFamily<AttemptRefusal>,
-    /// Connections of clients that ended.
+    /// Client connections that ended.
     pub connections_ended: CounterFamily<ConnectionEnd>,
-    /// Rules broken, as found by `driver::rule_checks` and the server. Each is a fault of this program.
+    /// Broken rules, as found by `driver::rule_checks` and the server. Each is a fault of this program.
     pub violations: CounterFamily<Rule>,
-    /// Clients' connections accepted.
+    /// Client connections that were accepted.
     pub connections_accepted: IntCounter,
-    /// Failures to accept a client's connection.
+    /// Failures to accept a client connection.
     pub accept_errors: IntCounter,
-    /// Updates of the endpoint list.
+    /// Updates of the endpoint list that were applied.
     pub list_updates: IntCounter,
-    /// Configurations applied at SIGHUP.
+    /// Reloads on SIGHUP that succeeded.
     pub reloads: IntCounter,
-    /// Configurations with an error at SIGHUP; the old one stays in use.
+    /// Reloads on SIGHUP that failed; the running configuration stays in use.
     pub failed_reloads: IntCounter,
 }
 
 impl Metrics {
-    /// All counters, at 0.
+    /// Creates and registers all counters, at 0.
     pub fn new() -> Rc<Self> {
         let registry = Registry::new();
         let counter = |name: &str, help: &str| register_counter(&registry, name, help);
@@ -50,34 +50,44 @@
             attempts: CounterFamily::register(
                 &registry,
                 "attempts",
-                "Attempts on endpoints that ended",
+                "Attempts at endpoints that ended",
             ),
             attempt_refusals: CounterFamily::register(
                 &registry,
                 "attempt_refusals",
-                "Attempts not written after all",
+                "Attempts refused right before they were written",
             ),
             connections_ended: CounterFamily::register(
                 &registry,
                 "client_connections_ended",
-                "Connections of clients that ended",
+                "Client connections that ended",
+            ),
+            violations: CounterFamily::register(
+                &registry,
+                "rule_violations",
+                "Rules of the protocol that were broken",
             ),
-            violations: CounterFamily::register(&registry, "rule_violations", "Rules broken"),
             connections_accepted: counter(
                 "client_connections_accepted",
-                "Connections of clients accepted",
+                "Client connections that were accepted",
+            ),
+            accept_errors: counter("accept_errors", "Failures to accept a client connection"),
+            list_updates: counter(
+                "endpoint_list_updates",
+                "Updates of the endpoint list that were applied",
+            ),
+            reloads: counter("reloads", "Configuration reloads on SIGHUP that succeeded"),
+            failed_reloads: counter(
+                "failed_reloads",
+                "Configuration reloads on SIGHUP that failed",
             ),
-            accept_errors: counter("accept_errors", "Failures to accept a client"),
-            list_updates: counter("endpoint_list_updates", "Updates of the endpoint list"),
-            reloads: counter("reloads", "Configurations taken over at SIGHUP"),
-            failed_reloads: counter("failed_reloads", "Configurations not taken over at SIGHUP"),
             registry,
         })
     }
 
-    /// The counters in the text format.
+    /// Encodes the counters in the text format.
     pub fn encode(&self) -> String {
-        // It fails only on families without a name or a value; each has both.
+        // Encoding fails only on families without a name or a value; all families here have both.
         TextEncoder::new()
             .encode_to_string(&self.registry.gather())
             .unwrap_or_default()
--- a/src/bin/quota-gateway/metrics/tests.rs
+++ b/src/bin/quota-gateway/metrics/tests.rs
@@ -1,21 +1,21 @@
-//! Names and values of the metrics.
+//! Tests the names and values of the metrics.
 
 use super::family::Label;
 use super::{AttemptOutcome, AttemptRefusal, ConnectionEnd, Metrics, RequestEnd, Rule};
 
-fn assert_in_order<L: Label + PartialEq + std::fmt::Debug>() {
-    for (place, value) in L::ALL.iter().enumerate() {
-        assert_eq!(value.index(), place, "{value:?}");
+fn assert_indexes_match_order<L: Label + PartialEq + std::fmt::Debug>() {
+    for (index, value) in L::ALL.iter().enumerate() {
+        assert_eq!(value.index(), index, "{value:?}");
     }
 }
 
 #[test]
 fn each_value_of_a_label_has_a_counter_of_its_own() {
-    assert_in_order::<RequestEnd>();
-    assert_in_order::<AttemptOutcome>();
-    assert_in_order::<AttemptRefusal>();
-    assert_in_order::<ConnectionEnd>();
-    assert_in_order::<Rule>();
+    assert_indexes_match_order::<RequestEnd>();
+    assert_indexes_match_order::<AttemptOutcome>();
+    assert_indexes_match_order::<AttemptRefusal>();
+    assert_indexes_match_order::<ConnectionEnd>();
+    assert_indexes_match_order::<Rule>();
 }
 
 #[test]
@@ -37,6 +37,9 @@
         "gateway_reloads_total 1",
         "gateway_failed_reloads_total 0",
     ] {
-        assert!(text.lines().any(|other| other == line), "{line}\n{text}");
+        assert!(
+            text.lines().any(|encoded| encoded == line),
+            "{line}\n{text}"
+        );
     }
 }
