--- a/src/bin/quota-gateway/config/error.rs
+++ b/src/bin/quota-gateway/config/error.rs
@@ -1,18 +1,18 @@
-//! What can be wrong with a configuration.
+//! Errors in a configuration.
 
 use crate::transient_errors::is_transient_for_opening;
 use quota_gateway::wire_settings::SettingProblem;
 use std::io;
 use thiserror::Error;
 
-/// Why a configuration can't be used; printed as one line that names the field.
+/// The reason why a configuration can't be used. Printed as one line that names the field.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    #[error("RELAY_CONFIG is not set")]
+    #[error("RELAY_CONFIG is not set; it must name the configuration file")]
     VariableMissing,
-    #[error("RELAY_CONFIG {path}: {source}")]
+    #[error("RELAY_CONFIG: cannot read {path}: {source}")]
     FileUnreadable { path: String, source: io::Error },
-    /// Not JSON, or a field is missing or has the wrong type.
+    /// The text is not JSON, or a field is missing or has the wrong type.
     #[error("configuration: {field}: {source}")]
     Syntax {
         field: String,
@@ -26,7 +26,7 @@
 }
 
 impl ConfigError {
-    /// True if the file may be readable a little later.
+    /// True if reading the file may succeed a little later.
     pub fn is_transient(&self) -> bool {
         matches!(self, ConfigError::FileUnreadable { source, .. } if is_transient_for_opening(source))
     }
@@ -39,15 +39,15 @@
     }
 }
 
-/// What is wrong with a field that has the right type.
+/// The problem of a field that has the right type.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum FieldProblem {
     #[error(transparent)]
     Setting(#[from] SettingProblem),
-    #[error("at least {minimum} are needed")]
+    #[error("must be at least {minimum}")]
     TooFewSockets { minimum: usize },
-    #[error("one address for each gateway and peer_listen are needed")]
+    #[error("gossip requires peer_listen and one address for each gateway")]
     IncompletePeers,
-    #[error("not a hex number")]
+    #[error("not a 64-bit hexadecimal number")]
     NotHexadecimal,
 }
--- a/src/bin/quota-gateway/config/file.rs
+++ b/src/bin/quota-gateway/config/file.rs
@@ -1,47 +1,47 @@
-//! The configuration file as it is written, but for the settings of the decision library: its fields have the names of
-//! the JSON keys. Keys that are not named here are ignored.
+//! The structure of the configuration file, except for the settings of the decision library. The fields have the names
+//! of the JSON keys. Keys that are not named here are ignored.
 
 use crate::discovery::list::EndpointList;
 use quota_gateway::wire_settings::WireSettings;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// What concerns the program.
+/// The part of the file that the program uses.
 #[derive(Deserialize)]
 pub struct ProgramFile {
-    /// Where clients connect.
+    /// Address on which the gateway listens for clients.
     pub listen: SocketAddr,
-    /// The discovery service, or its agent on this machine.
+    /// Address of the discovery service, or of its agent on this machine.
     pub discovery: SocketAddr,
     /// Seed of all random choices, in hexadecimal.
     pub seed: String,
     pub limits: MachineLimits,
-    /// Where gossip from other gateways arrives.
+    /// Address on which the gateway receives gossip from other gateways.
     pub peer_listen: Option<SocketAddr>,
-    /// The gossip addresses of all gateways, this one included, by position.
+    /// Gossip addresses of all gateways by index, including this gateway.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
-    /// The address that reaches all other gateways at once.
+    /// Broadcast address that reaches all other gateways.
     pub peers_all: Option<SocketAddr>,
-    /// The shared counter.
+    /// Address of the shared counter.
     pub counter: Option<SocketAddr>,
-    /// The last known endpoint list, for use until discovery responds.
+    /// Last known endpoint list, used until discovery responds.
     pub known: Option<EndpointList>,
     pub settings: ProgramSettings,
 }
 
-/// What the machine allows the process.
+/// Limits of the machine on the process.
 #[derive(Deserialize)]
 pub struct MachineLimits {
-    /// File descriptors.
+    /// Number of file descriptors that the process may use.
     pub sockets: usize,
 }
 
-/// The keys of the site's settings that concern the program and not its decisions.
+/// The settings that the program uses itself, as opposed to those that only the decision library uses.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct ProgramSettings {
-    /// The names of endpoint kinds; elsewhere a kind is an index into them.
+    /// Names of endpoint kinds; elsewhere a kind is an index into this list.
     pub kinds: Vec<String>,
     /// Request classes.
     pub categories: Vec<Named>,
@@ -51,30 +51,30 @@
     pub limits: ConnectionLimits,
 }
 
-/// A class or plan, which the decision library knows by its index alone.
+/// A class or plan. The decision library identifies it by index only.
 #[derive(Deserialize)]
 pub struct Named {
-    /// Its name in requests.
+    /// Name of the class or plan in requests.
     pub name: String,
 }
 
-/// What gateways take in from each other.
+/// Limits on the gossip that a gateway accepts.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct GossipLimits {
-    /// Most gossip messages processed per second.
+    /// Maximum number of gossip messages processed per second.
     pub peer_intake: f64,
 }
 
-/// The time-outs of connections.
+/// Timeouts of connections.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct ConnectionLimits {
-    /// Time within which a connection to an endpoint comes up.
+    /// Time within which a connection to an endpoint must be established.
     pub connect_timeout_ms: f64,
 }
 
-/// The same file, as the decision library sees it.
+/// The part of the same file that the decision library uses.
 #[derive(Deserialize)]
 pub struct LibraryFile {
     pub settings: WireSettings,
--- a/src/bin/quota-gateway/config/mod.rs
+++ b/src/bin/quota-gateway/config/mod.rs
@@ -1,5 +1,5 @@
-//! The configuration: one JSON file, named by the environment variable `RELAY_CONFIG` and checked once when it is
-//! read.
+//! The configuration: one JSON file, named by the environment variable `RELAY_CONFIG`. It is checked once, when the
+//! file is read.
 
 mod error;
 mod file;
@@ -18,26 +18,26 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Names the configuration file.
+/// Environment variable with the path of the configuration file.
 const CONFIG_VARIABLE: &str = "RELAY_CONFIG";
-/// How long reading the file is retried. After SIGHUP the former addresses work for 1.5 s, and the gateway counts as
-/// notified of changes at the new discovery 4 s later.
+/// Time for which reading the file is retried. After SIGHUP the previous addresses work for another 1.5 s, and the
+/// gateway counts as notified of changes at the new discovery service 4 s later.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A checked configuration.
 pub struct Config {
-    /// Where clients connect.
+    /// Address on which the gateway listens for clients.
     pub listen: SocketAddr,
-    /// The discovery service, or its agent on this machine.
+    /// Address of the discovery service, or of its agent on this machine.
     pub discovery: SocketAddr,
-    /// The shared counter.
+    /// Address of the shared counter.
     pub counter: Option<SocketAddr>,
     pub gossip: GossipConfig,
     /// Seed of all random choices.
     pub seed: u64,
-    /// File descriptors that the process may use.
+    /// Number of file descriptors that the process may use.
     pub max_sockets: usize,
-    /// The last known endpoint list, for use until discovery responds.
+    /// Last known endpoint list, used until discovery responds.
     pub known_endpoints: Option<EndpointList>,
     /// Settings of the decision library; `limits.max_connections` is not set.
     pub settings: Settings,
@@ -47,24 +47,24 @@
     pub plan_names: Vec<String>,
     pub zone_names: Vec<String>,
     pub kind_names: Vec<String>,
-    /// Timeout for a connection to an endpoint.
+    /// Timeout for establishing a connection to an endpoint.
     pub connect_timeout_ms: f64,
-    /// Idle time after which endpoints close a connection. The pool stops using one earlier.
+    /// Idle time after which endpoints close a connection. The pool stops using a connection earlier.
     pub idle_timeout_ms: f64,
 }
 
-/// How gateways reach one another.
+/// The addresses and limits of gossip between gateways.
 pub struct GossipConfig {
     pub listen: Option<SocketAddr>,
-    /// All gateways by index, this one included.
+    /// Addresses of all gateways by index, including this gateway.
     pub peers: Vec<SocketAddr>,
-    /// The address that reaches all other gateways at once.
+    /// Broadcast address that reaches all other gateways.
     pub broadcast: Option<SocketAddr>,
-    /// Most messages processed per second.
+    /// Maximum number of messages processed per second.
     pub max_messages_per_second: f64,
 }
 
-/// Reads the file that `RELAY_CONFIG` names, again for a while if that fails for a reason that may pass.
+/// Reads the file that `RELAY_CONFIG` names. Retries for `READ_TIMEOUT` if reading fails with a transient error.
 pub async fn load() -> Result<Config, ConfigError> {
     retry(READ_TIMEOUT, ConfigError::is_transient, || async {
         load_once()
@@ -80,8 +80,8 @@
     }
 }
 
-/// Reads the text of a configuration file: once for the program and once for the decision library, as both know keys of
-/// the same JSON objects.
+/// Parses the text of a configuration file: once for the program and once for the decision library, because both read
+/// keys of the same JSON objects.
 fn parse(text: &str) -> Result<Config, ConfigError> {
     let file: ProgramFile = parse_part(text)?;
     let wire = parse_part::<LibraryFile>(text)?.settings;
@@ -111,7 +111,7 @@
     })
 }
 
-/// Reads the keys that this type knows.
+/// Parses the keys that `T` defines.
 fn parse_part<'text, T: Deserialize<'text>>(text: &'text str) -> Result<T, ConfigError> {
     let mut json = serde_json::Deserializer::from_str(text);
     serde_path_to_error::deserialize(&mut json).map_err(|error| ConfigError::Syntax {
--- a/src/bin/quota-gateway/config/tests.rs
+++ b/src/bin/quota-gateway/config/tests.rs
@@ -1,3 +1,5 @@
+//! Tests the conversion of a configuration and the messages for invalid fields.
+
 use super::*;
 use serde_json::{json, Value};
 
@@ -39,7 +41,7 @@
 #[test]
 fn each_error_is_one_line_that_names_the_field() {
     for (pointer, value, line) in [
-        ("/limits/sockets", json!(39), "limits.sockets: at least 40 are needed"),
+        ("/limits/sockets", json!(39), "limits.sockets: must be at least 40"),
         ("/settings/position", json!(1), "settings.position: not below settings.balancers"),
         ("/settings/locality", json!(1), "settings.locality: not a place in settings.zones"),
         ("/settings/categories", json!([]), "settings.categories: empty"),
@@ -55,8 +57,8 @@
             "settings.tiers-of-service[0].store-size: a refill needs a store above 0, and neither is below",
         ),
         ("/counter", Value::Null, "counter: missing, though settings.domain.may-count is true"),
-        ("/peers", json!([]), "peers: one address for each gateway and peer_listen are needed"),
-        ("/seed", json!("seed"), "seed: not a hex number"),
+        ("/peers", json!([]), "peers: gossip requires peer_listen and one address for each gateway"),
+        ("/seed", json!("seed"), "seed: not a 64-bit hexadecimal number"),
     ] {
         let mut file = sample();
         *file.pointer_mut(pointer).unwrap() = value;
--- a/src/bin/quota-gateway/config/validate.rs
+++ b/src/bin/quota-gateway/config/validate.rs
@@ -1,4 +1,4 @@
-//! Checks on a configuration file whose fields have the right types. The first problem found is reported.
+//! Checks of a configuration file whose fields have the right types. The first problem found is reported.
 
 use super::error::{ConfigError, FieldProblem};
 use super::file::ProgramFile;
@@ -7,10 +7,10 @@
 };
 use quota_gateway::Settings;
 
-/// Fewest file descriptors with which the gateway can work.
+/// Minimum number of file descriptors with which the gateway can work.
 const MIN_SOCKETS: usize = 40;
 
-/// Checks all that the types of the fields leave open, and returns the decision library's settings.
+/// Checks everything that the types of the fields do not enforce, and returns the decision library's settings.
 pub fn validate(file: &ProgramFile, wire: &WireSettings) -> Result<Settings, ConfigError> {
     check_program_numbers(file)?;
     wire.check_values().map_err(invalid_setting)?;
@@ -30,7 +30,7 @@
     ConfigError::invalid(format!("settings.{}", setting.path), setting.problem.into())
 }
 
-/// Checks the numbers that the program reads by itself: a time-out in ms, and a rate in messages a second, which has the
+/// Checks the numbers that only the program uses: a timeout in ms, and a rate in messages per second, which has the
 /// same range.
 fn check_program_numbers(file: &ProgramFile) -> Result<(), ConfigError> {
     let settings = &file.settings;
