--- a/src/bin/quota-gateway/error.rs
+++ b/src/bin/quota-gateway/error.rs
@@ -1,23 +1,23 @@
-//! Errors of the start.
+//! Errors at startup.
 
 use crate::config::ConfigError;
 use std::io;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why the program can't start; logged as one line.
+/// The reason why the program can't start. Logged as one line.
 #[derive(Debug, Error)]
 pub enum StartupError {
     #[error(transparent)]
     Config(#[from] ConfigError),
-    #[error("{0}")]
+    #[error("cannot start the asynchronous runtime: {0}")]
     Runtime(io::Error),
-    #[error("signal handlers: {0}")]
+    #[error("cannot set up the signal handlers: {0}")]
     SignalHandler(io::Error),
-    #[error("listen {addr}: {source}")]
+    #[error("cannot listen for clients on {addr} (listen): {source}")]
     Listen { addr: SocketAddr, source: io::Error },
-    #[error("peer_listen {addr}: {source}")]
+    #[error("cannot receive gossip on {addr} (peer_listen): {source}")]
     GossipListen { addr: SocketAddr, source: io::Error },
-    #[error("{0}")]
+    #[error("cannot read the address of the listening socket: {0}")]
     LocalAddress(io::Error),
 }
--- a/src/bin/quota-gateway/logging.rs
+++ b/src/bin/quota-gateway/logging.rs
@@ -1,9 +1,9 @@
 //! The log on standard error.
 //!
-//! Guards against a log that can't be written: on a full disk each write fails, and behind a pipe that nobody reads it
-//! blocks. Written from the gateway's only thread, the one would end the process and the other stall all requests. A
-//! thread of its own writes the log, from a queue that is never waited for: lines beyond its bound are dropped. The
-//! flush at the end waits for a bounded time.
+//! Guards against a log that can't be written: on a full disk each write fails, and a pipe that nobody reads blocks. If
+//! the gateway's only thread wrote the log, a failing write would end the process and a blocking write would stall all
+//! requests. Instead a separate thread writes the log from a queue. Nothing waits for room in the queue: lines beyond
+//! its limit are dropped. The flush at the end waits for a bounded time.
 
 use std::any::Any;
 use std::io::{stderr, Write};
@@ -15,29 +15,30 @@
 use tracing_appender::non_blocking::{NonBlocking, NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::fmt::time::uptime;
 
-/// The variable that names the lowest level that is logged: `error`, `warn`, `info` (the default), `debug` or `trace`. At `debug`
-/// each request and attempt is logged with its ids, and each connection with the reason for its end.
+/// Environment variable that sets the lowest level that is logged: `error`, `warn`, `info` (the default), `debug` or
+/// `trace`. At `debug` each request and attempt is logged with its ids, and each connection with the reason for its
+/// end.
 const LEVEL_VARIABLE: &str = "RELAY_LOG";
-/// Lines that may wait to be written, some 100 KB. Later ones are dropped and counted.
+/// Maximum number of lines that wait to be written, some 100 KB. Later lines are dropped and counted.
 const MAX_WAITING_LINES: usize = 1024;
-/// Longest wait for the last lines at the end of the program.
+/// Longest wait for the last lines to be written at the end of the program.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// The running log. It has to be flushed before the program ends.
+/// The running log. It must be flushed before the program ends.
 pub struct Log {
     writer: NonBlocking,
     worker: WorkerGuard,
 }
 
 impl Log {
-    /// Starts the log; from now on all events and panics go to it.
+    /// Starts the log. From now on all events and panics are written to it.
     pub fn start() -> Self {
         let builder = NonBlockingBuilder::default().buffered_lines_limit(MAX_WAITING_LINES);
         let (writer, worker) = builder.thread_name("log").finish(stderr());
         let log = tracing_subscriber::fmt()
             .with_writer(writer.clone())
             .with_max_level(level());
-        // Time since the start of the process: the wall clock may be stepped.
+        // Lines are stamped with the time since the start of the process, because the wall clock may be stepped.
         log.with_ansi(false).with_timer(uptime()).init();
         panic::set_hook(Box::new(log_panic));
         Log { writer, worker }
@@ -45,15 +46,16 @@
 
     /// Writes one line without time and level.
     pub fn write_line(&mut self, line: &str) {
-        // The writer never fails: a line that it can't take is dropped.
+        // The writer never fails: a line for which the queue has no room is dropped.
         let _ = self.writer.write_all(format!("{line}\n").as_bytes());
     }
 
-    /// Waits until the last lines are written, for `FLUSH_TIMEOUT` at most.
+    /// Waits until the last lines are written, but at most for `FLUSH_TIMEOUT`.
     pub fn flush(self) {
         let (done, flushed) = channel();
         let worker = self.worker;
-        // Dropping the worker waits for its thread, which may wait for the reader of the log: not on this thread.
+        // Dropping the worker waits for its thread, which may be blocked by the reader of the log. So the worker is
+        // dropped on another thread.
         let flushing = thread::Builder::new().spawn(move || {
             drop(worker);
             let _ = done.send(());
@@ -71,7 +73,8 @@
         .unwrap_or(LevelFilter::INFO)
 }
 
-/// Logs a panic. The standard hook would write to standard error on the panicking thread, and block if nobody reads it.
+/// Logs a panic. The standard hook would write to standard error on the panicking thread, which blocks if nobody reads
+/// it.
 fn log_panic(info: &PanicHookInfo<'_>) {
     let location = info.location().map(ToString::to_string).unwrap_or_default();
     tracing::error!("panic at {location}: {}", panic_message(info.payload()));
--- a/src/bin/quota-gateway/main.rs
+++ b/src/bin/quota-gateway/main.rs
@@ -1,5 +1,5 @@
 //! The gateway program: runs the decision library on sockets, in one thread.
-// Tests fail by panicking, and the figures that they compare are exact.
+// Tests fail by panicking, and the values that they compare are exact.
 #![cfg_attr(
     test,
     allow(
@@ -91,7 +91,7 @@
     };
     tokio::select! {
         () = serve_until_end => Ok(()),
-        // `reload` loops for ever; the branch only has it polled.
+        // `reload` never returns; the branch is only there to poll it.
         () = reload => Ok(()),
     }
 }
--- a/src/bin/quota-gateway/reload.rs
+++ b/src/bin/quota-gateway/reload.rs
@@ -1,5 +1,5 @@
-//! Reloads the configuration on SIGHUP: the addresses of discovery and of the counter may change, anything else needs a
-//! restart.
+//! Reloads the configuration on SIGHUP. Only the addresses of discovery and of the counter can change; any other change
+//! needs a restart.
 
 use crate::config::{self, Config};
 use crate::metrics::Metrics;
@@ -7,10 +7,10 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// The addresses that a reload changes. Their users subscribe to them.
+/// The addresses that a reload can change. The tasks that use an address subscribe to it.
 pub struct ReloadableAddresses {
     pub discovery: watch::Sender<SocketAddr>,
-    /// Absent if the settings have no counter.
+    /// Address of the counter; `None` if the settings have no counter.
     pub counter: Option<watch::Sender<SocketAddr>>,
     metrics: Rc<Metrics>,
 }
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Reads the configuration again. A file with an error changes nothing.
+    /// Reads the configuration again and applies its addresses. An invalid file changes nothing.
     pub async fn reload(&self) {
         match config::load().await {
             Ok(config) => {
@@ -41,7 +41,8 @@
         }
     }
 
-    /// Publishes the addresses. Subscribers reconnect even if an address is the same, as another server may have it now.
+    /// Publishes the addresses. Subscribers reconnect even if an address is unchanged, as another server may use that
+    /// address now.
     fn update(&self, config: &Config) {
         let _ = self.discovery.send(config.discovery);
         if let (Some(sender), Some(addr)) = (&self.counter, config.counter) {
--- a/src/bin/quota-gateway/startup.rs
+++ b/src/bin/quota-gateway/startup.rs
@@ -1,4 +1,4 @@
-//! Starts the gateway: opens its sockets, builds its parts and spawns their tasks.
+//! Starts the gateway: opens its sockets, creates its components and spawns their tasks.
 
 use crate::config::{Config, GossipConfig};
 use crate::counter::{self, CounterClient, CounterQueues};
@@ -23,16 +23,17 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::time::sleep;
 
-/// Descriptors reserved for everything but clients and endpoints: log, signals, counter, discovery, gossip, listener.
+/// Number of file descriptors reserved for everything but clients and endpoints: log, signals, counter, discovery,
+/// gossip, listener.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// Clients that may wait to be accepted.
+/// Maximum number of clients that wait to be accepted.
 const LISTEN_BACKLOG: u32 = 1024;
-/// Longest time for which binding an address is retried; the process has to be ready 30 s after its start.
+/// Time for which binding an address is retried; the process must be ready 30 s after its start.
 const BIND_TIMEOUT: Duration = Duration::from_secs(20);
 /// Interval of the periodic clean-up.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The handles with which the main task controls a running gateway.
+/// The handles by which the main task controls a running gateway.
 pub struct RunningGateway {
     pub addresses: ReloadableAddresses,
     pub shutdown: Shutdown,
@@ -103,7 +104,7 @@
     })
 }
 
-/// Starts the tasks that call the counter, where the settings have one.
+/// Starts the tasks that call the counter, if the settings have a counter.
 fn spawn_counter(
     addresses: &ReloadableAddresses,
     settings: &Settings,
@@ -120,7 +121,7 @@
     }
 }
 
-/// Starts to receive gossip, where the settings have it.
+/// Starts to receive gossip, if the gateway has a gossip socket.
 fn spawn_gossip(
     socket: Option<Rc<GossipSocket>>,
     max_messages_per_second: f64,
@@ -131,7 +132,8 @@
     }
 }
 
-/// Starts to accept clients. The log line states the port, which the configuration may leave to the system.
+/// Starts to accept clients. The log line states the actual port, as the configuration may leave the choice to the
+/// system.
 fn accept_clients(listener: TcpListener, server: &Rc<Server>) -> Result<Acceptor, StartupError> {
     let addr = listener.local_addr().map_err(StartupError::LocalAddress)?;
     tracing::info!("listening on {addr}");
@@ -152,8 +154,8 @@
     } else {
         TcpSocket::new_v6()?
     };
-    // After a restart connections of the former process are still in TIME_WAIT, and without this option the system
-    // would refuse the address until they have left that state.
+    // After a restart, connections of the previous process are still in TIME_WAIT. Without this option the system would
+    // refuse the address until they have left that state.
     socket.set_reuseaddr(true)?;
     socket.bind(addr)?;
     socket.listen(LISTEN_BACKLOG)
@@ -173,7 +175,8 @@
     }
 }
 
-/// How the descriptors of the process are divided: three fifths of the free ones for clients, the rest for endpoints.
+/// The division of the process's file descriptors: three fifths of those not reserved for clients, the rest for
+/// endpoints.
 struct DescriptorBudget {
     clients: u32,
     endpoints: usize,
@@ -188,7 +191,7 @@
     }
 }
 
-/// Starts to watch the endpoint list, from the one in the configuration, if any.
+/// Starts to watch the endpoint list. Applies the list from the configuration first, if there is one.
 fn spawn_discovery(
     addresses: &ReloadableAddresses,
     known_endpoints: Option<EndpointList>,
