--- a/src/bin/quota-gateway/driver/actions.rs
+++ b/src/bin/quota-gateway/driver/actions.rs
@@ -13,8 +13,8 @@
 use tokio::time::{sleep, Instant};
 
 impl Driver {
-    /// Passes an event to the library, carries out the actions that follow, and then handles the events that these
-    /// actions cause at once.
+    /// Passes an event to the library and carries out the actions that it returns, then handles the events that these
+    /// actions return at once.
     pub(super) fn dispatch(self: &Rc<Self>, event: Event) {
         let mut events = VecDeque::from([event]);
         let mut actions = self.actions.take();
@@ -29,7 +29,7 @@
         self.actions.replace(actions);
     }
 
-    /// Carries out one action. Returns the event that reports a failure if the action failed at once.
+    /// Carries out one action. If the action fails at once, returns the event that reports the failure.
     fn perform(self: &Rc<Self>, action: Action) -> Option<Event> {
         match action {
             Action::SendAttempt {
@@ -83,7 +83,7 @@
         None
     }
 
-    /// Starts the request's next attempt. Returns the event that reports it as not sent if it was refused.
+    /// Starts the request's next attempt. If the attempt is refused, returns the event that reports it as not sent.
     fn send_attempt(
         self: &Rc<Self>,
         id: RequestId,
--- a/src/bin/quota-gateway/driver/attempts.rs
+++ b/src/bin/quota-gateway/driver/attempts.rs
@@ -221,11 +221,11 @@
 
 /// Waits until the client's connection has read what arrived. Returns what the client's socket holds afterwards.
 ///
-/// Guards against a client that sends more data and then disconnects: the endpoint would execute the attempt for
-/// nobody. `WeakSocket::peek_or_closed` detects a close that the system already knows of, even if unread bytes precede
-/// it. The loop here detects a close that arrives after those bytes: each turn lets the task of the client's connection
-/// read, and the next peek checks the socket again, until the buffer is empty. A client whose socket still holds data
-/// after the last turn is still sending, and therefore still connected.
+/// Guards against a client that sends more data and then disconnects: the endpoint would execute the attempt although
+/// no client waits for its response. `WeakSocket::peek_or_closed` detects a close that the system already knows of,
+/// even if unread bytes precede it. The loop here detects a close that arrives after those bytes: each turn lets the
+/// task of the client's connection read, and the next peek checks the socket again, until the buffer is empty. A client
+/// whose socket still holds data after the last turn is still sending, and therefore still connected.
 async fn wait_until_read(client: WeakSocket) -> PeekResult {
     for _ in 0..MAX_READ_YIELDS {
         yield_now().await;
--- a/src/bin/quota-gateway/driver/endpoints.rs
+++ b/src/bin/quota-gateway/driver/endpoints.rs
@@ -89,8 +89,8 @@
     }
 
     /// Records that discovery has reported all changes up to now.
-    pub fn synced(&mut self) {
-        self.start_times.synced();
+    pub fn mark_synced(&mut self) {
+        self.start_times.mark_synced();
     }
 
     /// Applies a list, and updates the addresses in the pool. Returns the entries in the library's terms. `now_ms` is
--- a/src/bin/quota-gateway/driver/endpoints/tests.rs
+++ b/src/bin/quota-gateway/driver/endpoints/tests.rs
@@ -152,7 +152,7 @@
         fleet.update(true, vec![entry_started(old)])[0].started_at,
         old
     );
-    fleet.endpoints.synced();
+    fleet.endpoints.mark_synced();
     assert_eq!(
         fleet.update(false, vec![entry_started(old)])[0].started_at,
         old
--- a/src/bin/quota-gateway/driver/enforcement.rs
+++ b/src/bin/quota-gateway/driver/enforcement.rs
@@ -100,9 +100,9 @@
 ///
 /// Guards against a library whose view of the request differs from the registry's: an event that is still queued may
 /// have answered the request, the deadline may have passed since the library was given the time, and a fault of the
-/// library may request one attempt too many. The attempt would be executed for nobody, or concurrently with another
-/// one. The check holds because only the registry gives final responses and counts attempts, and because nothing else
-/// runs between this check and the registration of the attempt.
+/// library may request one attempt too many. The attempt would be executed although no client waits for its response,
+/// or concurrently with another attempt. The check holds because only the registry gives final responses and counts
+/// attempts, and because nothing else runs between this check and the registration of the attempt.
 pub fn enforce_before_start(
     limits: &AttemptLimits,
     attempt: &AttemptToStart,
@@ -127,7 +127,7 @@
 /// Guards against changes that occur while the pool finds a connection, which takes up to the connect timeout: the
 /// client disconnects, an earlier attempt turns out to have been executed, the process begins to shut down, the retry
 /// window of the idempotency key closes, or the endpoint drains, is removed or moves. The request would be executed
-/// without a client that reads the response, executed twice, cut off when the process exits, or sent to an endpoint
+/// although no client waits for its response, executed twice, cut off when the process exits, or sent to an endpoint
 /// that must get no more requests. The check holds because it runs on the thread of all tasks, right before the first
 /// byte, and again whenever the write of that byte has to wait.
 pub fn enforce_before_write(attempt: &AttemptToWrite) -> Result<(), WriteRefusal> {
--- a/src/bin/quota-gateway/driver/enforcement/tests.rs
+++ b/src/bin/quota-gateway/driver/enforcement/tests.rs
@@ -51,7 +51,7 @@
 }
 
 /// The client, the endpoint and the process may change while the pool finds a connection. An attempt that is written
-/// even so would be executed without a client that reads the response, executed twice, or sent to an endpoint that
+/// even so would be executed although no client waits for its response, executed twice, or sent to an endpoint that
 /// drains. The attempt must be refused. Another endpoint may be tried only if the refusal concerns the endpoint alone.
 #[test]
 fn an_attempt_that_must_not_be_sent_is_not_written() {
--- a/src/bin/quota-gateway/driver/events.rs
+++ b/src/bin/quota-gateway/driver/events.rs
@@ -108,7 +108,7 @@
         failed_if_executed(may_have_executed, rejected)
     }
 
-    /// Gives all open requests their final response when the process ends.
+    /// Gives all open requests their final response at the end of the shutdown.
     pub fn end_open_requests(self: &Rc<Self>) {
         let ids = self.registry.borrow().unanswered();
         for id in ids {
@@ -215,6 +215,6 @@
 
     fn discovery_synced(&self) {
         self.discovery_synced.set(true);
-        self.endpoints.borrow_mut().synced();
+        self.endpoints.borrow_mut().mark_synced();
     }
 }
--- a/src/bin/quota-gateway/driver/mod.rs
+++ b/src/bin/quota-gateway/driver/mod.rs
@@ -10,10 +10,10 @@
 //! - `registry`, `registered_request`: the open requests and their attempts
 //! - `enforcement`: refuses attempts right before they are started or written
 //! - `rule_checks`: finds rules that were broken in spite of `enforcement`
-//! - `slow_start_check`: limits the attempts that endpoints in slow start may get
+//! - `slow_start_check`: checks the number of attempts to endpoints in slow start
 //! - `endpoints`, `endpoint_ids`: the states of the listed endpoints, and the library's ids of them
 //! - `start_times`: estimates when endpoints started, as clocks may be wrong
-//! - `topology`: the names of zones and kinds
+//! - `topology`: the names of zones and endpoint kinds
 //! - `clock`: the library's clock
 //! - `messages`: the messages between the server and the driver
 
@@ -56,7 +56,7 @@
 /// Time after which a gateway is ready without a response from discovery, with the endpoints of its configuration.
 const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Number of low bits of a request's id that lie below the clock's milliseconds: one process serves fewer than 2^16
+/// Number of bits of a request's id below those of the clock's milliseconds: one process serves fewer than 2^16
 /// requests per millisecond.
 const REQUEST_ID_SHIFT: u32 = 16;
 
@@ -153,8 +153,8 @@
         &self.rule_checker
     }
 
-    /// True if requests can be served: an endpoint is ready, and either the list is up to date or discovery has not
-    /// responded within `DISCOVERY_TIMEOUT`.
+    /// True if requests can be served: an endpoint is ready, and the list is up to date or `DISCOVERY_TIMEOUT` has
+    /// passed since the start.
     pub fn is_ready(&self) -> bool {
         let list_is_usable =
             self.discovery_synced.get() || self.started_at.elapsed() > DISCOVERY_TIMEOUT;
--- a/src/bin/quota-gateway/driver/registered_request.rs
+++ b/src/bin/quota-gateway/driver/registered_request.rs
@@ -101,7 +101,8 @@
 
 /// A request, registered from its arrival until it has its final response and its last attempt has ended.
 pub struct RegisteredRequest {
-    /// Channel to the server for the final response. Taken when that is given, or when the client has disconnected.
+    /// Channel to the server for the final response. Taken when the response is given, or when the client has
+    /// disconnected.
     response_sender: Option<oneshot::Sender<FinalResponse>>,
     /// Socket of the client's connection.
     pub client_socket: WeakSocket,
@@ -170,7 +171,7 @@
     }
 
     /// Gives the request its final response, unless it already has one, and cancels the attempts that are not yet
-    /// written: they would be executed for nobody.
+    /// written: no client would wait for their responses.
     pub fn respond(&mut self, response: FinalResponse) {
         if let Some(response_sender) = self.response_sender.take() {
             self.ended_at = Some(Instant::now());
--- a/src/bin/quota-gateway/driver/registry.rs
+++ b/src/bin/quota-gateway/driver/registry.rs
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Registers a request's next attempt. The error says why `enforcement` refused the attempt, which takes a number
-    /// even so.
+    /// Registers a request's next attempt. The error says why `enforcement` refused the attempt. A refused attempt
+    /// still takes a number.
     pub fn start_attempt(
         &mut self,
         id: RequestId,
--- a/src/bin/quota-gateway/driver/registry/tests.rs
+++ b/src/bin/quota-gateway/driver/registry/tests.rs
@@ -135,8 +135,9 @@
     assert_eq!(finished.actual_units, None);
 }
 
-/// A request is answered while attempts are in flight. An attempt that is not yet written would be executed for nobody
-/// and must be cancelled. An attempt that is written is left to the library, as the settings may forbid cancelling it.
+/// A request is answered while attempts are in flight. An attempt that is not yet written would be executed although no
+/// client waits for its response, and must be cancelled. An attempt that is written is left to the library, as the
+/// settings may forbid cancelling it.
 #[test]
 fn a_response_cancels_only_attempts_that_are_not_written() {
     let mut registry = new_registry(true);
--- a/src/bin/quota-gateway/driver/rule_checks.rs
+++ b/src/bin/quota-gateway/driver/rule_checks.rs
@@ -17,7 +17,8 @@
 #[cfg(test)]
 mod tests;
 
-/// An attempt written longer than this after its request has ended breaks a rule of the protocol.
+/// Time after the end of a request within which an attempt may still be written: a later one breaks a rule of the
+/// protocol.
 const CLOSED_REQUEST_GRACE: Duration = Duration::from_millis(100);
 /// Tolerance of the time limits that the settings' rules define: notices reach the program over sockets.
 const SOCKET_TOLERANCE: Duration = Duration::from_millis(50);
--- a/src/bin/quota-gateway/driver/slow_start_check.rs
+++ b/src/bin/quota-gateway/driver/slow_start_check.rs
@@ -21,7 +21,7 @@
 /// Upper bound of the window over which attempts are counted, in ms.
 const MAX_WINDOW_MS: f64 = 60_000.0;
 /// Maximum number of attempts that are counted; with more in a window, the latest count.
-const MAX_COUNTED: usize = 8192;
+const MAX_COUNTED_ATTEMPTS: usize = 8192;
 /// If fewer attempts than this are allowed, the wider tolerance applies, as random variation is relatively larger.
 const SMALL_COUNT: f64 = 30.0;
 /// Tolerance above the allowed number of attempts: this many standard deviations of a Poisson count, plus this many
@@ -33,7 +33,7 @@
 /// Counts the attempts of the last window, in total and for each endpoint in slow start.
 pub struct SlowStartCheck {
     window: Duration,
-    multiple: f64,
+    overload_multiple: f64,
     slow_start_ms: f64,
     initial_share: f64,
     /// Times of the attempts to all endpoints.
@@ -48,7 +48,7 @@
         let window_ms = rules.overload_window_ms.clamp(0.0, MAX_WINDOW_MS);
         SlowStartCheck {
             window: Duration::from_secs_f64(window_ms / 1000.0),
-            multiple: rules.overload_multiple,
+            overload_multiple: rules.overload_multiple,
             slow_start_ms: rules.slow_start_ms,
             initial_share: rules.slow_start_min_capacity,
             to_all: VecDeque::new(),
@@ -66,17 +66,17 @@
         ready_endpoints: usize,
         now: Instant,
     ) -> bool {
-        push(&mut self.to_all, now, self.window);
+        push_within_window(&mut self.to_all, now, self.window);
         let Some(age_ms) = age_ms.filter(|age_ms| *age_ms < self.slow_start_ms) else {
             self.in_slow_start.remove(&endpoint);
             return true;
         };
         let sent = self.in_slow_start.entry(endpoint).or_default();
-        push(sent, now, self.window);
+        push_within_window(sent, now, self.window);
         let mean = self.to_all.len() as f64 / ready_endpoints.max(1) as f64;
         let progress = (age_ms / self.slow_start_ms).clamp(0.0, 1.0);
         let capacity_share = self.initial_share + (1.0 - self.initial_share) * progress;
-        sent.len() as f64 <= with_tolerance(mean * capacity_share * self.multiple)
+        sent.len() as f64 <= with_tolerance(mean * capacity_share * self.overload_multiple)
     }
 }
 
@@ -90,8 +90,8 @@
     attempts + tolerance * attempts.sqrt() + tolerance
 }
 
-fn push(sent: &mut VecDeque<Instant>, now: Instant, window: Duration) {
-    while sent.front().is_some_and(|at| now - *at > window) || sent.len() >= MAX_COUNTED {
+fn push_within_window(sent: &mut VecDeque<Instant>, now: Instant, window: Duration) {
+    while sent.front().is_some_and(|at| now - *at > window) || sent.len() >= MAX_COUNTED_ATTEMPTS {
         sent.pop_front();
     }
     sent.push_back(now);
--- a/src/bin/quota-gateway/driver/start_times.rs
+++ b/src/bin/quota-gateway/driver/start_times.rs
@@ -23,7 +23,7 @@
 
 impl StartTimes {
     /// Records that discovery has reported all changes up to now.
-    pub fn synced(&mut self) {
+    pub fn mark_synced(&mut self) {
         self.synced_at = Some(Instant::now());
     }
 
--- a/src/bin/quota-gateway/driver/start_times/tests.rs
+++ b/src/bin/quota-gateway/driver/start_times/tests.rs
@@ -23,7 +23,7 @@
         NOW_MS,
         "a start is never in the future"
     );
-    times.synced();
+    times.mark_synced();
     advance(Duration::from_secs(2)).await;
     assert_eq!(times.estimate(NOW_MS - HOUR_MS, NOW_MS), NOW_MS);
     assert_eq!(
