--- a/src/bin/quota-gateway/driver/events.rs
+++ b/src/bin/quota-gateway/driver/events.rs
@@ -108,7 +108,7 @@
         failed_if_executed(may_have_executed, rejected)
     }
 
-    /// Gives all open requests their final response at the end of the shutdown.
+    /// Gives all open requests their final response, when the process begins to refuse requests.
     pub fn end_open_requests(self: &Rc<Self>) {
         let ids = self.registry.borrow().unanswered();
         for id in ids {
