--- a/src/bin/quota-gateway/driver/attempts.rs
+++ b/src/bin/quota-gateway/driver/attempts.rs
@@ -21,7 +21,7 @@
 use tokio::time::Instant;
 
 /// Maximum number of times that an attempt yields to other tasks until the connection of its client has read what
-/// arrived. The buffers of one connection, the client's and the gateway's, are empty after fewer turns.
+/// arrived. The buffers of one connection, the client's and the gateway's, are empty after fewer yields.
 const MAX_READ_YIELDS: u32 = 64;
 
 /// The end of one attempt.
@@ -86,8 +86,8 @@
             target,
             forwarded: attempt.forwarded,
             times: attempt.times,
-            client: Cell::new(PeekResult::Empty),
-            propagated_deadline: Cell::default(),
+            client_peek: Cell::new(PeekResult::Empty),
+            propagated_remaining: Cell::default(),
             written: attempt.written.clone(),
         };
         let result = tokio::select! {
@@ -118,9 +118,9 @@
     forwarded: Rc<ForwardedRequest>,
     times: AttemptTimes,
     /// Result of the last peek into the client's socket.
-    client: Cell<PeekResult>,
+    client_peek: Cell<PeekResult>,
     /// Time left until the attempt's deadline, as propagated to the endpoint in `X-Remaining-Ms`.
-    propagated_deadline: Cell<Duration>,
+    propagated_remaining: Cell<Duration>,
     /// True once the last byte of the attempt is written.
     written: Rc<Cell<bool>>,
 }
@@ -131,7 +131,7 @@
         let sender = &self.sender;
         AttemptToWrite {
             record: sender.registry.borrow().record(self.request),
-            client: self.client.get(),
+            client_peek: self.client_peek.get(),
             process_may_forward: sender.lifecycle.may_forward(),
             start_deadline: self.times.start_deadline,
             now: Instant::now(),
@@ -159,7 +159,7 @@
             endpoint_age_ms,
             ready_endpoints: endpoints.ready_count(),
             start_deadline: self.times.start_deadline,
-            propagated_deadline: self.propagated_deadline.get(),
+            propagated_remaining: self.propagated_remaining.get(),
             written_at: Instant::now(),
             refusing_since: sender.lifecycle.refusing_since(),
         });
@@ -170,9 +170,9 @@
     fn prepare(&self) -> Option<Preparation<'_>> {
         let client = self.sender.registry.borrow().client_socket(self.request)?;
         let peeked = client.peek_or_closed();
-        self.client.set(peeked);
+        self.client_peek.set(peeked);
         (peeked == PeekResult::Data).then(|| {
-            let wait = async move { self.client.set(wait_until_read(client).await) };
+            let wait = async move { self.client_peek.set(wait_until_read(client).await) };
             Box::pin(wait) as Preparation<'_>
         })
     }
@@ -193,9 +193,9 @@
     fn encode(&self) -> Vec<u8> {
         // The process may exit before the deadline of the request.
         let deadline = self.sender.lifecycle.limit_deadline(self.times.deadline);
-        self.propagated_deadline
+        self.propagated_remaining
             .set(deadline.saturating_duration_since(Instant::now()));
-        self.forwarded.encode(self.propagated_deadline.get())
+        self.forwarded.encode(self.propagated_remaining.get())
     }
 
     fn on_written(&self) {
@@ -223,9 +223,9 @@
 ///
 /// Guards against a client that sends more data and then disconnects: the endpoint would execute the attempt although
 /// no client waits for its response. `WeakSocket::peek_or_closed` detects a close that the system already knows of,
-/// even if unread bytes precede it. The loop here detects a close that arrives after those bytes: each turn lets the
+/// even if unread bytes precede it. The loop here detects a close that arrives after those bytes: each yield lets the
 /// task of the client's connection read, and the next peek checks the socket again, until the buffer is empty. A client
-/// whose socket still holds data after the last turn is still sending, and therefore still connected.
+/// whose socket still holds data after the last yield is still sending, and therefore still connected.
 async fn wait_until_read(client: WeakSocket) -> PeekResult {
     for _ in 0..MAX_READ_YIELDS {
         yield_now().await;
--- a/src/bin/quota-gateway/driver/enforcement.rs
+++ b/src/bin/quota-gateway/driver/enforcement.rs
@@ -81,7 +81,7 @@
     /// The attempt's request; `None` if the request is no longer open.
     pub record: Option<RequestRecord>,
     /// Result of the last peek into the client's socket.
-    pub client: PeekResult,
+    pub client_peek: PeekResult,
     /// True if enough time is left for a response before the process exits.
     pub process_may_forward: bool,
     /// The first byte must not be written after this time.
@@ -133,7 +133,7 @@
 pub fn enforce_before_write(attempt: &AttemptToWrite) -> Result<(), WriteRefusal> {
     let record = attempt.record.filter(|record| record.ended_at.is_none());
     let record = record.ok_or(WriteRefusal::RequestClosed)?;
-    if attempt.client == PeekResult::EndOfStream {
+    if attempt.client_peek == PeekResult::EndOfStream {
         return Err(WriteRefusal::ClientDisconnected);
     }
     if record.must_not_retry {
--- a/src/bin/quota-gateway/driver/enforcement/tests.rs
+++ b/src/bin/quota-gateway/driver/enforcement/tests.rs
@@ -63,7 +63,7 @@
             ended_at: None,
             must_not_retry: false,
         }),
-        client: PeekResult::Data,
+        client_peek: PeekResult::Data,
         process_may_forward: true,
         start_deadline: now + Duration::from_nanos(1),
         now,
@@ -91,7 +91,7 @@
         ..record
     });
     assert_refused(&attempt, WriteRefusal::MayHaveExecuted, Outcome::NotSent);
-    attempt.client = PeekResult::EndOfStream;
+    attempt.client_peek = PeekResult::EndOfStream;
     let disconnected = WriteRefusal::ClientDisconnected;
     assert_refused(&attempt, disconnected, Outcome::NotSent);
     attempt.record = attempt.record.map(|record| RequestRecord {
--- a/src/bin/quota-gateway/driver/rule_checks.rs
+++ b/src/bin/quota-gateway/driver/rule_checks.rs
@@ -38,7 +38,7 @@
     /// The first byte must not be written after this time.
     pub start_deadline: Instant,
     /// Time that was left until the attempt's deadline, as propagated to the endpoint in `X-Remaining-Ms`.
-    pub propagated_deadline: Duration,
+    pub propagated_remaining: Duration,
     /// Time at which the last byte was written.
     pub written_at: Instant,
     /// Time at which the process began to refuse requests; `None` if it does not refuse them.
@@ -104,7 +104,7 @@
             ),
             (
                 Rule::RemainingTime,
-                attempt.propagated_deadline > time_left + STALL_TOLERANCE,
+                attempt.propagated_remaining > time_left + STALL_TOLERANCE,
             ),
             (
                 Rule::SendWhileRefusing,
--- a/src/bin/quota-gateway/driver/rule_checks/tests.rs
+++ b/src/bin/quota-gateway/driver/rule_checks/tests.rs
@@ -16,7 +16,7 @@
     record: RequestRecord,
     not_ready_since: Option<Instant>,
     start_deadline: Instant,
-    propagated_deadline: Duration,
+    propagated_remaining: Duration,
     now: Instant,
     refusing_since: Option<Instant>,
 }
@@ -34,7 +34,7 @@
             record,
             not_ready_since: None,
             start_deadline: now,
-            propagated_deadline: SECOND,
+            propagated_remaining: SECOND,
             now,
             refusing_since: None,
         }
@@ -55,7 +55,7 @@
             ready_endpoints: 1,
             not_ready_since: self.not_ready_since,
             start_deadline: self.start_deadline,
-            propagated_deadline: self.propagated_deadline,
+            propagated_remaining: self.propagated_remaining,
             written_at: self.now,
             refusing_since: self.refusing_since,
         };
@@ -76,12 +76,12 @@
     case.record.ended_at = Some(case.now - ms(100));
     case.not_ready_since = Some(case.now - ms(2050));
     case.start_deadline = case.now - ms(150);
-    case.propagated_deadline = SECOND + ms(150);
+    case.propagated_remaining = SECOND + ms(150);
     assert_eq!(case.broken_rules(), []);
     case.record.ended_at = Some(case.now - ms(101));
     assert_eq!(case.broken_rules(), [Rule::SendForClosedRequest]);
     case.not_ready_since = Some(case.now - ms(2051));
-    case.propagated_deadline = SECOND + ms(151);
+    case.propagated_remaining = SECOND + ms(151);
     case.start_deadline = case.now - ms(151);
     let all = [
         Rule::SendForClosedRequest,
--- a/src/bin/quota-gateway/lifecycle/tests.rs
+++ b/src/bin/quota-gateway/lifecycle/tests.rs
@@ -28,8 +28,11 @@
     advance(Duration::from_millis(300)).await;
     begin(&lifecycle);
     assert_eq!(*phase.borrow(), Phase::Refusing);
-    let distant = Instant::now() + Duration::from_secs(60);
-    assert_eq!(lifecycle.limit_deadline(distant), timeline.request_deadline);
+    let far_deadline = Instant::now() + Duration::from_secs(60);
+    assert_eq!(
+        lifecycle.limit_deadline(far_deadline),
+        timeline.request_deadline
+    );
 }
 
 /// After a stall, some tasks run before the task that advances the phase. A request that they forward would be cut off
@@ -65,10 +68,13 @@
 #[tokio::test(start_paused = true)]
 async fn deadlines_are_limited_during_the_shutdown_only() {
     let lifecycle = Lifecycle::new();
-    let distant = Instant::now() + Duration::from_secs(60);
-    assert_eq!(lifecycle.limit_deadline(distant), distant);
+    let far_deadline = Instant::now() + Duration::from_secs(60);
+    assert_eq!(lifecycle.limit_deadline(far_deadline), far_deadline);
     let timeline = begin(&lifecycle);
-    assert_eq!(lifecycle.limit_deadline(distant), timeline.request_deadline);
-    let close = Instant::now() + Duration::from_millis(20);
-    assert_eq!(lifecycle.limit_deadline(close), close);
+    assert_eq!(
+        lifecycle.limit_deadline(far_deadline),
+        timeline.request_deadline
+    );
+    let near_deadline = Instant::now() + Duration::from_millis(20);
+    assert_eq!(lifecycle.limit_deadline(near_deadline), near_deadline);
 }
