--- a/src/bin/quota-gateway/lifecycle/timeline/tests.rs
+++ b/src/bin/quota-gateway/lifecycle/timeline/tests.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// A process that is still running at SIGKILL drops its open responses. A stall of the machine delays the end of the
+/// A process that is still running at SIGKILL drops its pending responses. A stall of the machine delays the end of the
 /// process, which must be over before SIGKILL even after one stall.
 #[test]
 fn the_process_ends_before_sigkill_even_after_one_stall() {
