--- a/soak/src/clients/shutdown.rs
+++ b/soak/src/clients/shutdown.rs
@@ -28,7 +28,9 @@
 /// How a client sends its last requests.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum SendPattern {
+    /// One request without a pause.
     Complete,
+    /// One request in two pieces, with a pause.
     InTwoPieces,
     /// Two requests without a pause.
     Pipelined,
--- a/soak/src/clients/steady.rs
+++ b/soak/src/clients/steady.rs
@@ -37,7 +37,7 @@
 /// How a request is sent.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum SendPattern {
-    /// The request at once, and nothing else until the response.
+    /// The complete request without a pause.
     Plain,
     /// In two pieces, with a pause.
     InTwoPieces,
--- a/soak/src/endpoint.rs
+++ b/soak/src/endpoint.rs
@@ -164,7 +164,7 @@
     }
 }
 
-/// Sets the behaviour of endpoints for `duration`.
+/// Sets the behaviour of endpoints for `duration`. Afterwards the endpoints serve requests normally.
 pub async fn misbehave(
     context: &EndpointContext,
     endpoints: &[usize],
--- a/soak/src/faults/gateway_faults.rs
+++ b/soak/src/faults/gateway_faults.rs
@@ -38,7 +38,7 @@
                     shut_down(&context.clients, gateway, &mut rng).await
                 };
                 let processes = &context.processes;
-                processes.restart(index, addresses, call_faults).await
+                processes.start_again(index, addresses, call_faults).await
             });
         }
         while let Some(ended) = restarts.join_next().await {
--- a/soak/src/faults/processes.rs
+++ b/soak/src/faults/processes.rs
@@ -22,7 +22,7 @@
 }
 
 impl Processes {
-    /// The numbers of the running gateways in ascending order. The order of the map is not deterministic.
+    /// The numbers of the running gateways. They are sorted because the order of the map isn't deterministic.
     pub fn running_gateways(&self) -> Vec<usize> {
         let mut running: Vec<_> = self.gateways.borrow().keys().copied().collect();
         running.sort_unstable();
@@ -31,7 +31,7 @@
 
     /// Starts a gateway again. If discovery moves while the gateway starts, the gateway is reloaded with the new
     /// address.
-    pub async fn restart(
+    pub async fn start_again(
         &self,
         index: usize,
         mut addresses: Addresses,
--- a/soak/src/faults/schedule.rs
+++ b/soak/src/faults/schedule.rs
@@ -11,7 +11,7 @@
 
 /// Pause between the starts of two faults.
 const PAUSE_MS: std::ops::Range<u64> = 150..900;
-/// Duration of a fault that has no other end.
+/// Duration of a fault whose kind doesn't determine the duration.
 const DURATION_MS: std::ops::Range<u64> = 300..3000;
 
 /// A kind of fault. The name of the variant is part of the report.
--- a/soak/src/gateway/config.rs
+++ b/soak/src/gateway/config.rs
@@ -34,7 +34,8 @@
     pub scenario: Scenario,
 }
 
-/// Returns the configuration of the gateway `index`. `known` is the endpoint list that the gateway starts with.
+/// Returns the configuration of the gateway `index`. `known` is the endpoint list that the gateway starts with, or null
+/// for a reload.
 pub fn gateway_config(
     index: usize,
     common_config: CommonConfig,
--- a/soak/src/notices.rs
+++ b/soak/src/notices.rs
@@ -6,12 +6,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// After SIGHUP, all changes that discovery has published count as notified after this time at the latest.
+/// A gateway counts as notified of changes that are published around a SIGHUP this long after the signal at the latest.
 const RELOAD_GRACE: Duration = Duration::from_secs(4);
-/// After a time in which the agent was silent, the missed changes count as notified after this time. The agent sends
-/// them when it is available again, but the gateway may have to time out a call first.
+/// Changes that were missed while the agent was silent count as notified this long after the silence. The agent sends
+/// the missed changes when it is available again, but the gateway may have to wait for the timeout of a call first.
 const SILENCE_GRACE: Duration = Duration::from_secs(1);
-/// After failed or rejected calls, and if lists are polled, a change counts as notified after this time.
+/// Changes count as notified after this time if calls failed or were rejected, or if lists are polled.
 const FAILURE_GRACE: Duration = Duration::from_secs(6);
 /// A change that was published less than this time before an outage may not have arrived.
 const TRANSFER_TIME: Duration = Duration::from_millis(100);
--- a/soak/src/rules/checker.rs
+++ b/soak/src/rules/checker.rs
@@ -31,7 +31,7 @@
     executed_at: Vec<Instant>,
 }
 
-/// The attempt that an endpoint has received completely.
+/// An attempt that an endpoint has received completely.
 #[derive(Clone, Copy, Debug)]
 pub struct ObservedAttempt {
     /// The id of the request (`X-Txn`).
@@ -42,12 +42,12 @@
     pub began_at: Instant,
     /// The remaining time until the deadline, as the gateway propagated it (`X-Remaining-Ms`).
     pub propagated_deadline: Duration,
-    /// The time at which the gateway was notified that the endpoint takes no new requests. `None` if it was not
+    /// The time at which the gateway was notified that the endpoint takes no new requests. `None` if the gateway wasn't
     /// notified.
     pub drain_notified_at: Option<Instant>,
     /// The time at which the endpoint started. `None` if it started before the run or is no longer listed as ready.
     pub started_at: Option<Instant>,
-    /// The delay that the stand-ins may currently add to what they observe. It isn't held against the gateway.
+    /// The delay that the stand-ins may currently add to their observations. The time rules allow for this delay.
     pub allowance: Duration,
 }
 
@@ -199,7 +199,7 @@
     }
 }
 
-/// Checks the rules that limit the time at which an attempt may begin and the deadline that it propagates.
+/// Checks the rules on the time at which an attempt may begin and on the propagated deadline.
 fn check_times(
     log: &ObservationLog,
     limits: RuleLimits,
--- a/soak/src/rules/limits.rs
+++ b/soak/src/rules/limits.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// The parameters of the rules, as the gateways are configured with them.
+/// The parameters of the rules. The configuration of the gateways has the same values, but not the capacity.
 #[derive(Clone, Copy, Debug)]
 pub struct RuleLimits {
     /// Time after the notice of draining in which an endpoint may still get attempts.
@@ -17,7 +17,7 @@
     pub initial_share: f64,
     /// Time from the start of an endpoint until it is warm.
     pub warm_up: Duration,
-    /// Multiple of its current capacity that overloads an endpoint.
+    /// Multiple of the current capacity of an endpoint above which the endpoint is overloaded.
     pub overload_multiple: f64,
 }
 
--- a/soak/src/rules/mod.rs
+++ b/soak/src/rules/mod.rs
@@ -1,6 +1,6 @@
 //! The rules of the protocol, and the observations that they are checked against.
 //!
-//! - `limits`: the parameters of the rules, as the gateways are configured with them
+//! - `limits`: the parameters of the rules
 //! - `observation_log`: the broken rules and the counters of a run
 //! - `checker`: the observed events of each request, checked as they are recorded
 //! - `slow_start`: the limit on attempts at an endpoint that is warming up
--- a/soak/src/rules/slow_start.rs
+++ b/soak/src/rules/slow_start.rs
@@ -2,7 +2,7 @@
 //!
 //! The gateway has a check of its own (`driver/slow_start_check.rs`), which observes the attempts of one gateway and
 //! estimates the capacity. The check in this module observes the attempts of all gateways and knows the capacity.
-//! The two share no code on purpose: each finds faults of the other.
+//! The two checks share no code on purpose, so that each can reveal a fault of the other.
 
 use super::limits::RuleLimits;
 use std::collections::{HashMap, VecDeque};
@@ -11,9 +11,9 @@
 /// If fewer attempts than this are allowed in a window, the wider tolerance applies, as small counts vary more by
 /// chance.
 const SMALL_LIMIT: f64 = 30.0;
-/// Tolerance above the limit, in standard deviations of a Poisson count. The same number of attempts is added to it.
+/// Tolerance above the limit: this many standard deviations of a Poisson count, plus this many attempts.
 const TOLERANCE: f64 = 2.0;
-/// The tolerance if the limit is less than `SMALL_LIMIT`, in the unit of `TOLERANCE`.
+/// The tolerance in place of `TOLERANCE` if the limit is less than `SMALL_LIMIT`.
 const SMALL_LIMIT_TOLERANCE: f64 = 3.0;
 
 /// More attempts in a window than an endpoint that is warming up can serve.
