--- a/soak/src/arguments.rs
+++ b/soak/src/arguments.rs
@@ -20,7 +20,7 @@
     /// Path of the gateway program.
     #[arg(long, default_value = "target/release/quota-gateway")]
     pub(crate) program: PathBuf,
-    /// Path of the compiled tests/shim/syscall_faults.c, which makes system calls of half of the gateways fail.
+    /// Path of the library, compiled from tests/shim, that makes system calls of half of the gateways fail.
     #[arg(long)]
     pub(crate) faults_library: Option<PathBuf>,
     /// Seed of all random draws. The timing of the processes still differs from run to run.
--- a/soak/src/clients/steady.rs
+++ b/soak/src/clients/steady.rs
@@ -91,7 +91,7 @@
                 SendPattern::Pipelined => self.make_pipelined_requests(&request).await,
                 pattern => {
                     self.make_request(&request, pattern == SendPattern::InTwoPieces)
-                        .await
+                        .await;
                 }
             }
         }
