--- a/emulator/src/real/arguments.rs
+++ b/emulator/src/real/arguments.rs
@@ -1,42 +1,42 @@
-//! The arguments of a run, and their bounds.
+//! Arguments of a run of the gateway's program, and their limits.
 
 use super::error::RealRunError;
 use clap::Args;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Bounds of a run, so that it ends by itself and leaves the machine usable.
+// Limits of a run, so that the run ends by itself and leaves the machine usable.
 const MAX_GATEWAYS: u32 = 50;
 const MAX_SECONDS: u32 = 120;
 const MAX_REQUESTS_PER_S: u32 = 2000;
 const MAX_ENDPOINTS: u32 = 20_000;
 const MAX_SERVICE_MS: u32 = 10_000;
 
-/// A run of the gateway's program.
+/// A run of the gateway's program against stand-ins.
 #[derive(Args, Clone, Debug)]
 pub struct RealRun {
-    /// The gateway's program.
+    /// Path of the gateway's program.
     #[arg(long, default_value = "target/release/quota-gateway")]
     pub(super) program: PathBuf,
-    /// Gateways side by side.
+    /// Number of gateways.
     #[arg(long, default_value_t = 1)]
     pub(super) gateways: u32,
-    /// Entries of the endpoint list.
+    /// Number of entries of the endpoint list.
     #[arg(long, alias = "backends", default_value_t = 1000)]
     pub(super) endpoints: u32,
-    /// Requests a second at each gateway.
+    /// Requests per second to each gateway.
     #[arg(long, default_value_t = 100)]
     pub(super) requests_per_s: u32,
-    /// Seconds without load, and again under load.
+    /// Length of the idle phase and of the load phase, in seconds each.
     #[arg(long, default_value_t = 5)]
     pub(super) seconds: u32,
-    /// Service time of an endpoint, in ms.
+    /// Service time of a request at an endpoint, in ms.
     #[arg(long, alias = "work-ms", default_value_t = 20)]
     pub(super) service_ms: u32,
 }
 
 impl RealRun {
-    /// Checks that the arguments are within their bounds and the program is there.
+    /// Checks that the arguments are within their limits and that the program exists.
     pub(super) fn check(&self) -> Result<(), RealRunError> {
         within("--gateways", self.gateways, MAX_GATEWAYS)?;
         within("--endpoints", self.endpoints, MAX_ENDPOINTS)?;
@@ -51,12 +51,12 @@
         Ok(())
     }
 
-    /// The time without load, and again under load.
+    /// Length of the idle phase, and of the load phase.
     pub(super) fn duration(&self) -> Duration {
         Duration::from_secs(self.seconds.into())
     }
 
-    /// How long an endpoint takes for a request.
+    /// Service time of a request at an endpoint.
     pub(super) fn service_time(&self) -> Duration {
         Duration::from_millis(self.service_ms.into())
     }
--- a/emulator/src/real/clients.rs
+++ b/emulator/src/real/clients.rs
@@ -1,4 +1,4 @@
-//! The load of a run: clients that make requests at even times.
+//! Clients of a run, which make requests at a constant rate.
 
 use ::stand_ins::connection::Connection;
 use std::io;
@@ -8,20 +8,21 @@
 use tokio::task::JoinSet;
 use tokio::time::{interval, sleep, Instant};
 
-/// Clients of each gateway; each has one request in flight at a time.
+/// Number of clients of each gateway. A client has at most one request in flight.
 const CLIENTS_PER_GATEWAY: u32 = 8;
-/// Customers that one client's requests belong to, and the distance between those of two clients.
+/// Number of customers whose requests one client makes.
 const CUSTOMERS_PER_CLIENT: u64 = 61;
+/// Distance between the first customer ids of consecutive clients.
 const CUSTOMER_STRIDE: u64 = 1009;
 const STATUS_OK: u16 = 200;
 
-/// What clients got.
+/// Responses that the clients received.
 #[derive(Default)]
 pub(super) struct ResponseStats {
     pub(super) served: u64,
-    /// Rejected, failed or not answered.
+    /// Requests that were rejected, failed or not answered.
     pub(super) not_served: u64,
-    /// Times of the served ones.
+    /// Response times of the served requests.
     pub(super) latencies_ms: Vec<f64>,
 }
 
@@ -33,7 +34,7 @@
     }
 }
 
-/// Makes requests at all gateways for some time, at each `requests_per_s`.
+/// Makes `requests_per_s` requests per second to each gateway for the given duration.
 pub(super) async fn run_clients(
     gateways: &[SocketAddr],
     requests_per_s: u32,
@@ -73,7 +74,7 @@
 }
 
 impl Client {
-    /// Makes requests at even times; those that fell due while one took follow at once.
+    /// Makes requests at a constant interval. Requests that became due during a slow one follow immediately.
     async fn run(self) -> ResponseStats {
         sleep(self.start_delay).await;
         let count = (self.duration.as_secs_f64() / self.interval.as_secs_f64()).floor() as u64;
@@ -105,13 +106,13 @@
         );
         match connection.request(&request).await {
             Ok(status) => Ok(status),
-            // The gateway may have closed the connection meanwhile: once more on a new one.
+            // The gateway may have closed the idle connection; the request is repeated once on a new one.
             Err(_) => connection.request(&request).await,
         }
     }
 }
 
-/// A client's connection to a gateway, opened when it is needed.
+/// A client's connection to a gateway, opened by the first request.
 pub(super) struct ClientConnection {
     gateway: SocketAddr,
     connection: Option<Connection>,
@@ -125,17 +126,16 @@
         }
     }
 
-    /// Makes a request and returns the response's status. After an error the next request opens a new connection.
+    /// Makes a request and returns the status of the response. After an error the next request opens a new connection.
     pub(super) async fn request(&mut self, request: &str) -> io::Result<u16> {
         let mut connection = match self.connection.take() {
             Some(connection) => connection,
             None => Connection::new(TcpStream::connect(self.gateway).await?),
         };
         connection.send(request.as_bytes()).await?;
-        let response = connection
-            .receive()
-            .await?
-            .ok_or_else(|| io::Error::other("closed"))?;
+        let response = connection.receive().await?.ok_or_else(|| {
+            io::Error::other("the gateway closed the connection without a response")
+        })?;
         if !response.closes() {
             self.connection = Some(connection);
         }
--- a/emulator/src/real/error.rs
+++ b/emulator/src/real/error.rs
@@ -1,37 +1,37 @@
-//! Why a run could not be made.
+//! Errors of a run of the gateway's program.
 
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why a run could not be made; printed as one line.
+/// Error of a run of the gateway's program, printed as one line.
 #[derive(Debug, Error)]
 pub enum RealRunError {
-    /// An argument is outside its range.
-    #[error("{argument}: {value} is not within 1 to {max}")]
+    /// An argument is out of range.
+    #[error("{argument}: {value} is out of range; expected 1 to {max}")]
     OutOfRange {
-        /// The argument's name.
+        /// Name of the argument.
         argument: &'static str,
-        /// Its value.
+        /// Value of the argument.
         value: u32,
-        /// Largest value allowed.
+        /// Largest permitted value.
         max: u32,
     },
-    /// The gateway's program is not there.
-    #[error("--program: {} is not there", program.display())]
+    /// The gateway's program does not exist.
+    #[error("--program: {} does not exist or is not a file", program.display())]
     NoProgram {
-        /// The path that was looked at.
+        /// Path of the program.
         program: PathBuf,
     },
-    /// A gateway ended before it listened.
-    #[error("the gateway ended at its start")]
+    /// A gateway's process ended before it listened.
+    #[error("a gateway ended before it listened")]
     GatewayEnded,
     /// A gateway did not listen in time.
-    #[error("never listens")]
+    #[error("a gateway did not listen in time")]
     GatewayNeverListens,
     /// A gateway was not ready in time.
-    #[error("a gateway is never ready")]
+    #[error("a gateway did not become ready in time")]
     GatewayNeverReady,
-    /// The system refused something.
+    /// The system refused a socket, a file or a process.
     #[error(transparent)]
     Io(#[from] std::io::Error),
 }
--- a/emulator/src/real/figures.rs
+++ b/emulator/src/real/figures.rs
@@ -1,4 +1,4 @@
-//! What a run has shown.
+//! Measurements of a run and their summary.
 
 use super::arguments::RealRun;
 use super::clients::ResponseStats;
@@ -7,7 +7,7 @@
 use crate::report::Distribution;
 use std::fmt::{Display, Formatter};
 
-/// The state of processes and stand-ins at one moment.
+/// Resource usage of the processes and traffic of the stand-ins at one time.
 pub(super) struct Snapshot {
     usage: Vec<Usage>,
     traffic: TrafficCounts,
@@ -31,7 +31,7 @@
     }
 }
 
-/// The figures of a run. Rates and shares are means over the gateways.
+/// Report of a run. Rates and shares are means over the gateways.
 pub struct RealRunReport {
     gateways: u32,
     endpoints: u32,
@@ -55,7 +55,7 @@
 }
 
 impl RealRunReport {
-    /// From the snapshots at the start, after the time without load, and after the time under load.
+    /// Creates the report from the snapshots at the start, after the idle phase, and after the load phase.
     pub(super) fn new(
         run: &RealRun,
         ready_s: f64,
@@ -99,32 +99,32 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> std::fmt::Result {
         writeln!(
             f,
-            "{} gateways, {} endpoints, {} requests a second each: all ready after {:.2} s",
+            "{} gateways, {} endpoints, {} requests per second each: all ready after {:.2} s",
             self.gateways, self.endpoints, self.requests_per_s, self.ready_s
         )?;
         writeln!(
             f,
-            "calls of discovery: {}, {:.0} KB in all; without load {:.1} bytes a second for a gateway",
+            "discovery: {} calls in total, {:.0} KB at the start; idle {:.1} bytes per second and gateway",
             self.list_calls, self.list_kb, self.idle_list_bytes_per_s
         )?;
         writeln!(
             f,
-            "processor without load: {:.4}% of a core for a gateway; under load {:.2}%, {:.0} us a request",
+            "CPU per gateway: idle {:.4}% of a core; under load {:.2}%, {:.0} us per request",
             self.idle_core_percent, self.load_core_percent, self.processor_us_per_request
         )?;
         writeln!(
             f,
-            "memory at most: {:.1} MB; descriptors {:.0}",
+            "per gateway at most: memory {:.1} MB; {:.0} descriptors",
             self.peak_memory_mb, self.descriptors
         )?;
         writeln!(
             f,
-            "requests: {} served, {} other; p50 {:.1} ms, p99 {:.1} ms, of which the endpoint takes {} ms",
+            "requests: {} served, {} not served; p50 {:.1} ms, p99 {:.1} ms, including {} ms of service time",
             self.served, self.not_served, self.latency_ms.p50, self.latency_ms.p99, self.service_ms
         )?;
         writeln!(
             f,
-            "counter: {:.3} calls a request, {:.0} bytes a call both ways, {:.0} bytes a second for a gateway",
+            "counter: {:.3} calls per request, {:.0} bytes per call both ways, {:.0} bytes per second and gateway",
             self.counter_calls_per_request, self.bytes_per_counter_call, self.counter_bytes_per_s
         )
     }
--- a/emulator/src/real/gateway_config.rs
+++ b/emulator/src/real/gateway_config.rs
@@ -1,14 +1,15 @@
-//! The configuration that gateways of a run are started with.
+//! Configuration of the gateways of a run.
 
 use super::stand_ins::StandIns;
 use serde_json::{json, Value};
 
-/// The version of the list that gateways know at their start: the agent has a newer one.
+/// Version of the list in the gateways' configuration. The agent has a newer one.
 const KNOWN_VERSION: u32 = 7;
-/// Seed of the first gateway's random numbers.
+/// Random seed of the first gateway; those of the other gateways follow it.
 const FIRST_SEED: u64 = 0x8c1f_30d2;
 
-/// The configuration of one gateway. It knows a single endpoint: the rest of the list it gets from its agent.
+/// Configuration of one gateway. The list in it has a single endpoint; the gateway gets the complete list from its
+/// agent.
 pub(super) fn gateway_config(index: u32, gateways: u32, stand_ins: &StandIns) -> Value {
     json!({
         "name": format!("n{index}"),
--- a/emulator/src/real/gateway_process.rs
+++ b/emulator/src/real/gateway_process.rs
@@ -1,4 +1,4 @@
-//! One gateway's process: its start, its end, and what the system reports of it.
+//! Process of one gateway: start, readiness, end, and the resource usage that the system reports.
 
 use super::clients::ClientConnection;
 use super::error::RealRunError;
@@ -13,27 +13,28 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, Instant};
 
-/// A gateway is ready within this time or not at all.
+/// Time within which a gateway must listen, and then become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 const READY_REQUEST: &str = "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n";
 const STATUS_OK: u16 = 200;
-/// What the gateway logs before the address that it listens on.
+/// Text that precedes the listening address in the gateway's log.
 const LISTENING_PREFIX: &str = "listening on ";
-/// Ticks of processor time a second, as the system counts them for processes.
+/// Clock ticks per second of the processor times in `/proc/PID/stat`.
 const TICKS_PER_S: f64 = 100.0;
-/// Places of the processor times behind the name in `/proc/PID/stat`.
+/// Index of the user time among the fields after the name in `/proc/PID/stat`.
 const USER_TICKS_FIELD: usize = 11;
+/// Index of the system time among the fields after the name in `/proc/PID/stat`.
 const SYSTEM_TICKS_FIELD: usize = 12;
 
-/// A running gateway. Its process and its configuration file go with this value.
+/// A running gateway. Dropping the value kills the process and removes its configuration file.
 pub(super) struct GatewayProcess {
     child: Child,
     address: SocketAddr,
     _config: ConfigFile,
 }
 
-/// What the system reports of a process.
+/// Resource usage of a process, as the system reports it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Usage {
     pub(super) processor_s: f64,
@@ -42,7 +43,7 @@
 }
 
 impl GatewayProcess {
-    /// Starts a gateway and waits until it listens.
+    /// Starts a gateway and waits until the gateway listens.
     pub(super) async fn start(
         program: &Path,
         index: u32,
@@ -59,12 +60,12 @@
         let log = child
             .stderr
             .take()
-            .ok_or_else(|| std::io::Error::other("no log"))?;
+            .ok_or_else(|| std::io::Error::other("the gateway's standard error is not captured"))?;
         let mut lines = BufReader::new(log).lines();
         let address = timeout(READY_TIMEOUT, listening_address(&mut lines))
             .await
             .map_err(|_| RealRunError::GatewayNeverListens)??;
-        // What the gateway logs later is read and dropped, so that it never waits for us.
+        // The rest of the log is read and dropped, so that the gateway never blocks on a full pipe.
         spawn_local(async move { while let Ok(Some(_)) = lines.next_line().await {} });
         Ok(GatewayProcess {
             child,
@@ -104,10 +105,10 @@
     }
 }
 
-/// Processor time that a process has used, in seconds; 0 where the system does not report it.
+/// Processor time that a process has used, in seconds; 0 if the system does not report it.
 fn processor_s(pid: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
-    // The name may hold anything; the figures follow its closing bracket.
+    // The process name can contain spaces and parentheses; the fields follow its closing parenthesis.
     let fields: Vec<_> = stat
         .rsplit(')')
         .next()
@@ -123,7 +124,7 @@
     (ticks(USER_TICKS_FIELD) + ticks(SYSTEM_TICKS_FIELD)) / TICKS_PER_S
 }
 
-/// Reads a gateway's log up to the address that it listens on.
+/// Reads a gateway's log up to the line with the address that the gateway listens on.
 async fn listening_address(
     lines: &mut Lines<impl AsyncBufRead + Unpin>,
 ) -> Result<SocketAddr, RealRunError> {
@@ -138,7 +139,7 @@
     Err(RealRunError::GatewayEnded)
 }
 
-/// A configuration file, which is removed with this value.
+/// A configuration file, which is removed when the value is dropped.
 struct ConfigFile {
     path: PathBuf,
 }
@@ -154,7 +155,7 @@
 
 impl Drop for ConfigFile {
     fn drop(&mut self) {
-        // A file left behind in the temporary folder does no harm.
+        // A file that remains in the temporary directory does no harm.
         let _ = std::fs::remove_file(&self.path);
     }
 }
--- a/emulator/src/real/mod.rs
+++ b/emulator/src/real/mod.rs
@@ -1,5 +1,5 @@
-//! Runs of the gateway's program: stand-ins on loopback for all that it talks to, a load of clients, and what the
-//! system reports of its processes.
+//! Runs of the gateway's program on loopback, with stand-ins for the services around it and emulated clients. Measures
+//! the CPU time, memory and traffic of its processes.
 
 mod arguments;
 mod clients;
--- a/emulator/src/real/run.rs
+++ b/emulator/src/real/run.rs
@@ -1,4 +1,4 @@
-//! One run: start, a time without load, a time under load.
+//! Sequence of a run: start, idle phase, load phase.
 
 use super::arguments::RealRun;
 use super::clients::{run_clients, ResponseStats};
@@ -11,16 +11,16 @@
 use tokio::task::LocalSet;
 use tokio::time::{sleep, Instant};
 
-/// After the gateways are ready, their start may still use processor time for this long.
+/// Time after the gateways are ready in which work of their startup can still use processor time.
 const STARTUP_SETTLE_TIME: Duration = Duration::from_secs(1);
 
 impl RealRun {
-    /// Makes the run.
+    /// Runs the gateways and returns the report.
     ///
     /// # Errors
     ///
-    /// Fails if an argument is out of range, the program is not there or does not become ready, or the system refuses
-    /// a socket, a file or a process.
+    /// Fails if an argument is out of range, if the program does not exist or does not become ready, or if the system
+    /// refuses a socket, a file or a process.
     pub fn run(&self) -> Result<RealRunReport, RealRunError> {
         self.check()?;
         let runtime = tokio::runtime::Builder::new_current_thread()
--- a/emulator/src/real/stand_ins.rs
+++ b/emulator/src/real/stand_ins.rs
@@ -1,5 +1,5 @@
-//! Everything that the gateways of a run talk to: endpoints, the shared counter, and the agent that pushes the endpoint
-//! list.
+//! Stand-ins for the services around the gateways of a run: endpoints, the shared counter, and the agent that pushes
+//! the endpoint list.
 
 use ::stand_ins::connection::Connection;
 use ::stand_ins::counter::Counter;
@@ -15,28 +15,28 @@
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
-/// The version of the list that the agent pushes; gateways are started with an older one.
+/// Version of the list that the agent pushes. Gateways are started with an older one.
 const LIST_VERSION: u64 = 8;
 const ZONES: u32 = 2;
 const CELLS: u32 = 64;
-/// Spreads the ids of endpoints over all their digits.
+/// Odd multiplier that spreads the ids of endpoints over all 32 bits.
 const ID_MULTIPLIER: u32 = 0x9E37_79B9;
 
-/// The traffic of counter and discovery at one moment.
+/// Traffic of the counter and discovery up to one time.
 #[derive(Clone, Copy)]
 pub(super) struct TrafficCounts {
-    /// Calls of the counter, and bytes both ways.
+    /// Number of calls of the counter, and bytes in both directions.
     pub(super) counter: Traffic,
-    /// Calls of discovery, and bytes that it sent.
+    /// Number of calls of discovery, and bytes that discovery sent.
     pub(super) list: Traffic,
 }
 
-/// The stand-ins; their tasks end with the run.
+/// The running stand-ins. Their tasks end with the run.
 pub(super) struct StandIns {
     counter: Rc<Counter>,
     pub(super) counter_address: SocketAddr,
     pub(super) discovery: Discovery,
-    /// The first entry of the endpoint list.
+    /// First entry of the endpoint list; `None` if the list is empty.
     pub(super) first_entry: Option<ListEntry>,
 }
 
@@ -70,7 +70,7 @@
     }
 }
 
-/// An entry of the endpoint list; all endpoints share the address of the one stand-in.
+/// Creates an entry of the endpoint list. All entries have the address of the one endpoint stand-in.
 fn list_entry(index: u32, address: SocketAddr) -> ListEntry {
     ListEntry {
         id: format!("s-{:08x}", index.wrapping_mul(ID_MULTIPLIER)),
--- a/emulator/src/scaling/line.rs
+++ b/emulator/src/scaling/line.rs
@@ -1,38 +1,38 @@
-//! A straight line through measured points.
+//! Linear regression over measured points, by the method of least squares.
 
 use serde::Serialize;
 use std::fmt::{Display, Formatter};
 
-/// A quantity measured at one size.
+/// Value of a quantity measured at one size.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Point {
-    /// The size.
+    /// Size at which the quantity was measured.
     pub size: f64,
-    /// The quantity.
+    /// Measured value, in the unit of the line.
     pub value: f64,
 }
 
-/// One quantity at several sizes, and the line through them.
+/// A quantity measured at several sizes, and the straight line fitted to the points.
 #[derive(Clone, Debug, Serialize)]
 pub struct ScalingLine {
-    /// What was measured.
+    /// Name of the measured quantity.
     pub quantity: &'static str,
-    /// Its unit.
+    /// Unit of the values.
     pub unit: &'static str,
-    /// What the sizes count.
+    /// Name of the things that the sizes count.
     pub per: &'static str,
-    /// The measured points.
+    /// Points that the line is fitted to.
     pub points: Vec<Point>,
-    /// Units for one more.
+    /// Increase of the fitted value when the size grows by 1.
     pub slope: f64,
-    /// Units at size 0.
+    /// Fitted value at size 0.
     pub intercept: f64,
-    /// How far the line misses the points at most, as a share of the largest value.
+    /// Largest distance between the line and a point, as a share of the largest absolute value.
     pub max_error: f64,
 }
 
 impl ScalingLine {
-    /// The line with the least squares.
+    /// Fits a line to the points by least squares.
     #[must_use]
     pub fn fit(
         quantity: &'static str,
@@ -85,7 +85,7 @@
         writeln!(f, "{}, {}: {}", self.quantity, self.unit, points.join(", "))?;
         writeln!(
             f,
-            "  slope {:.6} for each of the {}, intercept {:.4}, the fit misses by {:.1}% of the largest",
+            "  slope {:.6} for each of the {}, intercept {:.4}, largest error {:.1}% of the largest value",
             self.slope,
             self.per,
             self.intercept,
--- a/emulator/src/scaling/measurements.rs
+++ b/emulator/src/scaling/measurements.rs
@@ -1,4 +1,4 @@
-//! The quantities that are measured, each for one number of endpoints.
+//! Measurements of the single quantities, each for one number of endpoints.
 
 use crate::measured_gateway::{
     complete_list, endpoint, first_attempt_endpoint, gateway, request, success, CELLS,
@@ -9,21 +9,23 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Instant;
 
-/// Time between two requests, in ms.
+/// Time between two requests on the clock that the library is given, in ms.
 const REQUEST_INTERVAL_MS: f64 = 8.0;
-/// Requests in flight: at that interval and a service time of 40 ms there are some five.
+/// Number of requests in flight: about as many as a service time of 40 ms gives at that interval.
 const IN_FLIGHT: usize = 5;
-/// What a request takes, in ms.
+/// Elapsed time that is reported for a request, in ms.
 const SERVICE_MS: f64 = REQUEST_INTERVAL_MS * IN_FLIGHT as f64;
-/// Requests after which the endpoints used are counted.
+/// Number of requests after which the endpoints used are counted.
 const REQUESTS_FOR_ENDPOINTS_USED: u64 = 2000;
-/// Gateways measured together, so that pages and the allocator's own needs are small beside them.
+/// Endpoints of all gateways that share a measurement of memory. Many gateways are measured together, so that the size
+/// of pages and the overhead of the allocator are small in comparison.
 const TOTAL_ENDPOINTS: u32 = 100_000;
+/// Minimum number of gateways that share a measurement of memory.
 const MIN_GATEWAYS: u32 = 20;
-/// Complete lists measured at least.
+/// Minimum number of complete lists measured.
 const MIN_LISTS: u64 = 3;
 
-/// Median time of a request through the library, with the outcome of one before, in microseconds.
+/// Median time in which the library handles a request and the success of an earlier one, in microseconds.
 pub(super) fn request_us(endpoints: u32, rounds: u64) -> f64 {
     let mut load = Load::new(endpoints);
     median((1..=rounds).map(|id| {
@@ -33,7 +35,7 @@
     }))
 }
 
-/// Median time to take in a complete list again, in microseconds.
+/// Median time in which the library applies a complete list that it already has, in microseconds.
 pub(super) fn complete_list_us(endpoints: u32, rounds: u64) -> f64 {
     let mut gateway = gateway(endpoints);
     median((0..rounds.max(MIN_LISTS)).map(|round| {
@@ -44,7 +46,7 @@
     }))
 }
 
-/// Median time to take in a change of one entry, in microseconds.
+/// Median time in which the library applies a change of one entry, in microseconds.
 pub(super) fn change_us(endpoints: u32, rounds: u64) -> f64 {
     let mut gateway = gateway(endpoints);
     median((0..rounds).map(|round| {
@@ -67,7 +69,8 @@
     }))
 }
 
-/// Memory of one gateway, in KB. The gateways go to `kept`, as freed memory would be used again.
+/// Resident memory of one gateway, in KB. The gateways are moved to `kept`, as freed memory would be reused by the next
+/// measurement.
 pub(super) fn memory_kb(endpoints: u32, kept: &mut Vec<Gateway>) -> f64 {
     let gateway_count = (TOTAL_ENDPOINTS / endpoints).max(MIN_GATEWAYS);
     let before = resident_memory_kb();
@@ -75,7 +78,7 @@
     (resident_memory_kb() - before) / f64::from(gateway_count)
 }
 
-/// Size of a complete list in the protocol's form, in KB.
+/// Size of a complete list in the JSON form of the discovery protocol, in KB.
 pub(super) fn list_size_kb(endpoints: u32) -> f64 {
     let endpoints: Vec<_> = (0..endpoints).map(listed_endpoint).collect();
     let list = serde_json::json!({"version": 41, "full": true, "servers": endpoints});
@@ -91,7 +94,7 @@
     })
 }
 
-/// Number of endpoints that some requests are sent to.
+/// Number of different endpoints that `REQUESTS_FOR_ENDPOINTS_USED` requests are sent to.
 pub(super) fn endpoints_used(endpoints: u32) -> f64 {
     let mut load = Load::new(endpoints);
     let used: BTreeSet<u32> = (1..=REQUESTS_FOR_ENDPOINTS_USED)
@@ -100,7 +103,7 @@
     used.len() as f64
 }
 
-/// A gateway under an even load.
+/// A gateway with a constant request rate and service time.
 struct Load {
     gateway: Gateway,
     in_flight: VecDeque<InFlight>,
@@ -121,7 +124,8 @@
         }
     }
 
-    /// A request, and the success of one before. Returns the endpoint that the request is sent to.
+    /// Makes a request, and reports the success of the oldest one if more than `IN_FLIGHT` are open. Returns the
+    /// endpoint that the new request is sent to.
     fn request(&mut self, id: u64) -> Option<u32> {
         let now = id as f64 * REQUEST_INTERVAL_MS;
         self.actions.clear();
--- a/emulator/src/scaling/mod.rs
+++ b/emulator/src/scaling/mod.rs
@@ -1,6 +1,6 @@
-//! What grows with the size of the fleet, measured at several sizes, with a straight line through it.
+//! Measurements of the costs that grow with the number of endpoints, at several sizes, each with a fitted line.
 //!
-//! Times are of the machine that measures: compare them within one run only.
+//! Times depend on the machine; compare them within one run only.
 
 mod line;
 mod measurements;
@@ -11,19 +11,20 @@
     change_us, complete_list_us, endpoints_used, list_size_kb, memory_kb, request_us,
 };
 
-/// Numbers of endpoints to measure at; the last is the size that the operators name as the next one.
+/// Numbers of endpoints to measure at. The last is that of the next fleet size named by the operators.
 const ENDPOINT_COUNTS: [u32; 4] = [50, 200, 1000, 8200];
-/// Requests or changes measured at each size, and the fewer of a quick look.
+/// Number of requests or changes measured at each size.
 const ROUNDS: u64 = 2000;
+/// Number of requests or changes measured at each size in a quick run.
 const QUICK_ROUNDS: u64 = 200;
-/// A complete list takes so long that one is measured for this many rounds of the others.
+/// Rounds of the other measurements for each complete list measured, as a list takes much longer.
 const ROUNDS_PER_LIST: u64 = 100;
 
-/// Measures every quantity; `quick` takes fewer rounds.
+/// Measures all quantities. A `quick` run takes fewer rounds.
 #[must_use]
 pub fn measure_all(quick: bool) -> Vec<ScalingLine> {
     let rounds = if quick { QUICK_ROUNDS } else { ROUNDS };
-    // Memory comes first and all of it is kept, as freed memory is used again and would not show.
+    // Memory is measured first, with all gateways kept until the end: reused memory would not count as growth.
     let mut kept = Vec::new();
     let memory = over_sizes(|endpoints| memory_kb(endpoints, &mut kept));
     drop(kept);
--- a/emulator/tests/scaling.rs
+++ b/emulator/tests/scaling.rs
@@ -1,4 +1,4 @@
-//! The straight line through measured points.
+//! Linear regression over measured points.
 #![allow(missing_docs)]
 
 use fleet_emulator::scaling::{Point, ScalingLine};
@@ -16,9 +16,9 @@
 #[test]
 fn a_line_is_fitted_and_its_largest_error_is_reported() {
     let line = ScalingLine::fit(
-        "work",
+        "time",
         "us",
-        "things",
+        "items",
         points(&[(1.0, 5.0), (2.0, 7.0), (10.0, 23.0)]),
     );
     assert!(
@@ -27,15 +27,20 @@
             && line.max_error < 1e-9,
         "{line:?}"
     );
-    let bent = ScalingLine::fit(
-        "work",
+    let not_linear = ScalingLine::fit(
+        "time",
         "us",
-        "things",
+        "items",
         points(&[(0.0, 0.0), (1.0, 10.0), (2.0, 0.0)]),
     );
     assert!(
-        (bent.slope).abs() < 1e-9 && (bent.max_error - 2.0 / 3.0).abs() < 1e-9,
-        "{bent:?}"
+        (not_linear.slope).abs() < 1e-9 && (not_linear.max_error - 2.0 / 3.0).abs() < 1e-9,
+        "{not_linear:?}"
+    );
+    assert!(
+        not_linear
+            .to_string()
+            .contains("largest error 66.7% of the largest value"),
+        "{not_linear}"
     );
-    assert!(bent.to_string().contains("misses by 66.7%"), "{bent}");
 }
