--- a/emulator/tests/command.rs
+++ b/emulator/tests/command.rs
@@ -1,4 +1,5 @@
-//! The command line: errors are one line that names the field, with exit code 2.
+//! The command line: an error is printed as one line that names the field, with exit code 2; a run prints a summary and
+//! writes its report.
 // Tests fail by panicking.
 #![allow(clippy::unwrap_used)]
 
--- a/emulator/tests/experiments.rs
+++ b/emulator/tests/experiments.rs
@@ -1,4 +1,4 @@
-//! Small experiments: counts and rules, never wall time.
+//! Small experiments. The tests check counts and rules but no real time.
 // Tests fail by panicking.
 #![allow(clippy::unwrap_used)]
 
@@ -7,7 +7,7 @@
 
 const SMALL: &str = include_str!("../experiments/small.toml");
 
-/// The small fleet, shorter and with these lines behind it.
+/// The experiment `small.toml` with this length, measured from 1 s on, and with `more` appended to its text.
 fn small(seconds: u32, more: &str) -> Experiment {
     let text = SMALL
         .replace("seconds = 20", &format!("seconds = {seconds}"))
@@ -29,7 +29,7 @@
     assert_ne!(reports[0], reports[2]);
 }
 
-/// Experiments written before keys were renamed are read as they were.
+/// Experiments written before keys were renamed can still be read, and mean the same.
 #[test]
 fn former_names_of_keys_are_still_read() {
     const FORMER_KEYS: &str = include_str!("data/former-keys.toml");
@@ -69,9 +69,9 @@
     }
 }
 
-/// All requests end in one way or another, and most are served on a quiet day.
+/// Without faults, most requests are served on time and almost all have ended when the experiment does.
 #[test]
-fn a_quiet_day_serves_what_is_within_the_quotas() {
+fn requests_within_quota_are_served_without_faults() {
     let report = run(&small(6, ""), 3).unwrap();
     let requests = &report.requests;
     assert!(report.violations.is_empty(), "{:?}", report.violations);
@@ -86,12 +86,13 @@
         + requests.disconnected;
     assert!(
         ended.abs_diff(requests.total) * 50 <= requests.total,
-        "all but those in flight: {requests:?}"
+        "all requests end, except for those in flight: {requests:?}"
     );
     assert!(report.attempts.succeeded >= requests.served_on_time + requests.served_late);
     assert!(
         report.counter.calls_per_request >= 0.7,
-        "the shared counter is the ordinary path"
+        "most requests are admitted by the shared counter: {:?}",
+        report.counter
     );
     assert!(
         report.latency_ms.p50 > 10.0 && report.latency_ms.p99 < 750.0,
@@ -100,71 +101,75 @@
     );
 }
 
-/// A fault to inject, and what shows in the report that it took place.
+/// A fault to inject, and a check that the report shows the fault's effect.
 struct FaultCase {
     fault: &'static str,
-    has_trace: fn(&Report) -> bool,
+    is_in_report: fn(&Report) -> bool,
 }
 
 const FAULT_CASES: [FaultCase; 6] = [
     FaultCase {
         fault: "what = \"zone-outage\"\nstart_s = 3\nduration_s = 4\nzone = 1",
-        has_trace: |report| report.discovery.changes >= 34,
+        is_in_report: |report| report.discovery.changes >= 34,
     },
     FaultCase {
         fault: "what = \"region-partition\"\nstart_s = 3\nduration_s = 3\nregion = 1",
-        has_trace: |report| report.attempts.connect_failed > 0,
+        is_in_report: |report| report.attempts.connect_failed > 0,
     },
     FaultCase {
         fault: "what = \"gateway-rollout\"\nstart_s = 2\nduration_s = 6",
-        has_trace: |report| report.discovery.entries_delivered >= 2 * 12 * 136,
+        is_in_report: |report| report.discovery.entries_delivered >= 2 * 12 * 136,
     },
     FaultCase {
         fault: "what = \"counter-outage\"\nstart_s = 3\nduration_s = 3",
-        has_trace: |report| report.counter.timed_out > 0,
+        is_in_report: |report| report.counter.timed_out > 0,
     },
     FaultCase {
         fault: "what = \"endpoint-rollout\"\nstart_s = 2\nduration_s = 4\nshare = 0.5",
-        has_trace: |report| report.discovery.changes >= 130,
+        is_in_report: |report| report.discovery.changes >= 130,
     },
     FaultCase {
         fault: "what = \"discovery-outage\"\nstart_s = 2\nduration_s = 3\n[[faults]]\nwhat = \"endpoint-rollout\"\n\
                 start_s = 3\nduration_s = 3\nshare = 0.5",
-        has_trace: |report| report.discovery.changes >= 130,
+        is_in_report: |report| report.discovery.changes >= 130,
     },
 ];
 
 #[test]
-fn rules_hold_through_faults_and_each_fault_leaves_its_trace() {
-    for FaultCase { fault, has_trace } in FAULT_CASES {
+fn rules_hold_during_faults_and_each_fault_shows_in_the_report() {
+    for FaultCase {
+        fault,
+        is_in_report,
+    } in FAULT_CASES
+    {
         let report = run(&small(14, &format!("[[faults]]\n{fault}\n")), 5).unwrap();
         assert!(
             report.violations.is_empty(),
             "{fault}: {:?}",
             report.violations
         );
-        assert!(has_trace(&report), "{fault}: {}", text(&report));
+        assert!(is_in_report(&report), "{fault}: {}", text(&report));
     }
 }
 
-/// Endpoints that bear a fiftieth of what they are sent fail in slow start.
+/// With 50 times the service time, new endpoints get far more requests than they can serve and fail in slow start.
 #[test]
-fn overloaded_endpoints_are_seen() {
+fn overloaded_endpoints_are_reported() {
     let rollout =
         "[[faults]]\nwhat = \"endpoint-rollout\"\nstart_s = 1\nduration_s = 2\nshare = 0.5\n";
-    let mut crowded = small(8, rollout);
-    crowded.endpoints.service_ms = 2000.0;
-    crowded.endpoints.max_queue = 1_000_000;
-    let violations = run(&crowded, 1).unwrap().violations;
+    let mut overloaded = small(8, rollout);
+    overloaded.endpoints.service_ms = 2000.0;
+    overloaded.endpoints.max_queue = 1_000_000;
+    let violations = run(&overloaded, 1).unwrap().violations;
     assert!(violations.overloaded_endpoints > 0);
     assert!(violations
         .first
         .is_some_and(|first| first.starts_with("cold")));
 }
 
-/// A gateway that ends with requests open loses them.
+/// Requests that take longer than a gateway's graceful shutdown have no response when the gateway's process ends.
 #[test]
-fn unanswered_requests_are_seen() {
+fn unanswered_requests_are_reported() {
     let rollout = "[[faults]]\nwhat = \"gateway-rollout\"\nstart_s = 2\nduration_s = 2\n";
     let mut slow = small(12, rollout);
     slow.endpoints.service_ms = 6000.0;
