--- a/src/bin/quota-gateway/config/error.rs
+++ b/src/bin/quota-gateway/config/error.rs
@@ -1,6 +1,6 @@
 //! What can be wrong with a configuration.
 
-use crate::transient_errors::is_transient_for_opening;
+use crate::transient_errors::is_transient_open_error;
 use quota_gateway::wire_settings::SettingProblem;
 use std::io;
 use thiserror::Error;
@@ -28,7 +28,7 @@
 impl ConfigError {
     /// True if the file may be readable a little later.
     pub fn is_transient(&self) -> bool {
-        matches!(self, ConfigError::FileUnreadable { source, .. } if is_transient_for_opening(source))
+        matches!(self, ConfigError::FileUnreadable { source, .. } if is_transient_open_error(source))
     }
 
     pub fn invalid(field: impl Into<String>, problem: FieldProblem) -> Self {
--- a/src/bin/quota-gateway/retry.rs
+++ b/src/bin/quota-gateway/retry.rs
@@ -4,7 +4,7 @@
 //! interrupted, the former process still has the address. Without a retry the process would end at its start, or keep
 //! addresses that are no longer served.
 
-use crate::transient_errors::is_transient_for_opening;
+use crate::transient_errors::is_transient_open_error;
 use std::future::Future;
 use std::io;
 use std::thread;
@@ -49,7 +49,7 @@
     loop {
         match open() {
             Err(error)
-                if is_transient_for_opening(&error) && std::time::Instant::now() < deadline => {}
+                if is_transient_open_error(&error) && std::time::Instant::now() < deadline => {}
             result => return result,
         }
         thread::sleep(RETRY_DELAY);
--- a/src/bin/quota-gateway/socket.rs
+++ b/src/bin/quota-gateway/socket.rs
@@ -11,7 +11,7 @@
 //! - After a stall of the process the runtime does not know yet what the sockets have received. `peek` and
 //!   `peer_has_closed` ask the system itself.
 
-use crate::transient_errors::{is_transient_for_opening, is_transient_for_transfer};
+use crate::transient_errors::{is_transient_for_transfer, is_transient_open_error};
 use nix::poll::{poll, PollFd, PollFlags, PollTimeout};
 use socket2::SockRef;
 use std::io::{self, ErrorKind, IoSlice};
@@ -60,7 +60,7 @@
             match TcpStream::connect(addr).await {
                 Ok(stream) => return Ok(Socket::new(stream)),
                 Err(error)
-                    if attempts < MAX_CONNECT_ATTEMPTS && is_transient_for_opening(&error) => {}
+                    if attempts < MAX_CONNECT_ATTEMPTS && is_transient_open_error(&error) => {}
                 Err(error) => return Err(error),
             }
             attempts += 1;
--- a/src/bin/quota-gateway/transient_errors.rs
+++ b/src/bin/quota-gateway/transient_errors.rs
@@ -20,13 +20,13 @@
 const RESOURCE_ERRORS: [i32; 4] = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
 
 /// Whether an error of opening a file or a socket is transient.
-pub fn is_transient_for_opening(error: &io::Error) -> bool {
+pub fn is_transient_open_error(error: &io::Error) -> bool {
     is_one_of(error, &OPENING_ERRORS)
 }
 
 /// Whether an error of binding an address is transient. The address may be in use until the former process has ended.
 pub fn is_transient_for_address(error: &io::Error) -> bool {
-    error.kind() == ErrorKind::AddrInUse || is_transient_for_opening(error)
+    error.kind() == ErrorKind::AddrInUse || is_transient_open_error(error)
 }
 
 /// Whether a call on an open socket can be repeated.
