--- a/src/bin/quota-gateway/startup.rs
+++ b/src/bin/quota-gateway/startup.rs
@@ -13,7 +13,7 @@
 use crate::retry::retry;
 use crate::server::{Acceptor, ClientSlots, Server};
 use crate::shutdown::Shutdown;
-use crate::transient_errors::is_transient_for_address;
+use crate::transient_errors::is_transient_bind_error;
 use crate::upstream::ConnectionPool;
 use quota_gateway::Settings;
 use std::io;
@@ -139,7 +139,7 @@
 }
 
 async fn listen(addr: SocketAddr) -> Result<TcpListener, StartupError> {
-    let listener = retry(BIND_TIMEOUT, is_transient_for_address, || async {
+    let listener = retry(BIND_TIMEOUT, is_transient_bind_error, || async {
         open_listener(addr)
     })
     .await;
@@ -167,7 +167,7 @@
         return Ok(None);
     };
     let bind = || GossipSocket::bind(addr, config.peers.clone(), config.broadcast);
-    match retry(BIND_TIMEOUT, is_transient_for_address, bind).await {
+    match retry(BIND_TIMEOUT, is_transient_bind_error, bind).await {
         Ok(socket) => Ok(Some(Rc::new(socket))),
         Err(source) => Err(StartupError::GossipListen { addr, source }),
     }
--- a/src/bin/quota-gateway/transient_errors.rs
+++ b/src/bin/quota-gateway/transient_errors.rs
@@ -25,7 +25,7 @@
 }
 
 /// Whether an error of binding an address is transient. The address may be in use until the former process has ended.
-pub fn is_transient_for_address(error: &io::Error) -> bool {
+pub fn is_transient_bind_error(error: &io::Error) -> bool {
     error.kind() == ErrorKind::AddrInUse || is_transient_open_error(error)
 }
 
