--- a/src/bin/quota-gateway/discovery/call.rs
+++ b/src/bin/quota-gateway/discovery/call.rs
@@ -1,11 +1,12 @@
-//! One call to discovery: the request for a watch and the response up to its first event.
+//! One call to discovery: fetches the complete list if necessary, requests a watch and reads the head of its response.
 //!
-//! Failures that this module guards against:
+//! This module guards against two failures:
 //!
-//! - An overloaded discovery sends the complete list and rejects the watch behind it. If the list were dropped with the
-//!   watch, draining endpoints that it names would go on getting requests. It is applied before the watch is requested.
-//! - Discovery accepts the connection and never answers, as it does with calls that arrive during an outage. Each step
-//!   has its time-out.
+//! - An overloaded discovery sends the complete list and rejects the watch request that follows. If the list were
+//!   discarded with the watch, endpoints that the list marks as draining would still receive requests. The list is
+//!   therefore applied before the watch is requested.
+//! - Discovery accepts a connection and never responds, as happens to calls that arrive during an outage. Each step has
+//!   a timeout.
 
 use super::error::DiscoveryError;
 use super::list::{EndpointList, MAX_LIST_BYTES};
@@ -18,24 +19,25 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::timeout;
 
-/// A request for a watch on the changes after a version.
+/// A request for a watch that reports the changes after a given version.
 #[derive(Clone, Copy)]
 pub struct WatchRequest {
     /// The address of discovery.
     pub addr: SocketAddr,
-    /// Version of the current list.
+    /// Version of the list in use; the watch reports the changes after it.
     pub version: u64,
-    /// Whether to fetch the complete list first, and to watch from its version.
+    /// Whether to fetch the complete list first and to watch from the version of that list instead.
     pub fetch_complete_list: bool,
 }
 
 impl WatchRequest {
-    /// Makes the call, with the list and the watch on one connection. Returns the connection of the watch once its head
-    /// has arrived; the events follow on it.
+    /// Requests the list and the watch on one connection. Returns that connection once the head of the watch's response
+    /// has been read; the events follow on it.
     ///
     /// # Errors
     ///
-    /// Fails if the connection, the list or the head of the watch does. A list that was complete has been applied.
+    /// Fails if connecting, fetching the list or opening the watch fails. A list that was fetched stays applied even if
+    /// the watch fails.
     pub async fn send(
         self,
         timeouts: CallTimeouts,
--- a/src/bin/quota-gateway/discovery/error.rs
+++ b/src/bin/quota-gateway/discovery/error.rs
@@ -1,38 +1,39 @@
-//! Why a call to discovery failed, or a watch ended.
+//! The reasons for which a call to discovery fails or a watch ends.
 
+use super::list::MAX_LIST_BYTES;
 use std::io::{self, ErrorKind};
 use thiserror::Error;
 use tokio::task::JoinError;
 use tokio::time::error::Elapsed;
 
-/// The end of a call or of a watch.
+/// The reason for which a call failed or a watch ended.
 #[derive(Debug, Error)]
 pub enum DiscoveryError {
-    /// The connection failed, or what came over it is not HTTP.
+    /// The connection failed, or the received bytes are not a valid HTTP response.
     #[error(transparent)]
     Connection(#[from] io::Error),
-    #[error("timed out")]
+    #[error("timed out waiting for discovery")]
     TimedOut(#[from] Elapsed),
-    #[error("status {0}")]
+    #[error("discovery responded with status {0} instead of 200")]
     Status(u16),
-    /// The call was aborted, as later ones were made.
-    #[error("no response while later calls were made: {0}")]
+    /// The call was aborted because the maximum number of later calls was in flight.
+    #[error("call aborted in favor of later ones: {0}")]
     Superseded(#[from] JoinError),
-    /// The watch ended without an error.
-    #[error("closed")]
+    /// The response body of the watch ended without an error.
+    #[error("discovery closed the watch")]
     Closed,
-    #[error("a watch event that is not a JSON object")]
+    #[error("watch event is not a JSON object")]
     NotAnObject,
-    #[error("invalid list: {0}")]
+    #[error("invalid endpoint list: {0}")]
     InvalidList(#[from] serde_json::Error),
-    #[error("list too long")]
+    #[error("endpoint list is longer than {MAX_LIST_BYTES} bytes")]
     ListTooLong,
-    #[error("an update older than the current list")]
+    #[error("watch event is older than the current endpoint list")]
     StaleUpdate,
 }
 
 impl DiscoveryError {
-    /// True if discovery responded with something that can't be used; another call is likely to yield the same.
+    /// True if discovery sent a response or event that cannot be used. Another call is likely to fail in the same way.
     pub fn is_invalid_response(&self) -> bool {
         match self {
             DiscoveryError::Connection(error) => error.kind() == ErrorKind::InvalidData,
--- a/src/bin/quota-gateway/discovery/framing.rs
+++ b/src/bin/quota-gateway/discovery/framing.rs
@@ -8,7 +8,7 @@
 #[cfg(test)]
 mod tests;
 
-/// A part of the stream.
+/// A unit of the stream.
 #[derive(Debug, PartialEq)]
 pub enum Frame {
     /// An empty line, or the end of a line that held an object.
@@ -17,14 +17,14 @@
     Object(Bytes),
 }
 
-/// Finds the objects of a watch, each as soon as it is complete. Objects may be written on one line or on several, and
-/// arrive in pieces of any length. Each byte is scanned once.
+/// Finds the JSON objects in the stream of a watch and returns each as soon as it is complete. An object may span one
+/// line or several, and may arrive in pieces of any length. Each byte is scanned once.
 #[derive(Default)]
 pub struct ObjectFramer {
     buffer: BytesMut,
     /// Number of bytes in the buffer that have been scanned.
     scanned: usize,
-    /// Braces open at the end of the scanned bytes.
+    /// Number of unclosed braces at the end of the scanned bytes.
     depth: usize,
     in_string: bool,
     escaped: bool,
@@ -32,14 +32,14 @@
     parsed_len: usize,
 }
 
-/// What ends with a byte.
+/// The unit that a scanned byte completes.
 enum Boundary {
     Line,
     Object,
 }
 
 impl ObjectFramer {
-    /// Adds bytes of the stream.
+    /// Appends received bytes to the buffer.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
@@ -49,7 +49,11 @@
         self.depth > 0
     }
 
-    /// The next complete frame; `None` if more bytes are needed.
+    /// Returns the next complete frame, or `None` if more bytes are needed.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the buffered bytes cannot become valid objects or are longer than the longest list.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, DiscoveryError> {
         while let Some(&byte) = self.buffer.get(self.scanned) {
             self.scanned += 1;
@@ -88,8 +92,8 @@
         Ok(None)
     }
 
-    /// Fails early if what has arrived can't become a valid object. It is parsed again only when it has doubled in
-    /// length, so that an object in many pieces is parsed a few times only.
+    /// Fails early if the buffered part of an object cannot become valid JSON. That part is parsed again only after its
+    /// length has doubled, so that an object that arrives in many pieces is parsed only a few times.
     fn check_unfinished_object(&mut self) -> Result<(), DiscoveryError> {
         if !self.inside_object() || self.buffer.len() < 2 * self.parsed_len {
             return Ok(());
--- a/src/bin/quota-gateway/discovery/framing/tests.rs
+++ b/src/bin/quota-gateway/discovery/framing/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn objects_are_found_however_they_are_laid_out_and_split() {
+fn objects_are_found_with_any_layout_and_split() {
     let one = "{\n  \"id\": \"a}\\\"{\",\n  \"servers\": [\n    {}\n  ]\n}";
     let text = format!("\n{one}\n\r\n{{\"version\":2}}{{}}\n");
     let whole = objects(&[text.as_bytes()]).unwrap();
@@ -24,10 +24,11 @@
     assert_eq!(objects(&bytes).unwrap(), whole);
 }
 
-/// A watch sends something that is no JSON object, or an object without end. If the framer waited for the end, the
-/// watch would stay open without events, and memory would grow. It is an error as soon as it can be known.
+/// Guards against a watch that sends bytes other than JSON objects, or an object that never ends. If the framer waited
+/// for the end, the watch would stay open without events and memory use would grow. The error is reported as early as
+/// possible.
 #[test]
-fn what_is_not_an_object_is_rejected_at_once() {
+fn input_that_is_not_an_object_is_rejected_at_once() {
     for text in ["noise", "[]", "}", "{\"full\": tr\n", "{\"full\" {", "{]"] {
         assert!(objects(&[text.as_bytes()]).is_err(), "{text}");
     }
--- a/src/bin/quota-gateway/discovery/list.rs
+++ b/src/bin/quota-gateway/discovery/list.rs
@@ -1,56 +1,57 @@
-//! The endpoint list as discovery and the configuration file write it in JSON.
+//! The JSON format of the endpoint list, which discovery and the configuration file share.
 
 use serde::de::{Error, IgnoredAny, SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer};
 use std::fmt::Formatter;
 use std::net::SocketAddr;
 
-/// Most entries in a list. Limits the memory for a list, whatever a peer sends.
+/// Maximum number of entries in a list. Bounds the memory that a list from a peer can use.
 pub const MAX_ENTRIES: usize = 20_480;
-/// Longest text of a list, in bytes: the most entries, with the bytes of each in an indented list.
+/// Maximum length of the JSON text of a list: `MAX_ENTRIES` entries of 512 bytes each, the size of an indented entry.
 pub const MAX_LIST_BYTES: usize = MAX_ENTRIES * 512;
 
 /// An endpoint list, or an update to one.
 #[derive(Debug, Deserialize)]
 pub struct EndpointList {
-    /// Grows with each change. Another discovery service may number its versions differently.
+    /// Version number, which increases with each change. Another discovery service may number its versions differently.
     pub version: u64,
-    /// True if endpoints that are not listed were removed; false for an update that lists only changes.
+    /// True for a complete list, where endpoints that are not listed have been removed; false for an update that lists
+    /// only changes.
     #[serde(rename = "full")]
     pub complete: bool,
-    /// The endpoints that are listed.
+    /// The entries of the list.
     #[serde(rename = "servers")]
     pub endpoints: EndpointEntries,
 }
 
-/// The entries of a list. Invalid entries are counted and skipped; the others still apply.
+/// The entries of a list. Invalid entries are counted and skipped; the valid ones still apply.
 #[derive(Debug, Default)]
 pub struct EndpointEntries {
-    /// The entries that could be read.
+    /// The entries that were parsed.
     pub valid: Vec<EndpointEntry>,
-    /// Number of entries that could not be read.
+    /// Number of entries that could not be parsed.
     pub invalid: usize,
 }
 
-/// One endpoint.
+/// The entry of one endpoint.
 #[derive(Debug, Deserialize)]
 pub struct EndpointEntry {
-    /// Its name at discovery.
+    /// Name of the endpoint at discovery.
     pub id: String,
-    /// Required unless the endpoint was removed.
+    /// Address of the endpoint; required unless the endpoint was removed.
     pub addr: Option<SocketAddr>,
-    /// Its zone.
+    /// Zone of the endpoint.
     #[serde(default)]
     pub zone: String,
-    /// Its hardware or software kind.
+    /// Hardware or software kind of the endpoint.
     #[serde(default)]
     pub kind: String,
-    /// Its cell within the zone.
+    /// Cell of the endpoint within the zone.
     #[serde(default)]
     pub cell: u32,
-    /// Its state.
+    /// State of the endpoint.
     pub state: EntryState,
-    /// Its capacity, relative to the other endpoints.
+    /// Capacity of the endpoint relative to the others.
     #[serde(default = "default_weight")]
     pub weight: f64,
     /// Unix time at which the endpoint started, in ms.
@@ -58,14 +59,14 @@
     pub started_ms: f64,
 }
 
-/// An endpoint's state, with the names that discovery uses.
+/// The state of an endpoint, under the names that discovery uses.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 pub enum EntryState {
-    /// Takes requests.
+    /// The endpoint accepts requests.
     Ready,
-    /// Is draining.
+    /// The endpoint is draining.
     Terminating,
-    /// Was removed.
+    /// The endpoint was removed.
     Gone,
 }
 
--- a/src/bin/quota-gateway/discovery/mod.rs
+++ b/src/bin/quota-gateway/discovery/mod.rs
@@ -1,14 +1,16 @@
-//! Discovery: keeps the endpoint list up to date by a watch, an HTTP response that stays open and reports each change.
+//! The client of the discovery service. It keeps the endpoint list up to date by a watch: an HTTP response that stays
+//! open and reports each change.
 //!
-//! - `call`: one call: the request for a watch, with the complete list if that is needed
-//! - `open`: calls until a watch is open
-//! - `watch`: an open watch
-//! - `framing`: the objects in the byte stream of a watch
-//! - `policy`, `schedule`: when to call, and the time-outs
-//! - `updates`: which lists apply
-//! - `list`: the endpoint list in JSON
+//! - `call`: one call, which requests a watch and, if necessary, the complete list
+//! - `open`: calls discovery until a watch is open
+//! - `watch`: reads the events of an open watch
+//! - `framing`: splits the byte stream of a watch into JSON objects
+//! - `policy`: timeouts and retry times of calls
+//! - `schedule`: exponential backoff, and the call schedule for a service that all gateways share
+//! - `updates`: decides which lists apply
+//! - `list`: the JSON format of the endpoint list
 //! - `handler`: the interface to the owner of the list
-//! - `error`: why a call failed or a watch ended
+//! - `error`: the reasons for which a call fails or a watch ends
 
 mod call;
 mod error;
@@ -34,10 +36,10 @@
 use updates::ListUpdates;
 use watch::follow;
 
-/// Logged when calls fail as well as when a watch ends.
-const WATCH_ENDED: &str = "discovery watch ended, the last endpoint list stays in use";
+/// The warning for a failed call and for the end of a watch.
+const NO_WATCH: &str = "no discovery watch is open, the last endpoint list stays in use";
 
-/// Keeps a watch open for as long as the program runs. While discovery can't be reached the last list stays in use. A
+/// Keeps a watch open for as long as the program runs. While discovery cannot be reached, the last list stays in use. A
 /// change of the address takes effect at once.
 pub async fn run(
     mut addr: Receiver<SocketAddr>,
@@ -50,7 +52,7 @@
         updates: Rc::new(ListUpdates::new(version, handler)),
         warning: RateLimitedWarning::default(),
     };
-    // The first call is made at once, as the protocol's limit for changes holds from the start of the process.
+    // The first call is made at once, because the protocol's propagation limit applies from the start of the process.
     loop {
         let current_addr = *addr.borrow_and_update();
         tokio::select! {
@@ -75,19 +77,19 @@
             fetch_complete_list: self.updates.is_incomplete(),
         };
         let call = |timeouts| request.send(timeouts, self.updates.clone());
-        let on_failure = |error| self.warning.warn(WATCH_ENDED, error);
+        let on_failure = |error| self.warning.warn(NO_WATCH, error);
         let watch = open_watch(&mut self.policy, call, on_failure).await;
         let opened_at = Instant::now();
         let end = follow(watch, &self.updates).await;
         let delay = self
             .policy
             .on_watch_ended(opened_at.elapsed(), end.is_invalid_response());
-        self.warning.warn(WATCH_ENDED, end);
+        self.warning.warn(NO_WATCH, end);
         sleep(delay).await;
     }
 
     fn address_changed(&mut self) {
-        // Another discovery may number its versions differently.
+        // The versions of another discovery service may be numbered differently.
         self.updates.mark_incomplete();
         self.policy.address_changed();
     }
--- a/src/bin/quota-gateway/discovery/open.rs
+++ b/src/bin/quota-gateway/discovery/open.rs
@@ -1,4 +1,4 @@
-//! Calls discovery until a watch is open.
+//! Calls discovery repeatedly until a watch is open.
 
 use super::error::DiscoveryError;
 use super::policy::{CallTimeouts, WatchPolicy, MAX_CONCURRENT_CALLS};
@@ -9,8 +9,9 @@
 #[cfg(test)]
 mod tests;
 
-/// Calls until one call succeeds. An unanswered call is not aborted when the next one starts, up to a number of calls
-/// at a time. Reports each failed call to `on_failure`. Calls in flight at the end are aborted.
+/// Makes calls until one succeeds, and returns its watch. An unanswered call stays in flight when the next one starts;
+/// the oldest is aborted if more than [`MAX_CONCURRENT_CALLS`] are in flight. Each failed call is reported to
+/// `on_failure`. Calls that are still in flight after a success are aborted.
 pub async fn open_watch<W, C>(
     policy: &mut WatchPolicy,
     call: impl Fn(CallTimeouts) -> C,
@@ -42,10 +43,10 @@
     result: Result<W, DiscoveryError>,
 }
 
-/// The calls in flight, and when the next one starts.
+/// The calls in flight and the time of the next one.
 struct PendingCalls<W> {
     set: JoinSet<FinishedCall<W>>,
-    /// Handles of the calls in the order of their start.
+    /// Handles of the calls, oldest first.
     handles: Vec<AbortHandle>,
     next_call_at: Instant,
 }
--- a/src/bin/quota-gateway/discovery/open/tests.rs
+++ b/src/bin/quota-gateway/discovery/open/tests.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// What an unavailable discovery does with a call.
+/// The way in which calls fail while discovery is unavailable.
 #[derive(Clone, Copy, Debug)]
 enum Outage {
     RefusesConnections,
@@ -14,17 +14,18 @@
     Rejects,
 }
 
-/// What the gateways saw of the return of discovery, as times since then.
+/// The recovery of a fleet after an outage. All times are relative to the end of the outage.
 struct Recovery {
-    /// When each gateway had its watch.
-    watches_open: Vec<Duration>,
-    /// When each call arrived that came after the return.
+    /// The time at which each gateway had opened its watch.
+    watches_opened_at: Vec<Duration>,
+    /// The arrival time of each call that was made after the end of the outage.
     calls: Vec<Duration>,
 }
 
-/// Gateways whose discovery is down for some time and then answers each call after a second. On the paused clock.
-async fn recover(gateway_count: u32, outage: Outage, outage_ms: u64) -> Recovery {
-    let returns_at = Instant::now() + Duration::from_millis(outage_ms);
+/// Simulates gateways whose discovery is unavailable for `outage_ms` and then responds to each call after one second.
+/// Uses the paused clock.
+async fn simulate_recovery(gateway_count: u32, outage: Outage, outage_ms: u64) -> Recovery {
+    let outage_end = Instant::now() + Duration::from_millis(outage_ms);
     let calls = Rc::new(RefCell::new(Vec::new()));
     let mut gateways = JoinSet::new();
     for seed in 0..gateway_count {
@@ -34,15 +35,15 @@
             let call = |timeouts: CallTimeouts| {
                 let calls = calls.clone();
                 async move {
-                    let is_down = Instant::now() < returns_at;
+                    let is_down = Instant::now() < outage_end;
                     match outage {
                         _ if !is_down => {
-                            calls.borrow_mut().push(Instant::now() - returns_at);
+                            calls.borrow_mut().push(Instant::now() - outage_end);
                             sleep(Duration::from_secs(1)).await;
                             return Ok(());
                         }
                         Outage::RefusesConnections => {}
-                        // A call that came while discovery hung is never answered.
+                        // A call that arrives while discovery hangs is never answered.
                         Outage::Hangs => sleep(timeouts.response).await,
                         Outage::Rejects => sleep(Duration::from_secs(1)).await,
                     }
@@ -50,20 +51,20 @@
                 }
             };
             open_watch(&mut policy, call, |_| {}).await;
-            Instant::now().saturating_duration_since(returns_at)
+            Instant::now().saturating_duration_since(outage_end)
         });
     }
-    let watches_open = gateways.join_all().await;
+    let watches_opened_at = gateways.join_all().await;
     let calls = calls.borrow().clone();
     Recovery {
-        watches_open,
+        watches_opened_at,
         calls,
     }
 }
 
-/// The discovery service of a fleet is down and returns. If all gateways called at once it would be overloaded again,
-/// and if they waited too long they would miss changes. However their calls failed, each gateway has its watch within 6
-/// s of the return, and their calls are spread out.
+/// Guards the recovery after an outage of a shared discovery service. If all gateways called at once, the service would
+/// be overloaded again; if they waited too long, they would miss changes. Whichever way the calls failed during the
+/// outage, each gateway opens its watch within 6 s of its end, and the calls are spread out.
 #[tokio::test(start_paused = true)]
 async fn all_gateways_reopen_their_watches_in_time_after_an_outage_of_a_shared_service() {
     let set = tokio::task::LocalSet::new();
@@ -76,8 +77,8 @@
                 (300, 8000),
                 (720, 31_000),
             ] {
-                let recovery = recover(gateway_count, outage, outage_ms).await;
-                let latest = recovery.watches_open.iter().max().unwrap();
+                let recovery = simulate_recovery(gateway_count, outage, outage_ms).await;
+                let latest = recovery.watches_opened_at.iter().max().unwrap();
                 assert!(
                     *latest <= PROPAGATION_LIMIT,
                     "{gateway_count}, {outage:?} {outage_ms}: {latest:?}"
--- a/src/bin/quota-gateway/discovery/policy.rs
+++ b/src/bin/quota-gateway/discovery/policy.rs
@@ -1,4 +1,4 @@
-//! Time-outs and retry times of the calls to discovery.
+//! Timeouts and retry times of the calls to discovery.
 
 use super::schedule::{Backoff, CallSchedule};
 use quota_gateway::Settings;
@@ -8,38 +8,39 @@
 #[cfg(test)]
 pub mod tests;
 
-/// Longest time from a change at a reachable discovery until the protocol counts the gateway as notified, whatever
-/// failed before.
+/// Time after a change at a reachable discovery service from which on the protocol counts the gateway as notified, even
+/// if calls failed before.
 pub const PROPAGATION_LIMIT: Duration = Duration::from_secs(6);
-/// Part of [`PROPAGATION_LIMIT`] that is left for the response. An overloaded discovery rejects calls that have waited
-/// longer in its queue.
+/// Part of [`PROPAGATION_LIMIT`] that is reserved for the response. An overloaded discovery service rejects calls that
+/// have waited longer in its queue.
 pub const RESPONSE_ALLOWANCE: Duration = Duration::from_secs(2);
-/// Most unanswered calls at a time. The older call is kept beside its successor: a discovery that answers calls in order
-/// also serves those that were abandoned, so that short time-outs alone would have it work for nobody.
+/// Maximum number of unanswered calls in flight. An older call is kept when the next one starts: a discovery service
+/// that handles calls in order also handles abandoned ones, so with short timeouts alone it would only do useless work.
 pub const MAX_CONCURRENT_CALLS: usize = 2;
-/// Time-out for a connection to a shared service, and the longest time-out of a call to the agent.
+/// Timeout for connecting to a shared service, and the upper bound of the timeout of a call to the agent.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest call to the agent, as a share of the time in which a draining endpoint may still get requests. A call that was
-/// written while discovery was down may never be answered, and its successor has to fit into that time as well.
+/// Timeout of a call to the agent, as a share of the drain grace, during which a draining endpoint may still receive
+/// requests. A call that was written while discovery was down may never be answered, and the next call has to finish
+/// within the drain grace as well.
 const AGENT_CALL_SHARE_OF_DRAIN_GRACE: f64 = 0.2;
-/// Delay between two calls to the agent, which answers from its memory.
+/// Delay between two calls to the agent. It is short because the agent responds from its memory.
 const AGENT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Longest delay before a watch on a shared service is reopened. The delay is random, as a restart of the service ends
-/// the watches of all gateways together.
+/// Upper bound of the delay before a watch on a shared service is reopened. The delay is random because a restart of
+/// the service ends the watches of all gateways at once.
 const MAX_REOPEN_DELAY: Duration = Duration::from_secs(2);
-/// Longest drain grace from which time-outs are derived.
+/// Upper bound of the drain grace from which timeouts are derived.
 const MAX_DRAIN_GRACE_MS: f64 = 60_000.0;
 
-/// Time-outs of one call.
+/// The timeouts of one call.
 #[derive(Clone, Copy)]
 pub struct CallTimeouts {
-    /// For the connection.
+    /// Timeout for connecting.
     pub connect: Duration,
-    /// For the complete list, and again for the head of the watch.
+    /// Timeout for the complete list, and again for the head of the watch's response.
     pub response: Duration,
 }
 
-/// What answers the calls.
+/// The kind of discovery that the gateway calls.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Source {
     /// An agent on this machine, which no other gateway calls.
@@ -48,7 +49,7 @@
     SharedService,
 }
 
-/// When to call discovery, and how long to wait for it.
+/// The timing of calls to discovery: their timeouts, the delays between them and the backoff.
 pub struct WatchPolicy {
     source: Source,
     timeouts: CallTimeouts,
@@ -60,10 +61,10 @@
 }
 
 impl WatchPolicy {
-    /// The policy for these settings. The seed has to differ between gateways.
+    /// Creates the policy for these settings. Each gateway needs a different seed.
     pub fn new(settings: &Settings, seed: u64) -> Self {
-        // The program watches in both cases. The setting says what answers: gateways that poll call the service itself,
-        // all others have an agent on their machine.
+        // The program opens a watch in both cases. The setting selects the source: gateways with polled endpoints call
+        // the shared service, all others an agent on their machine.
         let source = if settings.endpoints_polled {
             Source::SharedService
         } else {
@@ -98,23 +99,23 @@
         }
     }
 
-    /// The time-outs of each call.
+    /// The timeouts of each call.
     pub fn timeouts(&self) -> CallTimeouts {
         self.timeouts
     }
 
-    /// Time from the start of a call to the start of another one beside it, if there is no response; `only_one` if no
-    /// other call is in flight.
+    /// Time from the start of an unanswered call to the start of the next one. `is_only_call` is true if no other call
+    /// is in flight.
     #[must_use]
-    pub fn unanswered_interval(&mut self, only_one: bool) -> Duration {
+    pub fn unanswered_interval(&mut self, is_only_call: bool) -> Duration {
         match self.source {
             Source::LocalAgent => self.max_call_interval,
-            Source::SharedService => self.call_schedule.unanswered_interval(only_one),
+            Source::SharedService => self.call_schedule.unanswered_interval(is_only_call),
         }
     }
 
-    /// When the next call is due after one that has just failed. It backs off from invalid responses, as the next response
-    /// is likely to be invalid, too.
+    /// The time of the next call after one that has just failed. Invalid responses cause a backoff, because the next
+    /// response is likely to be invalid as well.
     #[must_use]
     pub fn next_call_after_failure(
         &mut self,
@@ -129,22 +130,22 @@
         now + self.with_backoff_if(invalid_response, delay)
     }
 
-    /// Records that a watch has ended that was open for this long, so that calls are spaced anew. Returns the delay
-    /// before it is reopened, which backs off from invalid events.
+    /// Records the end of a watch that was open for `open_duration`, which resets the call schedule. Returns the delay
+    /// before the watch is reopened. Invalid events cause a backoff.
     #[must_use]
-    pub fn on_watch_ended(&mut self, was_open_for: Duration, invalid_response: bool) -> Duration {
+    pub fn on_watch_ended(&mut self, open_duration: Duration, invalid_response: bool) -> Duration {
         self.call_schedule.reset();
         let delay = match self.source {
             Source::LocalAgent => AGENT_RETRY_DELAY,
             Source::SharedService => MAX_REOPEN_DELAY.mul_f64(self.rng.f64()),
         };
-        if was_open_for >= self.max_call_interval {
+        if open_duration >= self.max_call_interval {
             self.invalid_response_backoff.reset();
         }
         self.with_backoff_if(invalid_response, delay)
     }
 
-    /// Discovery has moved to another address.
+    /// Resets the call schedule after a change of discovery's address.
     pub fn address_changed(&mut self) {
         self.call_schedule.reset();
     }
--- a/src/bin/quota-gateway/discovery/policy/tests.rs
+++ b/src/bin/quota-gateway/discovery/policy/tests.rs
@@ -1,7 +1,7 @@
 use super::super::watch::IDLE_TIMEOUT;
 use super::*;
 
-/// The policy of one of several gateways.
+/// The policy of one gateway out of `gateway_count`.
 pub fn policy(gateway_count: u32, endpoints_polled: bool, seed: u64) -> WatchPolicy {
     let mut settings = Settings {
         gateway_count,
@@ -12,8 +12,9 @@
     WatchPolicy::new(&settings, seed)
 }
 
-/// A call was written just before the agent returned and is never answered. If the next call came too late, the gateway
-/// would go on sending to endpoints that drain. The next one is answered within the drain grace.
+/// Guards against a call that was written just before the agent recovered and is never answered. If the next call were
+/// made too late, the gateway would keep sending requests to draining endpoints. The next call is answered within the
+/// drain grace.
 #[test]
 fn an_agent_is_called_again_well_within_the_drain_grace() {
     let policy = policy(300, false, 1);
@@ -24,9 +25,9 @@
     );
 }
 
-/// Discovery sends responses or events that can't be read. Without a backoff the gateway would request them in a loop,
-/// with a backoff that is too long it would miss the return of valid ones. Delays grow up to the longest interval, and
-/// are short again after a valid watch.
+/// Guards against a discovery service that sends invalid responses or events. Without a backoff the gateway would
+/// request them in a loop; with a backoff that is too long it would miss valid ones later. Delays grow up to the
+/// longest interval and are short again after a valid watch.
 #[test]
 fn invalid_responses_are_not_requested_in_a_loop() {
     for (endpoints_polled, watches) in [(false, false), (false, true), (true, true)] {
@@ -56,8 +57,8 @@
     }
 }
 
-/// A restart of the discovery service ends the watches of three hundred gateways at once. Reopened together, they would
-/// overload it. They are reopened spread out, and all in time.
+/// Guards against an overload after a restart of the discovery service, which ends the watches of 300 gateways at once.
+/// The watches are reopened at random times, all within the propagation limit.
 #[test]
 fn watches_on_a_shared_service_that_end_together_are_reopened_spread_out() {
     let mut reopened = [0; 20];
--- a/src/bin/quota-gateway/discovery/schedule.rs
+++ b/src/bin/quota-gateway/discovery/schedule.rs
@@ -1,5 +1,5 @@
-//! When to retry: exponential backoff for a caller on its own, and a schedule for calls to a service that all gateways
-//! share.
+//! Retry times: exponential backoff with jitter for a single caller, and a schedule for calls to a service that all
+//! gateways share.
 
 use std::time::Duration;
 
@@ -11,13 +11,13 @@
     rng: fastrand::Rng,
     initial: Duration,
     max: Duration,
-    /// Upper bound of the next delay.
+    /// Upper bound of the next random delay.
     next_max: Duration,
 }
 
 impl Backoff {
-    /// Random delays of at least half of `initial`. The longest is `initial` at first, and doubles with each failure up to
-    /// `max`.
+    /// Creates a backoff whose delays are random and at least half of `initial`. Their upper bound is `initial` at
+    /// first and doubles with each failure, up to `max`.
     pub fn new(initial: Duration, max: Duration, seed: u64) -> Self {
         Backoff {
             rng: fastrand::Rng::with_seed(seed),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Delay before the next attempt, after one more failure.
+    /// Records a failure and returns the delay before the next attempt.
     #[must_use]
     pub fn next_delay(&mut self) -> Duration {
         let shortest = self.initial / 2;
@@ -40,34 +40,34 @@
         delay
     }
 
-    /// An attempt has succeeded.
+    /// Restores the initial delay after a success.
     pub fn reset(&mut self) {
         self.next_max = self.initial;
     }
 }
 
-/// Time between two attempts of one gateway, for each gateway of the fleet. An outage has all gateways call. Up to the
-/// longest interval, the service gets ten calls a second from all of them together.
+/// Time between two attempts of one gateway per gateway of the fleet. During an outage all gateways retry; as long as
+/// the interval is below its maximum, the service receives ten calls per second from the whole fleet.
 const INTERVAL_PER_GATEWAY: Duration = Duration::from_millis(100);
-/// Shortest time between two attempts of one gateway.
+/// Minimum time between two attempts of one gateway.
 const MIN_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Least time that an unanswered call runs before another is started beside it, as a share of the longest interval.
+/// Minimum time between the start of an unanswered call and that of the next, as a share of the maximum interval.
 const MIN_UNANSWERED_SHARE: f64 = 0.25;
 
-/// Spaces one gateway's attempts at a service that all gateways share, until one succeeds. The first interval is random,
-/// so that gateways that failed together do not retry together. All later ones are the same for every gateway: they
-/// keep the gateways apart, and none waits longer than the others.
+/// Spaces one gateway's attempts to call a service that all gateways share, until one succeeds. The first interval is
+/// random, so that gateways that failed at the same time do not retry at the same time. All later intervals are equal
+/// for every gateway: they preserve the spacing between gateways, and no gateway waits longer than the others.
 pub struct CallSchedule {
     rng: fastrand::Rng,
     interval: Duration,
     max_interval: Duration,
-    /// The first, random interval has been used, by a failure or by a second call beside an unanswered one.
+    /// True once the first, random interval was used by a failure or by a second call in flight.
     has_jittered: bool,
 }
 
 impl CallSchedule {
-    /// The schedule of one of this many gateways. The seed has to differ between them.
+    /// Creates the schedule of one gateway out of `gateway_count`. Each gateway needs a different seed.
     pub fn new(gateway_count: u32, max_interval: Duration, seed: u64) -> Self {
         let min_interval = MIN_INTERVAL.min(max_interval);
         let interval = (INTERVAL_PER_GATEWAY * gateway_count).clamp(min_interval, max_interval);
@@ -79,36 +79,36 @@
         }
     }
 
-    /// Time from the failure of an attempt that took this long to the next attempt.
+    /// Time from the failure of an attempt to the next attempt. `elapsed` is the duration of the failed attempt.
     #[must_use]
-    pub fn delay_after_failure(&mut self, took: Duration) -> Duration {
-        let fraction = self.fraction();
+    pub fn delay_after_failure(&mut self, elapsed: Duration) -> Duration {
+        let fraction = self.interval_fraction();
         self.has_jittered = true;
-        self.interval.saturating_sub(took).mul_f64(fraction)
+        self.interval.saturating_sub(elapsed).mul_f64(fraction)
     }
 
-    /// Time from the start of an attempt to the start of another one beside it, if there is no response; `only_one` if no
-    /// other attempt is in flight.
+    /// Time from the start of an unanswered attempt to the start of the next one. `is_only_call` is true if no other
+    /// attempt is in flight.
     ///
-    /// The interval is random while the call is the only one and none has failed. A second call in flight uses up the
-    /// random first interval, as a failure does: from then on the interval is the longest, until an attempt succeeds.
+    /// The interval is random while only one call is in flight and none has failed. A second call in flight uses up the
+    /// random first interval, as a failure does: from then on the maximum interval applies until an attempt succeeds.
     #[must_use]
-    pub fn unanswered_interval(&mut self, only_one: bool) -> Duration {
-        if !only_one {
+    pub fn unanswered_interval(&mut self, is_only_call: bool) -> Duration {
+        if !is_only_call {
             self.has_jittered = true;
         }
-        let fraction = self.fraction();
+        let fraction = self.interval_fraction();
         self.max_interval
             .mul_f64(MIN_UNANSWERED_SHARE + (1.0 - MIN_UNANSWERED_SHARE) * fraction)
     }
 
-    /// An attempt has succeeded. The next interval is random again, as all gateways may see the next failure together.
+    /// Makes the next interval random again after a success, because the next failure may affect all gateways at once.
     pub fn reset(&mut self) {
         self.has_jittered = false;
     }
 
-    /// Share of the interval to wait.
-    fn fraction(&mut self) -> f64 {
+    /// The share of the interval to wait: random for the first interval, 1 for later ones.
+    fn interval_fraction(&mut self) -> f64 {
         if self.has_jittered {
             1.0
         } else {
--- a/src/bin/quota-gateway/discovery/schedule/tests.rs
+++ b/src/bin/quota-gateway/discovery/schedule/tests.rs
@@ -2,7 +2,7 @@
 
 const MAX_INTERVAL: Duration = Duration::from_secs(4);
 
-/// When each gateway calls a service that fails all of them at the same time, in the first 20 s.
+/// For each gateway, the times of its calls in the first 20 s of an outage that starts for all gateways at once.
 fn attempt_times(gateway_count: u32) -> Vec<Vec<Duration>> {
     let attempts = |seed| {
         let mut call_schedule = CallSchedule::new(gateway_count, MAX_INTERVAL, seed);
@@ -14,9 +14,9 @@
     (0..gateway_count.into()).map(attempts).collect()
 }
 
-/// A shared service fails all gateways at once, and each retries at a short fixed interval. A large fleet then sends
-/// more calls than the service can answer, and none succeeds for as long as that goes on. The calls of the fleet are
-/// spread out over the longest interval.
+/// Guards against retries at a short fixed interval after a shared service has failed for all gateways at once: a large
+/// fleet would send more calls than the service can handle, and none would succeed. The calls of the fleet are spread
+/// over the maximum interval.
 #[test]
 fn gateways_that_fail_together_do_not_retry_together() {
     for gateway_count in [40, 100, 300, 720] {
@@ -33,10 +33,10 @@
     }
 }
 
-/// The service returns while a gateway waits for its next attempt. If that wait were too long, the gateway would miss
-/// changes past the propagation limit. No gateway waits longer than the longest interval.
+/// Guards against a gateway that waits too long for its next attempt after the service has recovered, and so misses
+/// changes past the propagation limit. No gateway waits longer than the maximum interval.
 #[test]
-fn no_gateway_waits_longer_than_the_longest_interval() {
+fn no_gateway_waits_longer_than_the_maximum_interval() {
     for gateway_count in [1, 3, 40, 300, 720] {
         for attempts in attempt_times(gateway_count) {
             assert!(
@@ -47,7 +47,7 @@
             );
             assert!(
                 attempts.last().unwrap() >= &(4 * MAX_INTERVAL),
-                "they go on"
+                "attempts must continue"
             );
         }
     }
--- a/src/bin/quota-gateway/discovery/updates.rs
+++ b/src/bin/quota-gateway/discovery/updates.rs
@@ -1,4 +1,4 @@
-//! The version of the endpoint list, and which updates apply to it.
+//! Tracks the version of the endpoint list and decides which updates apply to it.
 
 use super::error::DiscoveryError;
 use super::handler::EndpointListHandler;
@@ -9,16 +9,16 @@
 #[cfg(test)]
 mod tests;
 
-/// Passes updates of the endpoint list on to its owner, and keeps its version.
+/// Passes updates to the owner of the endpoint list and tracks the list's version.
 pub struct ListUpdates {
     version: Cell<u64>,
-    /// A change was missed, so that further changes don't apply: the complete list has to be fetched.
+    /// True if a change was missed. The complete list then has to be fetched before further changes can apply.
     incomplete: Cell<bool>,
     handler: Rc<dyn EndpointListHandler>,
 }
 
 impl ListUpdates {
-    /// The handler already has the list of this version.
+    /// Starts with the version of the list that the handler already has.
     pub fn new(version: u64, handler: Rc<dyn EndpointListHandler>) -> Self {
         ListUpdates {
             version: Cell::new(version),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The version of the list.
+    /// The version of the list in use.
     pub fn version(&self) -> u64 {
         self.version.get()
     }
@@ -37,16 +37,17 @@
         self.incomplete.get()
     }
 
-    /// A change was missed.
+    /// Records that a change was missed.
     pub fn mark_incomplete(&self) {
         self.incomplete.set(true);
     }
 
-    /// Applies a list or update from the watch.
+    /// Applies a complete list or an update from the watch.
     ///
     /// # Errors
     ///
-    /// An update that is older than the list changes nothing, and the complete list has to be fetched.
+    /// Fails on an update that is older than the current list. Such an update changes nothing, and the complete list
+    /// has to be fetched.
     pub fn apply_watched(&self, list: EndpointList) -> Result<(), DiscoveryError> {
         if !list.complete && list.version < self.version.get() {
             self.mark_incomplete();
@@ -56,15 +57,15 @@
         Ok(())
     }
 
-    /// Applies a complete list that was fetched ahead of a watch, even if the watch fails. With two calls at a time, the
-    /// later one may have had its list first: an older list changes nothing, unless a change was missed.
+    /// Applies a complete list that was fetched before the watch was requested. With two calls in flight, the later
+    /// call may receive its list first: a list older than the current one is ignored, unless a change was missed.
     pub fn apply_fetched(&self, list: EndpointList) {
         if self.is_incomplete() || list.version >= self.version.get() {
             self.apply(list);
         }
     }
 
-    /// Discovery has reported all changes up to now.
+    /// Tells the handler that discovery has reported all changes up to now.
     pub fn synced(&self) {
         self.handler.discovery_synced();
     }
--- a/src/bin/quota-gateway/discovery/updates/tests.rs
+++ b/src/bin/quota-gateway/discovery/updates/tests.rs
@@ -1,4 +1,4 @@
-//! Which lists apply.
+//! Tests of which lists apply.
 
 use super::ListUpdates;
 use crate::discovery::list::{EndpointEntries, EndpointList};
@@ -6,7 +6,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Records the versions that it gets.
+/// A handler that records the versions of the lists it receives.
 #[derive(Default)]
 struct Versions(RefCell<Vec<u64>>);
 
@@ -26,15 +26,15 @@
     }
 }
 
-/// Two calls fetch the list at a time, and the older list arrives last. Applied, it would revive endpoints that drain
-/// by the newer one. It changes nothing, unless a change was missed: then any complete list applies, as another
-/// discovery may number its versions differently.
+/// Guards against an older list that arrives last when two calls fetch the list concurrently. Applied, it would make
+/// endpoints ready that are draining in the newer list. An older list is ignored, unless a change was missed: then any
+/// complete list applies, because another discovery service may number its versions differently.
 #[test]
-fn a_fetched_list_older_than_the_present_one_changes_nothing() {
+fn a_fetched_list_older_than_the_current_one_changes_nothing() {
     let versions = Rc::new(Versions::default());
     let updates = ListUpdates::new(7, versions.clone());
     updates.mark_incomplete();
-    // Another discovery may count from elsewhere.
+    // Another discovery service may use lower version numbers.
     updates.apply_fetched(list(3, true));
     updates.apply_fetched(list(5, true));
     updates.apply_fetched(list(4, true));
@@ -43,10 +43,11 @@
     assert_eq!(updates.version(), 5);
 }
 
-/// A watch sends a change that is older than the list, as after a restart of discovery from old data. Applied, it would
-/// undo newer changes. It changes nothing, and the complete list is fetched, which applies whatever its version.
+/// Guards against a watch event older than the current list, for instance after a restart of discovery from old data.
+/// Applied, it would undo newer changes. The event is ignored and the complete list is fetched, which applies whatever
+/// version it has.
 #[test]
-fn a_stale_change_on_a_watch_has_the_complete_list_fetched() {
+fn a_stale_change_on_a_watch_requires_the_complete_list() {
     let versions = Rc::new(Versions::default());
     let updates = ListUpdates::new(7, versions.clone());
     assert!(updates.apply_watched(list(6, false)).is_err());
--- a/src/bin/quota-gateway/discovery/watch.rs
+++ b/src/bin/quota-gateway/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! An open watch: reads its events and applies the lists in them.
+//! Reads the events of an open watch and applies the lists in them.
 
 use super::error::DiscoveryError;
 use super::framing::{Frame, ObjectFramer};
@@ -9,14 +9,15 @@
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// Silence after which a watch counts as broken. Discovery writes an empty line every 2 s, and the protocol counts a
-/// gateway as notified 6 s after a change, whether or not its watch was broken.
+/// Time without received data after which a watch counts as broken. Discovery writes an empty line every 2 s, and the
+/// protocol counts a gateway as notified 6 s after a change, whether or not its watch was broken.
 pub const IDLE_TIMEOUT: Duration = Duration::from_millis(2400);
-/// Bytes of an unfinished object that keep a watch alive. Fewer do not, as a peer could send an object that never ends;
-/// a long list takes longer than the time-out.
+/// Number of bytes of an unfinished object that restart the idle timeout. A long list may take longer than the timeout
+/// to arrive; fewer bytes do not count, because a peer could send an object that never ends.
 const KEEPALIVE_BYTES: usize = 256 * 1024;
 
-/// Applies what a watch reports until it ends, and returns why it ended. The head of its response has been read.
+/// Applies the events of a watch until it ends, and returns the reason for its end. `reader` has already read the head
+/// of the watch's response.
 pub async fn follow(mut reader: Reader<Socket>, updates: &ListUpdates) -> DiscoveryError {
     let mut events = WatchEvents {
         framer: ObjectFramer::default(),
@@ -65,17 +66,17 @@
             .inspect_err(|_| self.updates.mark_incomplete())
     }
 
-    /// Parses an event. The change in an invalid event is missed: the complete list has to be fetched.
+    /// Parses an event. The change in an invalid event is lost, so the complete list has to be fetched.
     fn parse(&mut self, text: &[u8]) -> Result<EndpointList, DiscoveryError> {
         let list = serde_json::from_slice(text).inspect_err(|_| self.updates.mark_incomplete())?;
         Ok(list)
     }
 }
 
-/// Detects a broken watch: nothing arrives, or only pieces of an object that never ends.
+/// Detects a broken watch, on which nothing arrives or only pieces of an object that never ends.
 struct IdleTimer {
     deadline: Instant,
-    /// Bytes of an unfinished object received since the deadline was set.
+    /// Number of bytes of an unfinished object received since the deadline was set.
     unfinished_bytes: usize,
 }
 
