--- a/src/bin/quota-gateway/server/accept.rs
+++ b/src/bin/quota-gateway/server/accept.rs
@@ -1,14 +1,14 @@
-//! Accepts clients. Each connection takes one of the `slots`.
+//! Accepts connections from clients. Each connection takes one of the slots (`slots`).
 //!
-//! Failures that this module guards against:
+//! This module guards against three failures:
 //!
-//! - A lack of descriptors or memory makes `accept` fail in a tight loop that starves the other tasks. It is retried
-//!   after a delay.
-//! - While `accept` fails, clients wait in the queue with their requests sent. Read afterwards as if they had just
-//!   arrived, those would propagate more time than their clients have left. The queue keeps the time since when a client
-//!   may have waited.
-//! - When the listener closes in the shutdown, the system resets the connections that wait in its queue, and requests on
-//!   them are lost. The queue is emptied first.
+//! - Without free descriptors or memory, `accept` fails in a tight loop that starves the other tasks. After such an
+//!   error, `accept` is retried after a delay.
+//! - While `accept` fails, clients wait in the listener's queue and may have sent their requests. If those requests
+//!   counted as having arrived when they are read, more remaining time would be propagated than their clients have
+//!   left. [`AcceptQueue`] keeps the time since which a client may have waited.
+//! - When the listener closes during shutdown, the system resets the connections in its queue, and requests on them are
+//!   lost. The queue is emptied first.
 
 use super::client::Client;
 use super::Server;
@@ -26,13 +26,14 @@
 use tokio::task::{yield_now, JoinHandle};
 use tokio::time::{sleep, Instant};
 
-/// Delay after an error that concerns all connections, such as a lack of descriptors in the system.
+/// Delay after an error that affects all connections, such as exhausted file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
-/// Most consecutive errors that are taken for errors of one connection each. With more, the error concerns all.
+/// Number of consecutive errors from which on the cause is assumed to affect all connections. With fewer, each error is
+/// attributed to the connection that it removed from the queue.
 const MAX_ERRORS_WITHOUT_DELAY: u32 = 64;
 
-/// The task that accepts clients. It ends by itself in `NoNewConnections`, once it has accepted all that had connected
-/// before.
+/// The task that accepts clients. It ends in the phase `NoNewConnections`, after accepting all clients that had
+/// connected before.
 pub struct Acceptor {
     task: Option<JoinHandle<()>>,
 }
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Returns when the task has ended.
+    /// Waits until the task has ended.
     pub async fn ended(&mut self) {
         if let Some(task) = &mut self.task {
             let _ = task.await;
@@ -54,10 +55,10 @@
     }
 }
 
-/// The listener's queue of connections.
+/// The listener's queue of connections that have not been accepted.
 struct AcceptQueue {
     listener: TcpListener,
-    /// When accepting failed first since the queue was last empty.
+    /// Time of the first accept error since the queue was last empty.
     backlog_since: Option<Instant>,
 }
 
@@ -69,7 +70,7 @@
         }
     }
 
-    /// The next connection.
+    /// Accepts the next connection.
     async fn next(&mut self) -> io::Result<Socket> {
         poll_fn(|cx| {
             let accepted = self.listener.poll_accept(cx);
@@ -81,21 +82,21 @@
         .await
     }
 
-    /// Accepting has failed: the clients in the queue have to wait.
+    /// Records an accept error, after which the clients in the queue have to wait.
     fn record_accept_failure(&mut self) {
         self.backlog_since.get_or_insert_with(Instant::now);
     }
 
-    /// The earliest time at which bytes that a connection has sent by now may have arrived, if it may have waited in
-    /// the queue with them.
+    /// The earliest possible arrival time of the unread bytes on a connection that may have waited in the queue. `None`
+    /// if the connection did not wait or has no unread bytes.
     fn earliest_arrival(&self, socket: &Socket) -> Option<Instant> {
         self.backlog_since
             .filter(|_| socket.peek() == PeekResult::Data)
     }
 }
 
-/// Waits for a lack of resources to pass. Most other errors concern the connection that they remove from the queue, so
-/// that the next one may be accepted at once.
+/// Waits after an accept error if resources are exhausted. Most other errors concern only the connection that they
+/// remove from the queue, so the next one may be accepted at once.
 async fn delay_after_error(error: &io::Error, consecutive_errors: u32) {
     if lacks_resources(error) || consecutive_errors >= MAX_ERRORS_WITHOUT_DELAY {
         sleep(ACCEPT_RETRY_DELAY).await;
@@ -105,8 +106,8 @@
 }
 
 impl Server {
-    /// Accepts clients until the shutdown reaches `NoNewConnections`, at most as many as there are slots. Those that
-    /// have connected by then are still accepted, whatever errors come between.
+    /// Accepts clients until the shutdown reaches `NoNewConnections`, and rejects those without a slot. Clients that
+    /// have connected by then are still accepted, even if errors occur in between.
     async fn accept(self: Rc<Self>, listener: TcpListener) {
         let warning = RateLimitedWarning::default();
         let mut phase = self.lifecycle.subscribe();
@@ -114,7 +115,7 @@
         let mut queue = AcceptQueue::new(listener);
         for number in 0.. {
             let accepted = tokio::select! {
-                // The queue first: the shutdown ends the loop only once the queue is empty.
+                // The queue is polled first, so that the shutdown ends the loop only once the queue is empty.
                 biased;
                 accepted = queue.next() => accepted,
                 _ = phase.wait_for(|phase| *phase >= Phase::NoNewConnections) => return,
@@ -135,23 +136,24 @@
         }
     }
 
-    /// Serves a new connection, or rejects it if there is no slot for it.
+    /// Serves a new connection, or rejects it if no slot is available.
     async fn serve_if_slot(self: &Rc<Self>, number: u64, socket: Socket, queue: &AcceptQueue) {
         let metrics = self.driver.metrics();
         metrics.connections_accepted.inc();
         let Some(slot) = self.acquire_slot().await else {
-            // A broken connection needs no response.
+            // An error means that the connection is broken, so that no response is needed.
             let _ = socket.write_at_once(self.no_slot_response.as_bytes());
             metrics.connections_ended.increment(ConnectionEnd::NoSlot);
             return;
         };
         let client = Rc::new(Client::new(queue.earliest_arrival(&socket)));
         self.spawn_client(number, socket, client, slot);
-        // The client's task runs, and reads a request that has arrived, before the next client can evict it as idle.
+        // The client's task runs first and reads a request that has already arrived. Otherwise the next connection
+        // could evict this client as idle.
         yield_now().await;
     }
 
-    /// Starts the task of one client, which holds the slot until the connection is closed.
+    /// Starts the task of a client, which holds the slot until the connection is closed.
     fn spawn_client(
         self: &Rc<Self>,
         number: u64,
--- a/src/bin/quota-gateway/server/body.rs
+++ b/src/bin/quota-gateway/server/body.rs
@@ -1,4 +1,4 @@
-//! The bodies of requests: which are allowed, and reading them.
+//! Checks and reads the bodies of requests.
 
 use super::request::{ClassRoute, RequestError};
 use super::Server;
@@ -10,7 +10,7 @@
 use hyper::Method;
 use tokio::time::{timeout_at, Instant};
 
-/// Checks what is known of a body before it is read.
+/// Checks a body before it is read, by its announced length and by the method of the class.
 pub fn check_body(class: &ClassRoute, body: &Incoming) -> Result<(), RequestError> {
     if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(RequestError::BodyTooLarge);
@@ -22,7 +22,7 @@
 }
 
 impl Server {
-    /// The complete body; `None` if requests are refused before it has arrived.
+    /// Reads the complete body. Returns `None` if the shutdown refuses requests before the body has arrived.
     pub(super) async fn read_body_unless_refusing(
         &self,
         body: Incoming,
@@ -32,7 +32,7 @@
             return Ok(Some(Bytes::new()));
         }
         tokio::select! {
-            // A body that has arrived is served rather than refused.
+            // The body is polled first, so that a request whose body has arrived is served rather than refused.
             biased;
             body = read_body(body, deadline) => body.map(Some),
             () = self.lifecycle.reached(Phase::Refusing) => Ok(None),
@@ -40,7 +40,7 @@
     }
 }
 
-/// Reads a request's body, which must be complete by the deadline.
+/// Reads a body, which must be complete by the deadline.
 async fn read_body(body: Incoming, deadline: Instant) -> Result<Bytes, RequestError> {
     match timeout_at(deadline, Limited::new(body, MAX_BODY_BYTES).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
--- a/src/bin/quota-gateway/server/client/head_end_counter.rs
+++ b/src/bin/quota-gateway/server/client/head_end_counter.rs
@@ -1,12 +1,12 @@
-//! Finds out whether more than one head has arrived, without parsing.
+//! Counts the request heads in a stream without parsing them.
 
 use std::cell::Cell;
 
-/// Counts the empty lines in a stream. Each head ends with one; empty lines in bodies are counted, too.
+/// Counts the empty lines in a stream. Each head ends with an empty line; empty lines in bodies are counted as well.
 #[derive(Default)]
 pub struct HeadEndCounter {
     count: Cell<u64>,
-    /// The line that has begun is not empty.
+    /// True if the current line is not empty.
     line_has_text: Cell<bool>,
 }
 
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Number of empty lines so far.
+    /// Number of empty lines scanned so far.
     pub fn count(&self) -> u64 {
         self.count.get()
     }
--- a/src/bin/quota-gateway/server/client_stream.rs
+++ b/src/bin/quota-gateway/server/client_stream.rs
@@ -1,16 +1,18 @@
-//! A client's stream that notices a disconnect while a request is being served.
+//! A client's stream that detects a disconnect while a request is being served.
 //!
-//! Failure: a client sends its request and more bytes behind it, and disconnects. hyper stops reading once it has bytes
-//! of the next request, so nobody sees the end of the stream, and attempts and retries go on for a client that will not
-//! read the response. It shows as attempts that are written over 0.1 s after the disconnect.
+//! Guards against a client that sends pipelined bytes after its request and disconnects. hyper stops reading once it
+//! has bytes of the next request, so the end of the stream would not be detected, and attempts and retries would
+//! continue for a client that will not read the response: attempts would be written more than 0.1 s after the
+//! disconnect.
 //!
-//! While a request is being served the connection therefore reads on by itself, in three steps:
+//! While a request is being served, the connection therefore reads from the socket itself:
 //!
-//! 1. What the client sends ahead is buffered within the bounds of `read_ahead`, for hyper to read later.
-//! 2. A client that exceeds its own bound has what follows discarded; its later requests end there.
-//! 3. If the budget of all clients is used up nothing is read, and the system is polled for the end. The system sees
-//!    the end only once all bytes before it fit into its receive buffer, so the bytes of a client with more unread are
-//!    discarded, too.
+//! 1. Pipelined bytes are buffered within the limits of `read_ahead`, and hyper reads them later.
+//! 2. Once a client exceeds its own limit, all further bytes are discarded. Requests in the discarded bytes are not
+//!    served.
+//! 3. Once the budget of all clients is used up, nothing is read, and the system is polled for the end of the stream.
+//!    The system detects the end only if all bytes before it fit into its receive buffer, so the bytes of a client with
+//!    more than [`MAX_UNREAD_BYTES`] unread are discarded as well.
 
 use super::client::Client;
 use super::read_ahead::{ReadAheadBudget, ReadAheadBuffer};
@@ -28,20 +30,20 @@
 #[cfg(test)]
 mod tests;
 
-/// Interval at which the system is polled for the end of a client that is not read. A disconnect has to be noticed
-/// within 0.1 s, as an attempt that is written later breaks a rule.
+/// Interval at which the system is polled for a disconnect of a client that is not being read. A disconnect has to be
+/// detected within 0.1 s, because an attempt that is written later breaks a rule.
 const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(40);
-/// With this much unread a client is read and its bytes are discarded. It is less than the system's receive buffer
-/// holds, so that the end of the stream always fits in behind it.
+/// Number of unread bytes from which on the bytes of a client are read and discarded. The system's receive buffer holds
+/// more, so that the end of the stream always fits in.
 const MAX_UNREAD_BYTES: usize = 32 * 1024;
-/// Most bytes of one client that are discarded, to bound the work.
+/// Maximum number of discarded bytes of one client, which bounds the work.
 const MAX_DISCARDED_BYTES: u64 = 64 << 20;
-/// Size of one read into the buffer.
+/// Size of one read into the read-ahead buffer.
 const READ_BUFFER_BYTES: usize = 4096;
 /// Size of one read of bytes that are discarded.
 const DISCARD_BUFFER_BYTES: usize = 16 * 1024;
 
-/// The stream. Clones are handles of the same one: hyper holds one, the connection's loop the other.
+/// A client's stream. Clones are handles of the same stream: hyper holds one, the connection's loop another.
 #[derive(Clone)]
 pub struct ClientStream {
     state: Rc<RefCell<StreamState>>,
@@ -50,18 +52,19 @@
 struct StreamState {
     socket: Socket,
     client: Rc<Client>,
-    /// Read while a request was served, and not yet taken by hyper.
+    /// Bytes that were read while a request was being served and that hyper has not read yet.
     read_ahead: ReadAheadBuffer,
     budget: ReadAheadBudget,
     next_poll: Pin<Box<Sleep>>,
-    /// Bytes behind `read_ahead` that were discarded. Once there are any, hyper sees the end of the stream before them.
+    /// Number of bytes after `read_ahead` that were discarded. If there are any, hyper reads the end of the stream in
+    /// their place.
     discarded: u64,
-    /// The client has closed its side, or the connection broke.
+    /// True if the client has closed its side or the connection is broken.
     ended: bool,
 }
 
 impl StreamState {
-    /// Buffers what the client sends ahead, or notices its end.
+    /// Reads and buffers pipelined bytes, or detects the end of the stream.
     fn poll_read_ahead(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         let mut space = [0; READ_BUFFER_BYTES];
         let mut buffer = ReadBuf::new(&mut space);
@@ -71,12 +74,12 @@
             self.ended = true;
         } else {
             self.read_ahead.push(bytes);
-            self.client.set_sent_ahead(self.read_ahead.len());
+            self.client.set_pipelined_bytes(self.read_ahead.len());
         }
         Poll::Ready(())
     }
 
-    /// Reads and discards what the client sends ahead, or notices its end.
+    /// Reads and discards pipelined bytes, or detects the end of the stream.
     fn poll_discard(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         let mut space = [0; DISCARD_BUFFER_BYTES];
         let mut buffer = ReadBuf::new(&mut space);
@@ -87,7 +90,7 @@
         Poll::Ready(())
     }
 
-    /// Asks the system for the client's end, at the next interval.
+    /// Asks the system at the next interval whether the client has closed its side.
     fn poll_peer_closed(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         ready!(self.next_poll.as_mut().poll(cx));
         self.next_poll.set(sleep(DISCONNECT_POLL_INTERVAL));
@@ -95,7 +98,7 @@
         Poll::Ready(())
     }
 
-    /// Takes one step towards the client's end, as described at the head of this module.
+    /// Makes one step towards the end of the stream, by the rules in the module documentation.
     fn poll_for_end(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         let is_discarding = self.discarded > 0 || self.read_ahead.is_full();
         if is_discarding && self.discarded < MAX_DISCARDED_BYTES {
@@ -114,18 +117,18 @@
         Poll::Ready(())
     }
 
-    /// Hands on bytes sent ahead that arrived together.
+    /// Moves buffered bytes that arrived together into `buf`.
     fn take_read_ahead(&mut self, buf: &mut ReadBuf<'_>) {
         if let Some(arrival) = self.read_ahead.take(buf.remaining()) {
             buf.put_slice(&arrival.bytes);
             self.client.bytes_read(&arrival.bytes, arrival.at);
-            self.client.set_sent_ahead(self.read_ahead.len());
+            self.client.set_pipelined_bytes(self.read_ahead.len());
         }
     }
 }
 
 impl ClientStream {
-    /// Counts what is sent ahead towards the budget, and records in `client` what is read.
+    /// Wraps a socket. Buffered bytes count towards `budget`, and reads are recorded in `client`.
     pub fn new(socket: Socket, client: Rc<Client>, budget: ReadAheadBudget) -> Self {
         let state = StreamState {
             socket,
@@ -141,8 +144,8 @@
         }
     }
 
-    /// Ready once the client has closed its side or the connection broke. What it sent before is kept, up to a
-    /// bound.
+    /// Ready once the client has closed its side or the connection is broken. Bytes sent before are buffered, up to a
+    /// limit.
     pub fn poll_disconnected(&self, cx: &mut Context<'_>) -> Poll<()> {
         let state = &mut *self.state.borrow_mut();
         while !state.ended {
@@ -151,17 +154,17 @@
         Poll::Ready(())
     }
 
-    /// True if the system has bytes of the client that nobody has read, whether or not the runtime knows of them.
+    /// True if the system has received bytes that were not read, even if the runtime was not notified of them yet.
     pub fn has_unread_bytes(&self) -> bool {
         self.state.borrow().socket.peek() == PeekResult::Data
     }
 
-    /// True once the client is known to have closed its side, or the connection to be broken.
+    /// True if the client is known to have closed its side or the connection is known to be broken.
     pub fn has_disconnected(&self) -> bool {
         self.state.borrow().ended
     }
 
-    /// Another handle of its socket.
+    /// Returns another handle of the socket.
     pub fn socket(&self) -> Socket {
         self.state.borrow().socket.clone()
     }
--- a/src/bin/quota-gateway/server/client_stream/tests.rs
+++ b/src/bin/quota-gateway/server/client_stream/tests.rs
@@ -1,4 +1,4 @@
-//! A client's disconnect is noticed behind bytes that nobody reads.
+//! Tests that a client's disconnect is detected after bytes that are not read.
 
 use super::{ClientStream, ReadAheadBudget, DISCONNECT_POLL_INTERVAL};
 use crate::server::client::Client;
@@ -12,8 +12,8 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// A client and the server's stream of it, with the budget for bytes sent ahead used up.
-fn connect_without_room() -> (std::net::TcpStream, ClientStream, ReadAheadBudget) {
+/// Returns a client and the server's stream of it, with the read-ahead budget used up.
+fn connect_without_budget() -> (std::net::TcpStream, ClientStream, ReadAheadBudget) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let (stream, _) = listener.accept().unwrap();
@@ -25,20 +25,21 @@
     (client, stream, budget)
 }
 
-/// The budget for bytes sent ahead is used up, so a client's bytes stay unread, and it closes its side or resets the
-/// connection. Unnoticed, its request would be sent on for nobody. The disconnect is noticed without reading, and a
-/// client that stays is not taken for one that left. On the paused clock; bytes on loopback arrive at once.
+/// Guards against sending requests on after their client has closed its side or reset the connection, with the
+/// read-ahead budget used up and bytes of the client unread. The disconnect is detected without reading, and a client
+/// that stays connected is not mistaken for a disconnected one. Uses the paused clock; bytes on loopback arrive at
+/// once.
 #[tokio::test(start_paused = true)]
-async fn a_disconnect_is_noticed_behind_unread_bytes() {
+async fn a_disconnect_is_detected_after_unread_bytes() {
     for reset in [false, true] {
-        let (mut client, stream, budget) = connect_without_room();
+        let (mut client, stream, budget) = connect_without_budget();
         client.write_all(b"GET /look").unwrap();
         let disconnected = || poll_fn(|cx| stream.poll_disconnected(cx));
         assert!(
             timeout(20 * DISCONNECT_POLL_INTERVAL, disconnected())
                 .await
                 .is_err(),
-            "it has not disconnected"
+            "the client has not disconnected"
         );
         if reset {
             socket2::SockRef::from(&client)
@@ -50,21 +51,21 @@
         }
         timeout(3 * DISCONNECT_POLL_INTERVAL, disconnected())
             .await
-            .expect("it has disconnected");
+            .expect("the client has disconnected");
         assert_eq!(budget.used(), MAX_TOTAL_BYTES, "nothing was read");
     }
 }
 
-/// The same, with more unread than the system's buffers hold: the system itself does not know of the end. The bytes are
-/// read and discarded up to the end, and the disconnect is noticed.
+/// Guards against the same failure with more unread bytes than the system's buffers hold, so that the system itself
+/// does not know of the disconnect. The bytes are read and discarded up to the end, and the disconnect is detected.
 #[tokio::test]
-async fn a_disconnect_is_noticed_behind_megabytes_though_the_budget_is_used_up() {
-    let (mut client, stream, budget) = connect_without_room();
+async fn a_disconnect_is_detected_after_megabytes_with_the_budget_used_up() {
+    let (mut client, stream, budget) = connect_without_budget();
     let sending = std::thread::spawn(move || client.write_all(&vec![b'x'; 4 << 20]));
     let disconnected = poll_fn(|cx| stream.poll_disconnected(cx));
     timeout(Duration::from_secs(10), disconnected)
         .await
-        .expect("it has disconnected");
-    assert!(sending.join().unwrap().is_ok(), "all of it was read");
-    assert_eq!(budget.used(), MAX_TOTAL_BYTES, "nothing was kept");
+        .expect("the client has disconnected");
+    assert!(sending.join().unwrap().is_ok(), "all bytes were read");
+    assert_eq!(budget.used(), MAX_TOTAL_BYTES, "nothing was buffered");
 }
--- a/src/bin/quota-gateway/server/connection.rs
+++ b/src/bin/quota-gateway/server/connection.rs
@@ -1,8 +1,8 @@
-//! One client's connection: HTTP/1.1 by hyper, from the first byte to the close.
+//! Serves one client's connection with hyper's HTTP/1.1 implementation, from the first byte to the close.
 //!
-//! - `close_reason`: when and why the gateway closes it
+//! - `close_reason`: the reasons for which the gateway closes the connection
 //! - `head_timer`: the time limit for the head of the next request
-//! - `linger`: the close behind a last response
+//! - `linger`: the lingering close after the last response
 
 mod close_reason;
 mod head_timer;
@@ -28,7 +28,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::task::yield_now;
 
-/// Largest head of a request.
+/// Maximum size of a request's head.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 
 impl Server {
@@ -41,16 +41,16 @@
                 () = &mut connection => return,
                 () = client.evicted() => {}
             }
-            // Failure: the client sent a request while the process was stalled, and is evicted as idle before the
-            // request is read. It sees its connection closed without a response.
-            // Yielding has the runtime poll the sockets, and polling the connection reads what they have; only then
-            // is the client asked again whether anything is owed to it.
+            // Guards against closing a connection without a response because its client sent a request while the
+            // process was stalled and is evicted as idle before the request is read. Yielding makes the runtime poll
+            // the sockets, and polling the connection reads the bytes that have arrived. Only then is the client's
+            // state checked.
             yield_now().await;
             let ended = poll_fn(|cx| Poll::Ready(connection.as_mut().poll(cx).is_ready())).await;
             if ended {
                 return;
             }
-            if !client.is_owed_response() {
+            if !client.awaits_response() {
                 return self.record_end(ConnectionEnd::Evicted);
             }
         }
@@ -61,12 +61,13 @@
         tracing::debug!(reason = %end, "client connection closed");
     }
 
-    /// Reports a connection that ended under a complete request without a response, unless its client disconnected.
+    /// Reports a connection that ended while a complete request had no response, unless the client disconnected.
     fn report_unanswered_close(&self, client: &Client, stream: &ClientStream) {
         if client.is_being_served() && !stream.has_disconnected() {
-            self.driver
-                .rule_checker()
-                .report(Rule::CloseUnanswered, "the connection ended first");
+            self.driver.rule_checker().report(
+                Rule::CloseUnanswered,
+                "the connection ended before the response",
+            );
         }
     }
 
@@ -74,7 +75,7 @@
         let stream = ClientStream::new(socket, client.clone(), self.read_ahead.clone());
         let reason = self.serve_requests(&stream, client).await;
         if matches!(reason, CloseReason::PartialRequest) {
-            // A broken connection needs no response.
+            // An error means that the connection is broken, so that no response is needed.
             let _ = stream
                 .socket()
                 .write_all(response::incomplete_at_shutdown().as_bytes())
@@ -107,20 +108,20 @@
                 poll_close_reason(served, current_phase, stream, client, &mut head_timer, cx)
             });
             let reason = tokio::select! {
-                // Bytes that have arrived are read before the connection counts as idle.
+                // The connection is polled first, so that bytes that have arrived are read before it counts as idle.
                 biased;
                 reason = close_reason => reason,
-                // Fails only once the process has no lifecycle any more.
+                // `changed` fails only after the lifecycle was dropped.
                 Ok(()) = phase.changed() => continue,
             };
             if !reason.is_revocable() {
                 break reason;
             }
-            // Failure: a request arrives together with the time-out or the end of an idle connection, usually during
-            // a stall of the process, and the connection is closed with the request unread. The client sees a close
-            // or a reset without a response.
-            // Yielding has the runtime poll the sockets, polling the connection reads what they have, and the peek
-            // asks the system for what arrived since. Nothing is awaited between the peek and the decision to close.
+            // Guards against closing a connection with an unread request that arrived at the time of the timeout or of
+            // the shutdown, usually during a stall of the process. The client would observe a close or a reset without
+            // a response. Yielding makes the runtime poll the sockets, polling the connection reads the bytes that have
+            // arrived, and the peek asks the system for bytes that arrived since. Nothing is awaited between the peek
+            // and the decision to close.
             yield_now().await;
             if poll_fn(|cx| Poll::Ready(connection.poll_without_shutdown(cx).is_ready())).await {
                 break CloseReason::Finished;
@@ -130,7 +131,8 @@
             }
         };
         self.record_end(reason.metric_label(*phase.borrow()));
-        // Checked while hyper's connection still holds the open request: dropping it ends the request.
+        // The check has to run while hyper's connection still holds the open request, because dropping the connection
+        // ends the request.
         if matches!(reason, CloseReason::Finished) {
             self.report_unanswered_close(client, stream);
         }
--- a/src/bin/quota-gateway/server/connection/close_reason.rs
+++ b/src/bin/quota-gateway/server/connection/close_reason.rs
@@ -1,4 +1,4 @@
-//! When and why the gateway closes a client's connection.
+//! The reasons for which the gateway closes a client's connection.
 
 use super::head_timer::{is_expired, HeadTimer};
 use crate::lifecycle::Phase;
@@ -7,22 +7,22 @@
 use crate::server::client_stream::ClientStream;
 use std::task::{Context, Poll};
 
-/// Why no more requests are served on a connection.
+/// The reason for which no more requests are served on a connection.
 pub enum CloseReason {
     /// hyper has ended the connection.
     Finished,
     /// The client disconnected while its request was being served.
     ClientDisconnected,
-    /// The client has sent no complete head in time.
+    /// The client did not send a complete head in time.
     HeadTimeout,
-    /// The process ends, and nothing is owed to the client.
+    /// The process is shutting down, and the client has no request open and awaits no response.
     Drained,
-    /// The process ends, and a request has arrived in part. It is answered with 503.
+    /// The process is shutting down, and only a part of a request has arrived. The client receives a 503.
     PartialRequest,
 }
 
 impl CloseReason {
-    /// True if a request that arrives in the last moment keeps the connection open.
+    /// True if the connection stays open for a request that arrives just before the close.
     pub fn is_revocable(&self) -> bool {
         match self {
             CloseReason::Finished | CloseReason::ClientDisconnected => false,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Whether a reason that was found before still applies.
+    /// True if a reason that was determined earlier still applies.
     pub fn still_applies(&self, phase: Phase, client: &Client) -> bool {
         match self {
             CloseReason::Finished | CloseReason::ClientDisconnected => true,
@@ -40,8 +40,8 @@
         }
     }
 
-    /// True if the client may still be sending behind its last response. The other connections are closed at once,
-    /// with what they have unread: a request that crosses the close is not answered, so its client may retry it.
+    /// True if the client may still be sending after its last response. All other connections are closed at once, with
+    /// their unread bytes: a request that is in transit during the close gets no response, so its client may retry it.
     pub fn may_still_be_sending(&self) -> bool {
         match self {
             CloseReason::Finished | CloseReason::PartialRequest => true,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The reason as metrics and the log have it.
+    /// The label of the reason in metrics and log lines.
     pub fn metric_label(&self, phase: Phase) -> ConnectionEnd {
         match self {
             CloseReason::ClientDisconnected => ConnectionEnd::ClientDisconnected,
@@ -64,7 +64,7 @@
     }
 }
 
-/// Whether a connection closes as the process ends: nothing is owed to its client. One that has not sent its first
+/// True if the shutdown may close the connection because its client is not busy. A client that has not sent its first
 /// request is waited for until requests are refused.
 fn is_drained(phase: Phase, client: &Client) -> bool {
     !client.is_busy()
@@ -72,12 +72,12 @@
         && (client.has_sent_request() || phase >= Phase::Refusing)
 }
 
-/// Whether a connection is refused as the process ends: a request has arrived in part, and nothing else is owed.
+/// True if the shutdown refuses requests, a part of a request has arrived, and no response is due on the connection.
 fn has_only_partial_request(phase: Phase, client: &Client) -> bool {
-    phase >= Phase::Refusing && client.has_begun_head() && !client.is_owed_response()
+    phase >= Phase::Refusing && client.has_partial_head() && !client.awaits_response()
 }
 
-/// Ready once there is a reason to close the connection. `hyper_ended` says that hyper has ended it.
+/// Ready once there is a reason to close the connection. `hyper_ended` is true if hyper has ended the connection.
 pub fn poll_close_reason(
     hyper_ended: bool,
     phase: Phase,
@@ -89,7 +89,7 @@
     if hyper_ended {
         return Poll::Ready(CloseReason::Finished);
     }
-    // hyper stops reading once it has bytes of the next request, and would not notice a disconnect behind them.
+    // hyper stops reading once it has bytes of the next request, and would not detect a disconnect after them.
     if client.is_being_served() && stream.poll_disconnected(cx).is_ready() {
         return Poll::Ready(CloseReason::ClientDisconnected);
     }
--- a/src/bin/quota-gateway/server/connection/head_timer.rs
+++ b/src/bin/quota-gateway/server/connection/head_timer.rs
@@ -7,24 +7,24 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant, Sleep};
 
-/// Interval at which the timer checks a client that has a request open, and so no limit for the next head yet.
+/// Interval at which the timer checks a client with an open request, which has no deadline for the next head yet.
 const DEADLINE_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Wakes a connection at its client's deadline for a complete head.
+/// Wakes a connection's task at the client's deadline for the next head.
 pub struct HeadTimer {
     timer: Pin<Box<Sleep>>,
 }
 
 impl HeadTimer {
-    /// A timer for the client's present deadline.
+    /// Starts a timer for the client's current deadline.
     pub fn new(client: &Client) -> Self {
         HeadTimer {
             timer: Box::pin(sleep_until(next_check(client))),
         }
     }
 
-    /// Ready once the client's deadline has passed. Each request moves the deadline; the timer is reset only when it
-    /// fires, because a reset for each request costs more than a timer that fires early now and then.
+    /// Ready once the client's deadline has passed. Each request moves the deadline, but the timer is reset only when
+    /// it fires, because a reset per request costs more than a timer that occasionally fires early.
     pub fn poll_expired(&mut self, client: &Client, cx: &mut Context<'_>) -> Poll<()> {
         while self.timer.as_mut().poll(cx).is_ready() {
             if is_expired(client) {
@@ -42,7 +42,7 @@
         .unwrap_or_else(|| Instant::now() + DEADLINE_CHECK_INTERVAL)
 }
 
-/// Whether the client's deadline for a complete head has passed.
+/// True if the client's deadline for the next head has passed.
 pub fn is_expired(client: &Client) -> bool {
     client
         .head_deadline()
--- a/src/bin/quota-gateway/server/connection/linger.rs
+++ b/src/bin/quota-gateway/server/connection/linger.rs
@@ -1,9 +1,9 @@
-//! The lingering close behind a last response.
+//! The lingering close of a connection after its last response.
 //!
-//! Failure: a connection is closed while its client is still sending, for instance a body that was too long. The system
-//! answers the bytes that arrive afterwards with a reset, which discards the response that the client has not read yet:
-//! it sees a broken connection in place of its 413. So the gateway closes its sending side only, and reads and discards
-//! what comes until the client has closed, too.
+//! Guards against losing the response when a connection is closed while its client is still sending, for instance a
+//! body that is too long. The system responds to bytes that arrive after the close with a reset, and the reset discards
+//! a response that the client has not read yet: the client observes a broken connection instead of a 413. The gateway
+//! therefore closes only its sending side, and reads and discards all bytes until the client has closed its side.
 
 use crate::socket::Socket;
 use std::io;
@@ -11,16 +11,16 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{timeout_at, Instant};
 
-/// Most bytes that are discarded for one client.
+/// Maximum number of discarded bytes.
 const MAX_BYTES: u64 = 64 << 20;
-/// Longest time from the last response to the close.
+/// Maximum time from the last response to the close.
 const TIMEOUT: Duration = Duration::from_millis(2500);
 /// Size of one read.
 const BUFFER_BYTES: usize = 64 * 1024;
 
-/// Closes the sending side, and waits until the client has closed its side or a bound is reached.
+/// Closes the sending side, and waits until the client has closed its side or a limit is reached.
 pub async fn linger(socket: Socket) {
-    // The client may reset the connection meanwhile.
+    // An error means that the client has reset the connection, so that there is nothing left to wait for.
     let _ = timeout_at(Instant::now() + TIMEOUT, discard_until_closed(socket)).await;
 }
 
--- a/src/bin/quota-gateway/server/forward.rs
+++ b/src/bin/quota-gateway/server/forward.rs
@@ -1,4 +1,4 @@
-//! The request as endpoints get it.
+//! Builds the request that is forwarded to endpoints.
 
 use super::request::ClassRoute;
 use crate::driver::ForwardedRequest;
@@ -7,13 +7,13 @@
 use hyper::{HeaderMap, Method, Uri};
 use std::io::Write;
 
-/// Initial capacity for a head.
+/// Initial capacity of the buffer for a head.
 const HEAD_BYTES: usize = 256;
 
 /// `Content-Type` as it is written on the wire.
 const CONTENT_TYPE_NAME: &str = "Content-Type";
 
-/// Makes the request for endpoints out of a client's. Only the headers that are named here are forwarded.
+/// Builds the request for endpoints from the client's request. Only the headers listed here are forwarded.
 pub fn forwarded_request(
     class: &ClassRoute,
     uri: &Uri,
@@ -23,7 +23,7 @@
     let mut head = Vec::with_capacity(HEAD_BYTES);
     let target = uri.path_and_query().map_or("/", |target| target.as_str());
     let method = class.method.as_str();
-    // Writing to a Vec can't fail.
+    // Writing to a Vec cannot fail.
     let _ = write!(head, "{method} {target} HTTP/1.1\r\n");
     let host = headers
         .get(HOST)
--- a/src/bin/quota-gateway/server/handler.rs
+++ b/src/bin/quota-gateway/server/handler.rs
@@ -1,4 +1,4 @@
-//! One request, from its head to its response.
+//! Handles one request, from its complete head to its response.
 
 use super::body::check_body;
 use super::client::Client;
@@ -16,13 +16,14 @@
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// Time after a request's deadline at which the handler ends it. The library ends it by the deadline; if its timer fires
-/// late, as after a stall of the process, the client would wait on. It has to be shorter than `DEADLINE_MARGIN` of
-/// `lifecycle::timeline`: a request then has its response before the shutdown ends those that remain.
+/// Time after a request's deadline at which the handler ends the request. The decision library normally ends it by the
+/// deadline, but its timer may fire late, for instance after a stall of the process. The value has to be shorter than
+/// `DEADLINE_MARGIN` in `lifecycle::timeline`, so that each request has its response before the shutdown ends the
+/// remaining ones.
 const DEADLINE_GRACE: Duration = Duration::from_millis(5);
 
 impl Server {
-    /// Makes the response to one request.
+    /// Handles a request and returns the response.
     pub(super) async fn respond(
         &self,
         request: Request<Incoming>,
@@ -44,8 +45,8 @@
             }
         };
         in_progress.driver_id = None;
-        // hyper reads no further request behind a response that asks to close.
-        if self.lifecycle.is_shutting_down() && !client.may_have_sent_more() {
+        // hyper reads no further request after a response that asks to close.
+        if self.lifecycle.is_shutting_down() && !client.may_have_pipelined_request() {
             response::ask_to_close(&mut response);
         }
         response
@@ -58,12 +59,14 @@
         in_progress: &mut RequestInProgress<'_>,
         complete_by: Instant,
     ) -> Result<Response, RequestError> {
-        // It may have arrived while another one was served: its remaining time counts from then.
+        // The remaining time counts from the arrival of the request, which may have been pipelined during an earlier
+        // one.
         let received_at = in_progress.client.last_arrival();
         let (parts, body) = request.into_parts();
-        // Failure: request smuggling. hyper reads a request with both Content-Length and Transfer-Encoding as chunked and
-        // removes the length, so that a second request in what its sender took for the body would be served. The
-        // protocol has no Transfer-Encoding in requests: all that have one are rejected, and their connections closed.
+        // Guards against request smuggling. hyper reads a request with both Content-Length and Transfer-Encoding as
+        // chunked and removes the length, so that a second request hidden in what the sender regards as the body would
+        // be served. The protocol has no Transfer-Encoding in requests: a request with one is rejected and its
+        // connection is closed.
         if parts.headers.contains_key(TRANSFER_ENCODING) {
             return Err(RequestError::TransferEncoding);
         }
@@ -89,7 +92,7 @@
         Ok(response::final_response(final_response))
     }
 
-    /// Hands a complete request to the driver and waits for its final response.
+    /// Passes a complete request to the driver and waits for its final response.
     async fn forward(
         &self,
         incoming: &IncomingRequest,
@@ -105,7 +108,7 @@
             .driver
             .start_request(incoming, forwarded, client_socket);
         in_progress.driver_id = Some(started.id);
-        in_progress.client.request_complete();
+        in_progress.client.request_completed();
         let response = timeout_at(started.deadline + DEADLINE_GRACE, started.response).await;
         let Ok(response) = response else {
             return self.driver.expire_request(started.id);
@@ -114,7 +117,7 @@
     }
 }
 
-/// The response to a request whose body is incomplete when the shutdown refuses requests.
+/// Returns the response to a request whose body is still incomplete when the shutdown starts to refuse requests.
 fn refuse_incomplete(
     incoming: &IncomingRequest,
     in_progress: &mut RequestInProgress<'_>,
--- a/src/bin/quota-gateway/server/health.rs
+++ b/src/bin/quota-gateway/server/health.rs
@@ -1,11 +1,11 @@
-//! The paths that the gateway answers itself: its health and its metrics.
+//! The health checks and the metrics of the gateway itself.
 
 use super::response::{self, Response};
 use super::Server;
 use hyper::StatusCode;
 
 impl Server {
-    /// The response to checks of the gateway's own health, and to the collection of its metrics.
+    /// The response to a request for the gateway's health or metrics; `None` for any other path.
     pub(super) fn health_response(&self, path: &str) -> Option<Response> {
         let healthy = match path {
             "/health/metrics" => {
--- a/src/bin/quota-gateway/server/in_progress.rs
+++ b/src/bin/quota-gateway/server/in_progress.rs
@@ -1,4 +1,4 @@
-//! The record of one request while its response is being made.
+//! The state of one request from its complete head until its response is made.
 
 use super::client::Client;
 use super::request::RequestError;
@@ -6,23 +6,23 @@
 use crate::metrics::RequestEnd;
 use quota_gateway::RequestId;
 
-/// A request whose response is not made yet. If it is dropped before, its client has disconnected, and the driver
-/// cancels the request.
+/// A request without a response. If the value is dropped before the response is made, the client has disconnected, and
+/// the driver cancels the request.
 pub struct RequestInProgress<'a> {
     server: &'a Server,
-    /// The client that sent it.
+    /// The client that sent the request.
     pub client: &'a Client,
     transaction_id: Option<u64>,
-    /// Its id at the driver, while the driver owes a final response.
+    /// Id of the request at the driver, while its final response is outstanding.
     pub driver_id: Option<RequestId>,
-    /// How it ended; `None` until its response is made.
+    /// The result for metrics; `None` until the response is made.
     pub end: Option<RequestEnd>,
 }
 
 impl<'a> RequestInProgress<'a> {
-    /// Begins a request whose head is complete, and notifies its client's state of that.
+    /// Starts a request whose head is complete, and records that in the client's state.
     pub fn begin(server: &'a Server, client: &'a Client) -> Self {
-        client.request_started();
+        client.head_completed();
         RequestInProgress {
             server,
             client,
@@ -34,12 +34,12 @@
 
     /// Registers the request's transaction id until the response is made.
     ///
-    /// Failure: a client sends a request again before it has a response, and both copies are executed. The second copy is
-    /// rejected, and the open one is not touched.
+    /// Guards against executing both copies of a request that a client sends again before it has a response. The second
+    /// copy is rejected, and the open one is not affected.
     ///
     /// # Errors
     ///
-    /// `DuplicateTransaction` if a request with this id is open.
+    /// Fails with `DuplicateTransaction` if a request with this id is open.
     pub fn claim_transaction_id(&mut self, transaction_id: u64) -> Result<(), RequestError> {
         if !self
             .server
@@ -56,19 +56,19 @@
 
 impl Drop for RequestInProgress<'_> {
     fn drop(&mut self) {
-        // The client's connection is idle again, but for the response that is yet to be written.
+        // Except for the response that is yet to be written, the client's connection is idle again.
         self.client.request_ended();
-        // Without a response the request was dropped by a connection that ended.
+        // A request without a result was dropped because its connection ended.
         let end = self.end.unwrap_or(RequestEnd::Disconnected);
         self.server.driver.metrics().requests.increment(end);
-        // From here on a retry with the same id is a new request.
+        // From now on, a retry with the same id is a new request.
         if let Some(transaction_id) = self.transaction_id {
             self.server
                 .open_transactions
                 .borrow_mut()
                 .remove(&transaction_id);
         }
-        // The driver still holds it open: nobody waits for it any more.
+        // The driver still has the request open, but its response is no longer needed.
         if let Some(id) = self.driver_id {
             self.server.driver.cancel_request(id);
         }
--- a/src/bin/quota-gateway/server/mod.rs
+++ b/src/bin/quota-gateway/server/mod.rs
@@ -1,18 +1,18 @@
-//! The clients' side: reads their requests by HTTP/1.1 and writes the responses.
+//! The HTTP/1.1 server for clients: reads their requests and writes the responses.
 //!
-//! - `accept`: the listener
-//! - `slots`: the bound on the number of connections, and the eviction of idle clients
-//! - `client`: the state of one client
-//! - `connection`: one client's connection, from its first byte until it is closed
-//! - `client_stream`: a stream that notices a disconnect while a request is being served
-//! - `read_ahead`: what clients send ahead of a response
-//! - `handler`: one request, from its head to its response
-//! - `body`: which bodies are allowed, and reading them
-//! - `in_progress`: the record of a request while its response is being made
-//! - `health`: the paths that the gateway answers itself
-//! - `request`: reads the head of a request
-//! - `forward`: the request as endpoints get it
-//! - `response`: the responses
+//! - `accept`: accepts connections
+//! - `slots`: limits the number of connections and evicts idle clients
+//! - `client`: the state of one client's connection
+//! - `connection`: serves one client's connection, from the first byte to the close
+//! - `client_stream`: a stream that detects a disconnect while a request is being served
+//! - `read_ahead`: buffers pipelined bytes
+//! - `handler`: handles one request, from its complete head to its response
+//! - `body`: checks and reads bodies
+//! - `in_progress`: the state of a request until its response is made
+//! - `health`: the health checks and the metrics of the gateway itself
+//! - `request`: parses the head of a request
+//! - `forward`: builds the request that is forwarded to endpoints
+//! - `response`: builds the responses to clients
 
 mod accept;
 mod body;
@@ -43,16 +43,16 @@
 use std::sync::Arc;
 use tokio::sync::Semaphore;
 
-/// What all connections of clients share.
+/// The state that all client connections share.
 pub struct Server {
     driver: Rc<Driver>,
     lifecycle: Rc<Lifecycle>,
     parser: RequestParser,
-    /// The response to a client without a slot, as written on the socket.
+    /// The serialized response to a client for which no slot is available.
     no_slot_response: String,
-    /// One permit for each connection that may still be accepted.
+    /// One permit for each further connection that may be served.
     slots: Arc<Semaphore>,
-    /// The open connections, by a number in the order of accepting.
+    /// The open connections, by their sequence number in the order of accepting.
     clients: RefCell<HashMap<u64, Rc<Client>>>,
     read_ahead: ReadAheadBudget,
     /// Transaction ids of requests that have no response yet.
@@ -60,8 +60,8 @@
 }
 
 impl Server {
-    /// A server with one slot for each permit of `slots`. The names of classes and plans are in the order of the
-    /// settings.
+    /// Creates a server with one slot for each permit of `slots`. `classes` and `plans` are the names of the classes
+    /// and plans of `settings`, in the same order.
     pub fn new(
         driver: Rc<Driver>,
         lifecycle: Rc<Lifecycle>,
@@ -82,12 +82,13 @@
         })
     }
 
-    /// How many connections of clients are open.
+    /// Number of open client connections.
     pub fn connection_count(&self) -> usize {
         self.clients.borrow().len()
     }
 
-    /// How many clients have begun a request or have not all of their response.
+    /// Number of clients with a request that has arrived, completely or in part, or a response that is not completely
+    /// written.
     pub fn busy_count(&self) -> usize {
         self.clients
             .borrow()
@@ -96,7 +97,7 @@
             .count()
     }
 
-    /// The transaction ids of the requests without a response.
+    /// The transaction ids of all requests without a response.
     pub fn unanswered_transactions(&self) -> Vec<u64> {
         self.open_transactions.borrow().iter().copied().collect()
     }
--- a/src/bin/quota-gateway/server/read_ahead.rs
+++ b/src/bin/quota-gateway/server/read_ahead.rs
@@ -1,4 +1,5 @@
-//! What clients send ahead of a response: a buffer for each connection, and one budget for all of them.
+//! Buffers for pipelined bytes, which clients send before the response to their current request: one buffer for each
+//! connection, and one budget for all of them.
 
 use bytes::BytesMut;
 use std::cell::Cell;
@@ -7,27 +8,28 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Number of bytes from which on no more is kept of one client: what it sends beyond is discarded (`client_stream`). That
-/// is far more than the largest request, so that only a client that sends many ahead of their responses loses any.
+/// Number of buffered bytes of one client from which on further bytes are discarded (see `client_stream`). The limit is
+/// far above the largest request, so that only a client that pipelines many requests loses any.
 const MAX_BYTES: usize = 1 << 20;
-/// Number of bytes of all clients together from which on no more is read ahead: what follows stays in the sockets.
+/// Number of buffered bytes of all clients from which on no more bytes are read ahead; further bytes stay in the
+/// sockets.
 pub const MAX_TOTAL_BYTES: usize = 4 << 20;
-/// Bytes that are read within this time of one another count as having arrived together, with the first of them.
+/// Time after the first read within which further bytes count as having arrived together with the first.
 const ARRIVAL_RESOLUTION: Duration = Duration::from_millis(5);
 
-/// The bytes in the buffers of all connections. Clones share one count.
+/// Counts the bytes in the buffers of all connections. Clones share one count.
 #[derive(Clone, Default)]
 pub struct ReadAheadBudget {
     used: Rc<Cell<usize>>,
 }
 
 impl ReadAheadBudget {
-    /// Bytes in all buffers.
+    /// Number of bytes in all buffers.
     pub fn used(&self) -> usize {
         self.used.get()
     }
 
-    /// Counts bytes that are buffered.
+    /// Adds newly buffered bytes to the count.
     pub fn add(&self, bytes: usize) {
         self.used.set(self.used.get() + bytes);
     }
@@ -36,30 +38,30 @@
         self.used.set(self.used.get() - bytes);
     }
 
-    /// True if some more bytes may be buffered.
+    /// True if more bytes may be buffered.
     pub fn has_room(&self) -> bool {
         self.used() < MAX_TOTAL_BYTES
     }
 }
 
-/// Bytes that arrived together.
+/// Bytes that count as having arrived together.
 pub struct Arrival {
-    /// When the first of them was read.
+    /// Time at which the first of the bytes was read.
     pub at: Instant,
-    /// The bytes.
+    /// The bytes that were read from that time on.
     pub bytes: BytesMut,
 }
 
-/// What one client has sent ahead, in order, with the times at which it arrived.
+/// The pipelined bytes of one client, in order and with their arrival times.
 pub struct ReadAheadBuffer {
     arrivals: VecDeque<Arrival>,
-    /// Bytes in all arrivals.
+    /// Number of bytes in all arrivals.
     len: usize,
     budget: ReadAheadBudget,
 }
 
 impl ReadAheadBuffer {
-    /// An empty buffer whose bytes count towards the budget.
+    /// Creates an empty buffer whose bytes count towards the budget.
     pub fn new(budget: ReadAheadBudget) -> Self {
         ReadAheadBuffer {
             arrivals: VecDeque::new(),
@@ -68,22 +70,22 @@
         }
     }
 
-    /// Number of bytes.
+    /// Number of buffered bytes.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// True if there are no bytes.
+    /// True if no bytes are buffered.
     pub fn is_empty(&self) -> bool {
         self.arrivals.is_empty()
     }
 
-    /// True if this client may send no more ahead.
+    /// True if the client has reached its limit, so that no more of its bytes are buffered.
     pub fn is_full(&self) -> bool {
         self.len >= MAX_BYTES
     }
 
-    /// Adds bytes that were read now.
+    /// Appends bytes that have just been read.
     pub fn push(&mut self, bytes: &[u8]) {
         let now = Instant::now();
         match self.arrivals.back_mut() {
@@ -97,7 +99,7 @@
         self.budget.add(bytes.len());
     }
 
-    /// Takes up to this many of the first bytes that arrived together; `None` if the buffer is empty.
+    /// Takes up to `max_bytes` from the oldest arrival; `None` if the buffer is empty.
     pub fn take(&mut self, max_bytes: usize) -> Option<Arrival> {
         let first = self.arrivals.front_mut()?;
         let count = first.bytes.len().min(max_bytes);
--- a/src/bin/quota-gateway/server/request.rs
+++ b/src/bin/quota-gateway/server/request.rs
@@ -1,8 +1,8 @@
-//! Reads what the head of a request says, and checks it against the settings.
+//! Parses the head of a request and checks it against the settings.
 //!
-//! - `route`: the classes of requests, as clients address them
-//! - `fields`: the single fields of a head
-//! - `error`: what can be wrong with a request
+//! - `route`: the path and method of each class
+//! - `fields`: parses the individual fields of a head
+//! - `error`: the errors of an invalid request and their response statuses
 
 mod error;
 mod fields;
@@ -24,23 +24,23 @@
 use quota_gateway::Settings;
 use tokio::time::Instant;
 
-/// A request whose head is valid. Its body has not been read.
+/// A request with a valid head. The body has not been read.
 pub struct ParsedRequest<'a> {
-    /// What its head says.
+    /// The parsed head.
     pub incoming: IncomingRequest,
-    /// Its class.
+    /// The class of the request.
     pub class: &'a ClassRoute,
 }
 
-/// The fields of `X-Quota` that are used.
+/// The fields of `X-Quota` that the gateway uses.
 struct Quota {
     /// Estimated units of the request.
     units: f64,
-    /// How many gateways the customer's requests are spread over.
+    /// Number of gateways over which the customer's requests are spread.
     gateway_set_size: u64,
 }
 
-/// Checks requests against the settings.
+/// Parses request heads and checks them against the settings.
 pub struct RequestParser {
     classes: Vec<ClassRoute>,
     plans: Vec<String>,
@@ -49,7 +49,7 @@
 }
 
 impl RequestParser {
-    /// The names of classes and plans are in the order of the settings.
+    /// Creates a parser. `classes` and `plans` are the names of the classes and plans of `settings`, in the same order.
     pub fn new(settings: &Settings, classes: Vec<String>, plans: Vec<String>) -> Self {
         let classes = classes.into_iter().zip(&settings.classes);
         RequestParser {
@@ -62,11 +62,11 @@
         }
     }
 
-    /// Reads the head of a request.
+    /// Parses the head of a request that arrived at `received_at`.
     ///
     /// # Errors
     ///
-    /// The first thing that is wrong with it.
+    /// Returns the first error that is found.
     pub fn parse(
         &self,
         method: &Method,
--- a/src/bin/quota-gateway/server/request/error.rs
+++ b/src/bin/quota-gateway/server/request/error.rs
@@ -1,19 +1,19 @@
-//! What can be wrong with a request, and the status of its response.
+//! The errors of an invalid request and their response statuses.
 
 use hyper::{Method, StatusCode};
 use thiserror::Error;
 
-/// What is wrong with a request. Its response is neither 429 nor 503: those promise that a retry is harmless. The
-/// messages are part of the protocol.
+/// The reason for which a request is invalid. The status of its response is neither 429 nor 503, because those promise
+/// that a retry is harmless. The message is the body of the response.
 #[derive(Debug, Error)]
 pub enum RequestError {
-    #[error("a Content-Length is needed, and no Transfer-Encoding")]
+    #[error("Transfer-Encoding is not supported; a Content-Length is required")]
     TransferEncoding,
-    #[error("no such class")]
+    #[error("the path does not begin with a known class")]
     UnknownClass,
-    #[error("wrong method")]
+    #[error("method not allowed; this class requires {allowed}")]
     MethodNotAllowed {
-        /// The method of the class.
+        /// The only method that the class allows.
         allowed: Method,
     },
     #[error("X-Lane is missing or differs from the path")]
@@ -24,21 +24,21 @@
     InvalidIdempotencyKey,
     #[error("X-Plan is missing or unknown")]
     UnknownPlan,
-    #[error("X-Remaining-Ms is missing or no whole number")]
+    #[error("X-Remaining-Ms is missing, not an integer or out of range")]
     InvalidRemainingTime,
-    #[error("account is missing or malformed")]
+    #[error("query parameter account is missing, malformed or out of range")]
     InvalidAccount,
     #[error("X-Quota is missing, malformed or out of range")]
     InvalidQuota,
-    #[error("body over 64 KiB")]
+    #[error("request body is larger than 64 KiB")]
     BodyTooLarge,
-    #[error("a body where none belongs")]
+    #[error("a GET request must not have a body")]
     UnexpectedBody,
-    #[error("X-Txn is that of an open request")]
+    #[error("X-Txn is already used by an open request")]
     DuplicateTransaction,
-    #[error("body not whole")]
+    #[error("request body is incomplete or malformed")]
     IncompleteBody,
-    #[error("body not whole in time")]
+    #[error("request body was not received in time")]
     BodyTimeout,
 }
 
@@ -64,7 +64,7 @@
         }
     }
 
-    /// True if it is unknown where the request ends, so that nothing behind its head can be read.
+    /// True if the end of the request is unknown, so that nothing after its head can be read.
     pub fn closes_connection(&self) -> bool {
         matches!(self, RequestError::TransferEncoding)
     }
--- a/src/bin/quota-gateway/server/request/fields.rs
+++ b/src/bin/quota-gateway/server/request/fields.rs
@@ -1,4 +1,4 @@
-//! The fields of a request's head, one function each. What is malformed, missing or there twice is an error.
+//! Parses the individual fields of a request's head. A malformed, missing or repeated field is an error.
 
 use super::error::RequestError;
 
@@ -6,18 +6,18 @@
 use crate::http::header_names;
 use hyper::{HeaderMap, Uri};
 
-/// Longest remaining time that a client may state.
+/// Maximum remaining time that a client may send.
 const MAX_REMAINING_MS: u64 = 3_600_000;
-/// Customers' numbers are below this.
+/// Exclusive upper bound of customer numbers.
 const CUSTOMER_LIMIT: u64 = 1 << 33;
-/// Longest idempotency key.
+/// Maximum length of an idempotency key.
 const MAX_KEY_BYTES: usize = 64;
-/// Characters of an idempotency key beside letters and digits.
+/// Characters that an idempotency key may contain in addition to ASCII letters and digits.
 const KEY_PUNCTUATION: &[u8] = b"-_.:";
-/// Hex digits of transaction ids and account numbers.
+/// Number of hex digits of transaction ids and account numbers.
 const HEX_ID_DIGITS: usize = 16;
 
-/// A header's value. A header that is there twice counts as missing, as either value could be meant.
+/// Returns the value of a header. A repeated header counts as missing, because the intended value is unknown.
 pub fn single_header<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let mut values = headers.get_all(name).iter();
     let value = values.next()?;
@@ -27,7 +27,7 @@
     value.to_str().ok().map(str::trim)
 }
 
-/// Checks the idempotency key, if there is one or the class needs one.
+/// Checks the idempotency key if the request has one or the class requires one.
 pub fn check_idempotency_key(headers: &HeaderMap, class: &ClassRoute) -> Result<(), RequestError> {
     let key = single_header(headers, header_names::IDEMPOTENCY_KEY);
     if key.is_some_and(is_idempotency_key) {
@@ -44,7 +44,7 @@
     (1..=MAX_KEY_BYTES).contains(&key.len()) && key.bytes().all(allowed)
 }
 
-/// Time that the client still waits, in ms.
+/// Parses the time for which the client still waits, in ms.
 pub fn parse_remaining_ms(headers: &HeaderMap) -> Result<u64, RequestError> {
     let remaining_ms = single_header(headers, header_names::REMAINING_MS).and_then(parse_integer);
     remaining_ms
@@ -52,7 +52,7 @@
         .ok_or(RequestError::InvalidRemainingTime)
 }
 
-/// The customer's number, from the `account` parameter of the query, which must be there once.
+/// Parses the customer number in the query parameter `account`, which must occur exactly once.
 pub fn parse_customer(uri: &Uri) -> Result<u64, RequestError> {
     let query = uri.query().unwrap_or("");
     let mut accounts = query
@@ -68,7 +68,7 @@
     Ok(account)
 }
 
-/// The value of one `name=value` field of `X-Quota`, which must be there once.
+/// Returns the value of one `name=value` field of `X-Quota`, which must occur exactly once.
 pub fn quota_field<'a>(quota: &'a str, name: &str) -> Option<&'a str> {
     let value_of = |field: &'a str| field.trim().strip_prefix(name)?.strip_prefix('=');
     let mut values = quota.split(',').filter_map(value_of);
@@ -79,7 +79,7 @@
     Some(value)
 }
 
-/// A number of 16 hex digits.
+/// Parses a number of exactly 16 hex digits.
 pub fn parse_hex_id(text: &str) -> Option<u64> {
     if text.len() != HEX_ID_DIGITS || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
         return None;
@@ -87,7 +87,7 @@
     u64::from_str_radix(text, 16).ok()
 }
 
-/// An integer without a sign.
+/// Parses an integer without a sign.
 pub fn parse_integer(text: &str) -> Option<u64> {
     if !text.bytes().all(|byte| byte.is_ascii_digit()) {
         return None;
@@ -95,7 +95,7 @@
     text.parse().ok()
 }
 
-/// A decimal number without a sign or an exponent.
+/// Parses a decimal number without a sign or an exponent.
 pub fn parse_decimal(text: &str) -> Option<f64> {
     if !text
         .bytes()
--- a/src/bin/quota-gateway/server/request/route.rs
+++ b/src/bin/quota-gateway/server/request/route.rs
@@ -1,24 +1,24 @@
-//! The classes of requests, as clients address them.
+//! The path and method by which clients address each class of requests.
 
 use hyper::Method;
 use quota_gateway::{Class, Idempotency};
 
-/// A class of requests as clients address it.
+/// The path and method of a class, and the requirements on its requests.
 pub struct ClassRoute {
-    /// Its name: the first segment of the path.
+    /// Name of the class, which is the first segment of the path.
     pub name: String,
-    /// The method of all its requests.
+    /// Method of all requests of the class.
     pub method: Method,
-    /// Its requests must not be executed twice, and endpoints do not deduplicate retries.
+    /// True if requests must not be executed twice and endpoints do not deduplicate retries.
     pub at_most_once: bool,
-    /// Its requests need an idempotency key.
+    /// True if requests need an idempotency key.
     pub needs_key: bool,
-    /// Longest remaining time of its requests, in ms.
+    /// Upper bound of the remaining time of a request, in ms.
     pub deadline_ms: f64,
 }
 
 impl ClassRoute {
-    /// The route of a class with this name.
+    /// Creates the route of a class with this name.
     pub fn new(name: String, class: &Class) -> Self {
         let method = if class.idempotency == Idempotency::Idempotent {
             Method::GET
--- a/src/bin/quota-gateway/server/request/tests.rs
+++ b/src/bin/quota-gateway/server/request/tests.rs
@@ -1,4 +1,4 @@
-//! Which request heads are valid, and the error of each that is not.
+//! Tests of valid request heads and of the error for each kind of invalid head.
 
 use super::{RequestError, RequestParser};
 use crate::driver::IncomingRequest;
@@ -39,7 +39,7 @@
     )
 }
 
-/// Parses a valid head in which these headers were replaced or added.
+/// Parses a valid head after replacing or adding the headers in `changes`.
 fn parse(
     method: Method,
     target: &str,
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_valid_head_is_read() {
+fn a_valid_head_is_parsed() {
     let incoming = parse(Method::GET, TARGET, &[("x-resent", "1")]).unwrap();
     assert_eq!(incoming.transaction_id, 0x9b1f_03aa_5c7e_2d41);
     assert_eq!(incoming.customer, 7);
@@ -82,14 +82,14 @@
     assert!(incoming.is_retry);
     assert_eq!(
         incoming.remaining_ms, 2000.0,
-        "no longer than the class's deadline"
+        "limited by the deadline of the class"
     );
 }
 
-/// A request of a class that is retried by its idempotency key has none, or a malformed one. Endpoints could not
-/// recognize a retry and would execute it twice. It is an error.
+/// Guards against a request without a valid idempotency key in a class whose retries are deduplicated by key. Endpoints
+/// could not recognize a retry and would execute the request twice. The missing or malformed key is an error.
 #[test]
-fn a_class_with_keys_needs_one() {
+fn a_class_with_idempotency_keys_requires_one() {
     let target = "/order?account=0000000000000007";
     let key = |key| {
         parse(
@@ -107,10 +107,10 @@
     assert!(matches!(without, Err(RequestError::InvalidIdempotencyKey)));
 }
 
-/// A client sends a head with one fault. An unspecific error would leave the client's developers guessing, and a
-/// lenient reader would charge a wrong customer. Each fault has its own error.
+/// Guards against unspecific errors, which would leave the client's developers guessing, and against a lenient parser,
+/// which could charge a wrong customer. Each kind of invalid head has its own error.
 #[test]
-fn each_fault_of_a_head_has_its_error() {
+fn each_kind_of_invalid_head_has_its_own_error() {
     let error =
         |target, changes: &[(&str, &str)]| parse(Method::GET, target, changes).err().unwrap();
     assert!(matches!(error("/else", &[]), RequestError::UnknownClass));
--- a/src/bin/quota-gateway/server/response.rs
+++ b/src/bin/quota-gateway/server/response.rs
@@ -1,4 +1,4 @@
-//! The responses that clients get.
+//! Builds the responses to clients.
 
 use super::request::RequestError;
 use crate::driver::FinalResponse;
@@ -8,28 +8,29 @@
 use hyper::StatusCode;
 use quota_gateway::Limits;
 
-/// `Retry-After` of a client without a slot, where the settings allow the header, and bounded by their maximum.
+/// `Retry-After` in the response to a client for which no slot is available. The header is sent only if the settings
+/// enable it, and their maximum applies.
 const NO_SLOT_RETRY_AFTER_MS: f64 = 1000.0;
 
-/// A response with its body.
+/// A response whose body is complete in memory.
 pub type Response = hyper::Response<Full<Bytes>>;
 
-/// A response with a line of text, or none.
+/// Builds a response with a text body, which may be empty.
 pub fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response {
     let mut response = Response::new(Full::new(text.into()));
     *response.status_mut() = status;
     response
 }
 
-/// Asks the client to close the connection.
+/// Adds `Connection: close` to a response.
 pub fn ask_to_close(response: &mut Response) {
     response
         .headers_mut()
         .insert(CONNECTION, HeaderValue::from_static("close"));
 }
 
-/// The response to an invalid request. If its body was not read the connection is closed, so that the body is neither
-/// waited for nor taken for a request.
+/// Builds the response to an invalid request. If the request has a body, which was not read, the connection is closed,
+/// so that the body is neither waited for nor parsed as another request.
 pub fn request_error(error: &RequestError, has_body: bool) -> Response {
     let mut response = plain(error.status(), format!("{error}\n"));
     if let RequestError::MethodNotAllowed { allowed } = error {
@@ -43,7 +44,7 @@
     response
 }
 
-/// The final response that the driver gave.
+/// Builds the response for a final response of the driver.
 pub fn final_response(response: FinalResponse) -> Response {
     match response {
         FinalResponse::Success { content_type, body } => success(content_type, body),
@@ -78,28 +79,28 @@
     response
 }
 
-/// The response to a client without a slot, as written on the socket.
+/// Serializes the response to a client for which no slot is available.
 pub fn no_slot(limits: &Limits) -> String {
     let retry_after_ms = NO_SLOT_RETRY_AFTER_MS.min(limits.max_retry_after_ms);
-    let advice = if limits.retry_after && retry_after_ms > 0.0 {
+    let headers = if limits.retry_after && retry_after_ms > 0.0 {
         format!("Retry-After: {}\r\n", retry_after_seconds(retry_after_ms))
     } else {
         String::new()
     };
-    unavailable(&advice)
+    unavailable(&headers)
 }
 
-/// The response to a request that is incomplete when the process ends, as written on the socket.
+/// Serializes the response to a request that is incomplete when the shutdown refuses requests.
 pub fn incomplete_at_shutdown() -> String {
     unavailable("")
 }
 
-/// A 503 as written on the socket. `headers` are complete lines, with their ends.
+/// Serializes a response with status 503. `headers` consists of complete header lines, including their line ends.
 fn unavailable(headers: &str) -> String {
     format!("HTTP/1.1 503 Service Unavailable\r\n{headers}Connection: close\r\nContent-Length: 0\r\n\r\n")
 }
 
-/// The value of a `Retry-After` header, in seconds. The protocol allows decimals.
+/// Formats the value of a `Retry-After` header, in seconds. The protocol allows decimals.
 fn retry_after_seconds(retry_after_ms: f64) -> String {
     format!("{:.3}", retry_after_ms / 1000.0)
 }
--- a/src/bin/quota-gateway/server/slots.rs
+++ b/src/bin/quota-gateway/server/slots.rs
@@ -1,7 +1,8 @@
-//! The slots that bound the number of connections, and the eviction of idle clients for new ones.
+//! Slots limit the number of client connections. Idle clients are evicted in favor of new ones.
 //!
-//! Failure: a client opens hundreds of connections and sends nothing, or many clients keep theirs open between requests,
-//! and new clients are rejected. With all slots taken, the client that has been longest without a request is evicted.
+//! Guards against rejecting new clients because one client holds hundreds of connections without sending anything, or
+//! because many clients keep their connections open between requests. If all slots are taken, the client that has been
+//! without a request for longest is evicted.
 
 use super::Server;
 use std::sync::Arc;
@@ -9,19 +10,20 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::timeout;
 
-/// A new connection is not evicted for this long: its request may be on the way.
+/// Time for which a new connection is not evicted, because its first request may be in transit.
 const NEW_CLIENT_GRACE: Duration = Duration::from_millis(20);
-/// Longest wait for an evicted client's slot. A client that has sent a request meanwhile keeps it.
+/// Maximum time to wait for the slot of an evicted client. A client that has sent a request in the meantime keeps its
+/// slot.
 const EVICTION_TIMEOUT: Duration = Duration::from_millis(5);
 
-/// The slots for clients' connections.
+/// The slots for client connections.
 pub struct ClientSlots {
     semaphore: Arc<Semaphore>,
     total: u32,
 }
 
 impl ClientSlots {
-    /// This many slots, all free.
+    /// Creates `total` free slots.
     pub fn new(total: u32) -> Self {
         ClientSlots {
             semaphore: Arc::new(Semaphore::new(total as usize)),
@@ -29,33 +31,34 @@
         }
     }
 
-    /// The semaphore, with a permit for each slot.
+    /// The semaphore that holds one permit for each free slot.
     pub fn semaphore(&self) -> Arc<Semaphore> {
         self.semaphore.clone()
     }
 
-    /// Returns when the last connection has closed.
+    /// Waits until all connections are closed.
     pub async fn all_free(&self) {
         let _ = self.semaphore.acquire_many(self.total).await;
     }
 }
 
 impl Server {
-    /// A slot for one more client; `None` if all clients have requests open or are new.
+    /// Acquires a slot for a new client, by eviction if necessary. Returns `None` if no slot is free and no client can
+    /// be evicted.
     pub(super) async fn acquire_slot(&self) -> Option<OwnedSemaphorePermit> {
         loop {
             if self.slots.available_permits() == 0 && !self.evict_idle_client() {
                 return None;
             }
-            // An evicted client that has sent a request keeps its slot: then another one is evicted.
+            // An evicted client that has sent a request in the meantime keeps its slot; then another client is evicted.
             if let Ok(slot) = timeout(EVICTION_TIMEOUT, self.slots.clone().acquire_owned()).await {
                 return slot.ok();
             }
         }
     }
 
-    /// Evicts the client that has been longest without a request, those that never sent one first. False if no client
-    /// may be evicted.
+    /// Evicts the client that has been without a request for longest; clients that never sent one are evicted first.
+    /// Returns false if no client may be evicted.
     fn evict_idle_client(&self) -> bool {
         let clients = self.clients.borrow();
         let evictable = clients
