--- a/src/bin/quota-gateway/http/body.rs
+++ b/src/bin/quota-gateway/http/body.rs
@@ -1,49 +1,49 @@
-//! Decodes bodies by their framing, without input or output: takes the bytes of a body out of a buffer.
+//! Decodes response bodies by their framing. The decoder takes bytes out of a buffer and does no I/O itself.
 
 use super::error::MalformedResponse;
 use bytes::{Buf, Bytes, BytesMut};
 use httparse::Status;
 
-/// Largest line with a chunk's size, and largest trailer line.
-const MAX_LINE_BYTES: usize = 16 * 1024;
+/// Maximum length of a chunk size line or a trailer line.
+pub const MAX_LINE_BYTES: usize = 16 * 1024;
 /// The end of a line.
 const LINE_END: &[u8] = b"\r\n";
 
-/// The state of a body: what is expected next.
+/// The state of a body, named after the part that is expected next.
 #[derive(Clone, Copy)]
 pub enum BodyDecoder {
-    /// This many bytes.
+    /// The given number of bytes, up to the end of the body.
     Length(usize),
     /// The line with the size of a chunk.
     ChunkSize,
-    /// This many bytes of a chunk, and the line end behind them.
+    /// The given number of bytes of a chunk, followed by a line end.
     ChunkData(u64),
-    /// The lines behind the last chunk.
+    /// The lines after the last chunk.
     Trailers,
     /// All bytes until the connection is closed.
     UntilClose,
-    /// Nothing.
+    /// No more bytes: the body has ended.
     Complete,
 }
 
-/// What was decoded from a buffer.
+/// The result of decoding a buffer.
 pub enum Decoded {
     /// Bytes of the body.
     Data(Bytes),
     /// The end of the body.
     End,
-    /// Nothing: more bytes have to be read into the buffer.
+    /// More bytes have to be read into the buffer.
     Incomplete,
 }
 
 impl BodyDecoder {
-    /// True if only the end of the connection ends the body.
+    /// True if the body ends only when the connection is closed.
     pub fn ends_with_connection(&self) -> bool {
         matches!(self, BodyDecoder::UntilClose)
     }
 
-    /// Takes the next bytes out of the buffer. They are returned as they arrive, so that a large length that a peer
-    /// claims takes no memory.
+    /// Takes the next bytes of the body out of the buffer. Bytes are returned as they arrive, so that a large length
+    /// announced by a peer uses no memory.
     pub fn decode(&mut self, buffer: &mut BytesMut) -> Result<Decoded, MalformedResponse> {
         loop {
             let advanced = match *self {
@@ -83,7 +83,7 @@
         Decoded::Data(data.freeze())
     }
 
-    /// Reads the line with a chunk's size; false while it is not complete.
+    /// Reads a chunk size line. Returns false while the line is incomplete.
     fn read_chunk_size(&mut self, buffer: &mut BytesMut) -> Result<bool, MalformedResponse> {
         match httparse::parse_chunk_size(buffer) {
             Ok(Status::Complete((line_length, size))) => {
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Reads the line end behind a chunk; false while it is not complete. It is an error if there is none: the size of
-    /// the chunk was wrong, and what follows would be misread.
+    /// Reads the line end after a chunk. Returns false while the line end is incomplete. A missing line end is an
+    /// error, because the size of the chunk was wrong and the following bytes would be misread.
     fn read_chunk_end(&mut self, buffer: &mut BytesMut) -> Result<bool, MalformedResponse> {
         if buffer.len() < LINE_END.len() {
             return Ok(false);
@@ -117,7 +117,7 @@
         Ok(true)
     }
 
-    /// Drops one line behind the last chunk; an empty one ends the body. False while it is not complete.
+    /// Discards one line after the last chunk; an empty line ends the body. Returns false while the line is incomplete.
     fn read_trailer(&mut self, buffer: &mut BytesMut) -> Result<bool, MalformedResponse> {
         let Some(end) = buffer
             .windows(LINE_END.len())
--- a/src/bin/quota-gateway/http/error.rs
+++ b/src/bin/quota-gateway/http/error.rs
@@ -1,36 +1,38 @@
-//! What can be wrong with a response.
+//! The errors of a malformed response.
 
+use super::body::MAX_LINE_BYTES;
+use super::head::MAX_HEAD_BYTES;
 use std::io::{self, ErrorKind};
 use thiserror::Error;
 
-/// A response that can't be read. No other response can be read behind it on its connection.
+/// The reason for which a response cannot be read. No further response can be read on its connection.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum MalformedResponse {
-    #[error("not an HTTP response")]
+    #[error("invalid HTTP/1 response head")]
     NotHttp,
-    #[error("head too long")]
+    #[error("response head is longer than {MAX_HEAD_BYTES} bytes")]
     HeadTooLong,
-    #[error("no head")]
+    #[error("response has no head")]
     MissingHead,
-    #[error("no final response")]
+    #[error("too many interim responses, or status 101, instead of a final response")]
     NoFinalResponse,
-    #[error("bad content length")]
+    #[error("Content-Length is not a valid number")]
     InvalidContentLength,
-    #[error("two content lengths")]
+    #[error("response has Content-Length headers with different values")]
     ConflictingContentLengths,
-    #[error("unknown transfer encoding")]
+    #[error("Transfer-Encoding is not a single `chunked`")]
     UnknownTransferEncoding,
-    #[error("both a content length and a transfer encoding")]
+    #[error("response has both Content-Length and Transfer-Encoding")]
     LengthAndTransferEncoding,
-    #[error("bad chunk")]
+    #[error("invalid chunk size")]
     InvalidChunkSize,
-    #[error("chunk line too long")]
+    #[error("chunk size line is longer than {MAX_LINE_BYTES} bytes")]
     ChunkLineTooLong,
-    #[error("a chunk does not end where it should")]
+    #[error("chunk is not followed by a line end")]
     MissingChunkEnd,
-    #[error("trailer too long")]
+    #[error("trailer line is longer than {MAX_LINE_BYTES} bytes")]
     TrailerTooLong,
-    #[error("body too long")]
+    #[error("response body is too long")]
     BodyTooLong,
 }
 
--- a/src/bin/quota-gateway/http/head.rs
+++ b/src/bin/quota-gateway/http/head.rs
@@ -1,41 +1,41 @@
-//! Heads of responses, by httparse.
+//! Parses response heads with httparse.
 
 use super::body::BodyDecoder;
 use super::error::MalformedResponse;
 use bytes::Bytes;
 use httparse::{Header, Status};
 
-/// Largest head.
+/// Maximum size of a head.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Most headers of a head.
+/// Maximum number of headers in a head.
 const MAX_HEADERS: usize = 64;
 
-/// What the gateway needs of a response's head.
+/// The parts of a response's head that the gateway uses.
 #[derive(Debug)]
 pub struct Head {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// The connection may carry another request.
+    /// True if the connection may be used for another request.
     pub keep_alive: bool,
-    /// The endpoint says that the request was never executed.
+    /// True if the endpoint states that the request was never executed (`X-Turned-Away: 1`).
     pub rejected: bool,
-    /// The request's actual units.
+    /// The units that the request actually used (`X-Units-Charged`), if the header is valid.
     pub units: Option<f64>,
-    /// The `Content-Type`, unchanged.
+    /// The value of `Content-Type`, unchanged.
     pub content_type: Option<Bytes>,
 }
 
 /// A complete head at the start of a buffer.
 pub struct ParsedHead {
-    /// What the gateway needs of it.
+    /// The parts of the head that the gateway uses.
     pub head: Head,
-    /// The framing of the body behind it.
+    /// The decoder for the body that follows.
     pub body: BodyDecoder,
-    /// Its length in bytes.
+    /// Length of the head in bytes.
     pub length: usize,
 }
 
-/// The headers that say how long the body and the connection last.
+/// The headers that determine the end of the body and whether the connection stays open.
 #[derive(Default)]
 struct FramingHeaders {
     content_length: Option<usize>,
@@ -43,7 +43,7 @@
     close: bool,
 }
 
-/// Parses a head; `None` while it is not complete.
+/// Parses a head. Returns `None` while the head is incomplete.
 pub fn parse_head(buffer: &[u8]) -> Result<Option<ParsedHead>, MalformedResponse> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
@@ -64,7 +64,7 @@
         read_header(header, &mut head, &mut framing)?;
     }
     let body = framing.body(head.status)?;
-    // With both close and keep-alive, in one header or two, close prevails.
+    // `close` takes precedence over `keep-alive`, whether both are in one header or in two.
     if framing.close || body.ends_with_connection() {
         head.keep_alive = false;
     }
@@ -138,12 +138,13 @@
     fn body(&self, status: u16) -> Result<BodyDecoder, MalformedResponse> {
         match (status, self.chunked, self.content_length) {
             (100..=199 | 204 | 304, ..) => Ok(BodyDecoder::Complete),
-            // It is unknown which of the two is right. By the wrong one, the rest of the body would be read as the next
+            // The correct one of the two is unknown. With the wrong one, the rest of the body would be read as the next
             // response.
             (_, true, Some(_)) => Err(MalformedResponse::LengthAndTransferEncoding),
             (_, true, None) => Ok(BodyDecoder::ChunkSize),
             (_, false, Some(length)) => Ok(BodyDecoder::Length(length)),
-            // The close of the connection ends the body. A reset is an error instead, so a broken body is not complete.
+            // The close of the connection ends the body. A reset is an error, so a truncated body is not taken for a
+            // complete one.
             (_, false, None) => Ok(BodyDecoder::UntilClose),
         }
     }
--- a/src/bin/quota-gateway/http/header_names.rs
+++ b/src/bin/quota-gateway/http/header_names.rs
@@ -1,16 +1,17 @@
-//! The headers of the protocol with clients and endpoints, spelled as they are written on the wire. They are read in any case.
+//! Names of the headers in the protocol with clients and endpoints, in the case in which they are written on the wire.
+//! They are read case-insensitively.
 
-/// The client's id of the transaction.
+/// Transaction id, which the client chooses.
 pub const TRANSACTION_ID: &str = "X-Txn";
-/// The idempotency key by which endpoints deduplicate retries.
+/// Idempotency key by which endpoints deduplicate retries.
 pub const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
-/// The class; also the first segment of the path.
+/// Class of the request, which is also the first segment of the path.
 pub const CLASS: &str = "X-Lane";
-/// The customer's plan.
+/// Plan of the customer.
 pub const PLAN: &str = "X-Plan";
-/// Time that the client still waits.
+/// Time for which the client still waits, in ms.
 pub const REMAINING_MS: &str = "X-Remaining-Ms";
-/// Estimated units of the request, and the gateways that the customer's requests are spread over.
+/// Estimated units of the request, and the gateways over which the customer's requests are spread.
 pub const QUOTA: &str = "X-Quota";
-/// `1` on a retry.
+/// Marks a retry by the value `1`.
 pub const RETRY: &str = "X-Resent";
--- a/src/bin/quota-gateway/http/mod.rs
+++ b/src/bin/quota-gateway/http/mod.rs
@@ -1,10 +1,10 @@
-//! Reads HTTP/1.1 responses of endpoints, the counter and discovery, and names the headers of the protocol.
+//! Reads HTTP/1.1 responses of endpoints, the counter and discovery, and defines the header names of the protocol.
 //!
-//! - `head`: the status line and headers, by httparse
-//! - `body`: the framing of bodies: by length, chunked, or up to the connection's end
-//! - `reader`: both on a socket
-//! - `header_names`: the protocol's headers, for requests as well
-//! - `error`: what can be wrong with a response
+//! - `head`: parses the status line and the headers with httparse
+//! - `body`: decodes bodies that are framed by length, by chunks or by the end of the connection
+//! - `reader`: reads complete responses from a connection
+//! - `header_names`: the header names of requests and responses
+//! - `error`: the errors of a malformed response
 
 mod body;
 mod error;
@@ -17,5 +17,5 @@
 pub use head::Head;
 pub use reader::Reader;
 
-/// Largest body of a message, as the protocol has it.
+/// Maximum size of a body in the protocol.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
--- a/src/bin/quota-gateway/http/reader.rs
+++ b/src/bin/quota-gateway/http/reader.rs
@@ -1,4 +1,4 @@
-//! Responses on a socket.
+//! Reads responses from a connection.
 
 use super::body::{BodyDecoder, Decoded};
 use super::error::MalformedResponse;
@@ -7,32 +7,32 @@
 use std::io::{self, ErrorKind};
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// Most interim responses ahead of a final one. Bounds the work for a peer that sends them without end.
+/// Maximum number of interim responses before a final one. Bounds the work for a peer that sends them without end.
 const MAX_INTERIM_RESPONSES: u32 = 8;
-/// Status of a change to another protocol.
+/// Status code 101 Switching Protocols.
 const SWITCHING_PROTOCOLS: u16 = 101;
-/// Lowest status of a final response.
+/// Lowest status code of a final response.
 const FIRST_FINAL_STATUS: u16 = 200;
-/// Capacity for one read. A usual response fits in.
+/// Buffer capacity for one read, in which a typical response fits.
 const READ_BYTES: usize = 2048;
 
-/// Reads the responses on one connection. All state is kept here, so that the future of a read may be dropped at any
-/// point and the read started again without a loss of bytes.
+/// Reads the responses on one connection. All state is stored in the reader, so that the future of a read may be
+/// dropped at any point and the read may be started again without a loss of bytes.
 pub struct Reader<R> {
     /// The connection.
     pub io: R,
     buffer: BytesMut,
-    /// The state of the body that is being read.
+    /// Decoder of the body that is being read.
     body: BodyDecoder,
     interim_responses: u32,
     /// Head of the response that `read_response` is reading.
     partial_head: Option<Head>,
-    /// What was read of its body.
+    /// Body bytes that `read_response` has read so far.
     partial_body: BytesMut,
 }
 
 impl<R: AsyncRead + Unpin> Reader<R> {
-    /// Reads from a connection on which nothing was read yet.
+    /// Creates a reader for a connection from which nothing was read yet.
     pub fn new(io: R) -> Self {
         Reader {
             io,
@@ -44,12 +44,12 @@
         }
     }
 
-    /// True if bytes were read that belong to no response yet.
+    /// True if the buffer holds bytes that were not parsed as a part of a response.
     pub fn has_unread_bytes(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// The next final response's head; its body follows by `read_body_chunk`.
+    /// Reads the head of the next final response. The body is read with `read_body_chunk`.
     pub async fn read_head(&mut self) -> io::Result<Head> {
         loop {
             let Some(parsed) = parse_head(&self.buffer)? else {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The next bytes of the body; `None` at its end. A body that ends too early is an error.
+    /// Reads the next bytes of the body. Returns `None` at the end of the body; a body that ends too early is an error.
     pub async fn read_body_chunk(&mut self) -> io::Result<Option<Bytes>> {
         loop {
             match self.body.decode(&mut self.buffer)? {
@@ -94,12 +94,12 @@
         }
     }
 
-    /// A complete response with a body of at most `max_body` bytes.
+    /// Reads a complete response with a body of at most `max_body` bytes.
     pub async fn read_response(&mut self, max_body: usize) -> io::Result<(Head, Bytes)> {
         if self.partial_head.is_none() {
             self.partial_head = Some(self.read_head().await?);
         }
-        // Fails before a long body is read.
+        // A body that is announced as too long fails before it is read.
         if matches!(self.body, BodyDecoder::Length(length) if length > max_body) {
             return Err(MalformedResponse::BodyTooLong.into());
         }
@@ -117,7 +117,7 @@
     }
 
     async fn fill(&mut self) -> io::Result<()> {
-        // Without this the buffer grows in steps of 64 bytes, with a system call for each.
+        // Without the reservation the buffer would grow in steps of 64 bytes, with one system call for each step.
         self.buffer.reserve(READ_BYTES);
         match self.io.read_buf(&mut self.buffer).await? {
             0 => Err(ErrorKind::UnexpectedEof.into()),
--- a/src/bin/quota-gateway/http/tests.rs
+++ b/src/bin/quota-gateway/http/tests.rs
@@ -1,4 +1,4 @@
-//! Which responses are read, and which are errors.
+//! Tests of valid and malformed responses.
 
 use super::head::MAX_HEAD_BYTES;
 use super::{Head, Reader, MAX_BODY_BYTES};
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn complete_responses_are_read_and_the_connection_kept_as_they_say() {
+fn complete_responses_are_read_and_determine_connection_reuse() {
     for (text, keep, more) in [
         ("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine", true, false),
         ("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine", true, false),
@@ -36,8 +36,9 @@
     }
 }
 
-/// An endpoint, or something else at its address, sends a response that breaks HTTP. Read leniently, its rest would be
-/// taken for the response to another request; read without bounds, it would exhaust the memory. Each is an error.
+/// Guards against malformed responses from an endpoint or from another program at its address. With a lenient parser,
+/// the rest of such a response would be taken for the response to another request; without limits, it would exhaust the
+/// memory. Each malformed response is an error.
 #[test]
 fn malformed_responses_are_errors_and_take_bounded_memory() {
     for text in [
@@ -56,7 +57,7 @@
     ] {
         assert!(read(text).is_err(), "{text}");
     }
-    // Neither a line without end nor what a chunk claims to hold is stored.
+    // Neither an endless line nor a chunk of the announced size is stored.
     let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     assert!(read(&format!("{chunked}4;{}", "x".repeat(MAX_HEAD_BYTES * 2))).is_err());
     assert!(read(&format!(
@@ -77,10 +78,10 @@
     .is_err());
 }
 
-/// Yields these bytes, then the error of a broken connection.
-struct Broken<'a>(&'a [u8]);
+/// Yields the given bytes in one read, then the error of a reset connection.
+struct ResetAfter<'a>(&'a [u8]);
 
-impl AsyncRead for Broken<'_> {
+impl AsyncRead for ResetAfter<'_> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         _: &mut Context<'_>,
@@ -94,14 +95,14 @@
     }
 }
 
-/// A connection breaks in the middle of a body that only the end of the connection ends. Taken for the end, a part of
-/// the body would be forwarded as complete. It is an error.
+/// Guards against forwarding a truncated body as complete when the connection is reset during a body without a length,
+/// which ends with the close of the connection. The reset is an error.
 #[test]
-fn a_break_is_no_end_of_a_body_without_a_length() {
+fn a_reset_does_not_end_a_body_without_a_length() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
         .unwrap();
-    let mut reader = Reader::new(Broken(b"HTTP/1.1 200 OK\r\n\r\nfine"));
+    let mut reader = Reader::new(ResetAfter(b"HTTP/1.1 200 OK\r\n\r\nfine"));
     let result = runtime.block_on(reader.read_response(MAX_BODY_BYTES));
     assert_eq!(
         result.err().map(|error| error.kind()),
@@ -109,7 +110,7 @@
     );
 }
 
-/// Yields one byte a read.
+/// Yields one byte per read.
 struct ByteByByte<'a>(&'a [u8]);
 
 impl AsyncRead for ByteByByte<'_> {
@@ -126,10 +127,10 @@
     }
 }
 
-/// A response arrives in the smallest pieces. A reader that expects lines or headers in one piece would misread it. It
-/// is read like one that arrives at once.
+/// Guards against a reader that expects lines or headers to arrive in one piece. A response that arrives byte by byte
+/// is read in the same way as one that arrives at once.
 #[test]
-fn a_response_that_arrives_byte_by_byte_is_read_the_same() {
+fn a_response_that_arrives_byte_by_byte_is_read_like_any_other() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
         .unwrap();
