--- a/src/bin/quota-gateway/counter/client.rs
+++ b/src/bin/quota-gateway/counter/client.rs
@@ -1,13 +1,13 @@
-//! The callers' side of the counter: one queue per connection, chosen by key.
+//! The interface for callers of the counter: one queue per connection, chosen by key.
 
 use tokio::sync::mpsc::{channel, Receiver, Sender};
 use tokio::time::Instant;
 
-/// Connections to the counter. All calls for a key use the same one, so that they stay in order. A connection that
-/// hangs does not delay the calls on the others.
+/// Number of connections to the counter. All calls for a key use the same connection, so that they stay in order. A
+/// connection that hangs does not delay the calls on the others.
 const CONNECTIONS: usize = 4;
-/// Most calls that wait for one connection. With more, a call fails at once. It bounds, with the limit on requests of
-/// `connection`, the memory that a silent counter takes.
+/// Maximum number of calls in one queue; further calls fail at once. Together with `MAX_PENDING_REQUESTS` in
+/// `connection`, the limit bounds the memory that calls to an unresponsive counter use.
 const MAX_QUEUED_CALLS: usize = 256;
 
 /// A call that adds an amount to the count of a key.
@@ -15,11 +15,11 @@
 pub struct IncrementCall {
     /// The key whose count is increased.
     pub key: u64,
-    /// What is added, in units; negative to correct an earlier call.
+    /// The amount that is added, in units; negative to correct an earlier call.
     pub amount: f64,
     /// Time after which the counter removes a new key, in ms.
     pub ttl_ms: f64,
-    /// When the call was made. Its time-out counts from here.
+    /// Time at which the call was made, from which its timeout counts.
     pub started_at: Instant,
 }
 
@@ -32,13 +32,13 @@
 pub type CounterQueues = Vec<Receiver<IncrementCall>>;
 
 impl CounterClient {
-    /// Makes the queues, and returns both of their ends.
+    /// Creates the queues and returns both of their ends.
     pub fn new() -> (Self, CounterQueues) {
         let (queues, receivers) = (0..CONNECTIONS).map(|_| channel(MAX_QUEUED_CALLS)).unzip();
         (CounterClient { queues }, receivers)
     }
 
-    /// Queues a call; false if its queue is full.
+    /// Queues a call. Returns false if its queue is full or its task has ended.
     #[must_use]
     pub fn call(&self, call: IncrementCall) -> bool {
         let index = (call.key ^ call.key >> 30) as usize % self.queues.len();
--- a/src/bin/quota-gateway/counter/codec.rs
+++ b/src/bin/quota-gateway/counter/codec.rs
@@ -1,4 +1,4 @@
-//! The text of a call to the counter, and the meaning of its response.
+//! Encodes calls to the counter as HTTP requests and decodes the responses.
 
 use super::client::IncrementCall;
 use quota_gateway::Outcome;
@@ -7,25 +7,25 @@
 #[cfg(test)]
 mod tests;
 
-/// Factor by which amounts are multiplied on the wire. The counter writes totals with three decimals, and the amounts of
-/// the decision library start at a billionth of a unit at the beginning of a window: unscaled, their total would be
-/// rounded to 0, and nobody would be rejected at the beginning of a window.
+/// Factor by which amounts are multiplied on the wire. The counter writes totals with three decimals, and the amounts
+/// of the decision library start at a billionth of a unit at the beginning of a window. Unscaled, their total would be
+/// rounded to 0, and no request would be rejected at the beginning of a window.
 const SCALE: f64 = 1e7;
-/// Largest amount of one request to the counter.
+/// Maximum amount of one request to the counter.
 const MAX_AMOUNT: f64 = 1e9;
-/// Most parts of the largest amount that one call is split into. It bounds the memory for a call.
+/// Maximum number of parts of `MAX_AMOUNT` into which one call is split, which bounds the memory for a call.
 const MAX_FULL_PARTS: f64 = 16.0;
 
-/// The meaning of a response.
+/// A decoded response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CounterResponse {
-    /// How the call ended.
+    /// The outcome of the call.
     pub outcome: Outcome,
-    /// The total after the call; 0 unless it succeeded.
+    /// The total after the call; 0 unless the call succeeded.
     pub total: f64,
 }
 
-/// The requests that together add the amount of a call.
+/// Returns the requests that together add the amount of a call.
 pub fn encode(call: &IncrementCall, addr: SocketAddr) -> Vec<String> {
     let parts = split_amount(call.amount * SCALE);
     parts
@@ -43,8 +43,8 @@
     )
 }
 
-/// Splits a scaled amount into parts that the counter accepts. If it were clamped, the rest of a customer's use would
-/// never be counted.
+/// Splits a scaled amount into parts that the counter accepts. If the amount were clamped to one part, the rest of a
+/// customer's usage would never be counted.
 fn split_amount(amount: f64) -> Vec<f64> {
     let full_parts = (amount.abs() / MAX_AMOUNT).min(MAX_FULL_PARTS) as usize;
     let mut parts = vec![MAX_AMOUNT.copysign(amount); full_parts];
@@ -53,7 +53,8 @@
     parts
 }
 
-/// Interprets a response. Without a total that is a finite number, the amount may or may not have been added.
+/// Decodes a response. A response with status 200 but without a finite total is an error response: the amount may or
+/// may not have been added.
 pub fn decode(status: u16, body: &[u8]) -> CounterResponse {
     match (status, parse_total(body)) {
         (200, Some(total)) => CounterResponse {
--- a/src/bin/quota-gateway/counter/codec/tests.rs
+++ b/src/bin/quota-gateway/counter/codec/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// A call has an amount over the largest that the counter accepts. If it were clamped, the rest would never be counted,
-/// and the customer could exceed its quota. It is split into parts that add up to it.
+/// Guards against clamping an amount above the counter's maximum: the rest would never be counted, and the customer
+/// could exceed its quota. The amount is split into parts that add up to it.
 #[test]
 fn a_large_amount_is_split_into_parts_that_add_up_to_it() {
     for (amount, number) in [(0.0, 1), (3e7, 1), (-3e7, 1), (2.5e9, 3), (-2.5e9, 3)] {
@@ -11,8 +11,8 @@
     }
 }
 
-/// The counter, or something else at its address, answers with a body that is no number. Taken for a total, it would
-/// reject or admit a customer by mistake. The call ends with an error.
+/// Guards against responses without a number, from the counter or from another program at its address. Taken for a
+/// total, the body would cause wrong rejections or admissions. The call ends with an error.
 #[test]
 fn only_a_finite_number_is_a_total() {
     let success = CounterResponse {
--- a/src/bin/quota-gateway/counter/connection.rs
+++ b/src/bin/quota-gateway/counter/connection.rs
@@ -1,19 +1,20 @@
 //! One connection to the counter, on which calls are pipelined.
 //!
-//! Failures that this module guards against:
+//! This module guards against five failures:
 //!
-//! - A response is taken for that of another call, and a customer's quota follows another customer's total. Responses
-//!   come in the order of the requests, so the connection is closed after a response that can't be read and after bytes
-//!   that no request awaits.
-//! - A machine that vanished leaves the connection open and silent, and each call on it times out. A connection without
-//!   a response for two call time-outs is closed, and the next call connects anew.
-//! - The counter closes an idle connection just as a call is written, and nobody knows whether the amount was added. The
-//!   connection is closed earlier by this side.
-//! - A silent counter has calls pile up in memory. While `MAX_PENDING_REQUESTS` requests have no response, no call is
-//!   taken from the queue. Below that, all calls that are queued are taken at once. So the requests on one connection
-//!   can exceed the limit by those of a full queue (`MAX_QUEUED_CALLS`) and one more call.
-//! - The address changes while bytes are being written. All state is in [`CounterConnection`], so that the future of
-//!   `serve` may be dropped at any point, and `finish` goes on from there.
+//! - A response is attributed to the wrong call, so that a customer's quota follows another customer's total. Responses
+//!   arrive in the order of the requests. The connection is therefore closed after an invalid response and after bytes
+//!   that do not belong to the response to a request.
+//! - The counter's machine fails and leaves the connection open without responses, so that each call on it times out. A
+//!   connection without a response for two call timeouts is closed, and the next call opens a new one.
+//! - The counter closes an idle connection while a call is being written, and it is unknown whether the amount was
+//!   added. This side closes an idle connection earlier than the counter does.
+//! - Calls accumulate in memory because the counter does not respond. While at least `MAX_PENDING_REQUESTS` requests
+//!   have no response, no call is taken from the queue. Below that limit all queued calls are taken at once, so that
+//!   the requests on one connection can exceed the limit by those of a full queue (`MAX_QUEUED_CALLS`) and of one more
+//!   call.
+//! - The address changes while bytes are being written. All state is stored in [`CounterConnection`], so that the
+//!   future of `serve` may be dropped at any point and `finish` continues from there.
 
 use super::client::IncrementCall;
 use super::codec;
@@ -33,20 +34,20 @@
 use tokio::sync::mpsc::Receiver;
 use tokio::time::{sleep_until, Instant};
 
-/// Idle time after which a connection is closed. It is shorter than the counter's own idle time-out.
+/// Idle time after which a connection is closed; shorter than the counter's own idle timeout.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Number of requests without a response from which on no more calls are taken from the queue.
 const MAX_PENDING_REQUESTS: usize = 256;
-/// Largest body of a response.
+/// Maximum size of a response's body.
 const MAX_RESPONSE_BYTES: usize = 1024;
 
-/// What all connections to the counter share.
+/// The state that all connections to the counter share.
 pub struct CounterContext {
     /// Time after which a call without a response is reported as timed out.
     pub call_timeout: Duration,
-    /// Reports the end of each call.
+    /// Reports the result of each call.
     pub reporter: CallReporter,
-    /// The warning about a response that can't be read.
+    /// The warning about an invalid response.
     pub invalid_response_warning: RateLimitedWarning,
 }
 
@@ -57,19 +58,19 @@
     writer: Socket,
     addr: SocketAddr,
     context: Rc<CounterContext>,
-    /// Bytes that are not written yet.
+    /// Bytes that are not written to the socket yet.
     outgoing: BytesMut,
-    /// Number of bytes that were ever put into `outgoing`.
+    /// Total number of bytes that were ever appended to `outgoing`.
     bytes_queued: u64,
-    /// Number of those that were written.
+    /// Total number of bytes of `outgoing` that were written to the socket.
     bytes_written: u64,
     pending: PendingRequests,
-    /// When the last response arrived, or the connection was opened.
+    /// Time at which the last response arrived or the connection was opened.
     last_response_at: Instant,
 }
 
 impl CounterConnection {
-    /// A connection to this address that has just been opened.
+    /// Wraps a socket that has just been connected to `addr`.
     pub fn new(socket: Socket, addr: SocketAddr, context: Rc<CounterContext>) -> Self {
         CounterConnection {
             reader: Reader::new(socket.clone()),
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Puts a call into the outgoing bytes.
+    /// Appends the requests of a call to the outgoing bytes.
     pub fn enqueue(&mut self, call: &IncrementCall) {
         let requests = codec::encode(call, self.addr);
         for (index, request) in requests.iter().enumerate() {
@@ -95,8 +96,8 @@
         }
     }
 
-    /// Serves calls until the connection breaks, falls silent or has been idle for too long. Without a queue it ends
-    /// with the last response that is awaited.
+    /// Serves calls until the connection breaks, has no response for too long or is idle for too long. Without a queue,
+    /// returns after the last awaited response.
     pub async fn serve(&mut self, mut queue: Option<&mut Receiver<IncrementCall>>) {
         loop {
             let can_enqueue = self.pending.len() < MAX_PENDING_REQUESTS;
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Waits for the responses to the calls in flight, then closes the connection.
+    /// Waits for the responses to the calls in flight and then closes the connection.
     pub async fn finish(mut self) {
         self.serve(None).await;
         self.close();
@@ -169,11 +170,11 @@
         if is_invalid {
             self.context
                 .invalid_response_warning
-                .warn("invalid response from the counter, status", head.status);
+                .warn("invalid response from the counter with status", head.status);
         }
         self.pending
             .report_response(&self.context.reporter, response.outcome, response.total);
-        // What follows could be taken for the response to another call.
+        // The remaining bytes could be taken for the response to another call.
         let has_unrequested_bytes = self.pending.is_empty() && self.reader.has_unread_bytes();
         if !head.keep_alive || is_invalid || has_unrequested_bytes {
             return ControlFlow::Break(());
@@ -194,7 +195,7 @@
         ControlFlow::Continue(())
     }
 
-    /// When the timer has something to do next.
+    /// Time at which the timer has to fire next.
     fn wake_at(&self) -> Instant {
         let Some(silence_deadline) = self.silence_deadline() else {
             return self.idle_deadline();
@@ -205,25 +206,25 @@
         }
     }
 
-    /// When the next call is reported as timed out.
+    /// Time at which the next call is reported as timed out.
     fn next_call_deadline(&self) -> Option<Instant> {
         let started_at = self.pending.oldest_awaited_started_at()?;
         Some(started_at + self.context.call_timeout)
     }
 
-    /// When the connection is considered dead, if responses are outstanding.
+    /// Time at which the connection counts as broken; `None` if no responses are outstanding.
     fn silence_deadline(&self) -> Option<Instant> {
         let started_at = self.pending.oldest_started_at()?;
         Some(started_at.max(self.last_response_at) + 2 * self.context.call_timeout)
     }
 
-    /// When the connection is closed, if no responses are outstanding.
+    /// Time at which the connection is closed as idle, if no responses are outstanding.
     fn idle_deadline(&self) -> Instant {
         self.last_response_at + IDLE_TIMEOUT
     }
 }
 
-/// The next call from the queue; never, without one.
+/// Receives the next call from the queue. Never completes without a queue.
 async fn next_call(queue: Option<&mut Receiver<IncrementCall>>) -> Option<IncrementCall> {
     match queue {
         Some(queue) => queue.recv().await,
--- a/src/bin/quota-gateway/counter/mod.rs
+++ b/src/bin/quota-gateway/counter/mod.rs
@@ -1,11 +1,11 @@
-//! The shared counter: calls to it are pipelined on a few connections that stay open.
+//! The client of the shared counter. Calls are pipelined on a few connections that stay open.
 //!
 //! - `client`: queues of calls, one for each connection
 //! - `worker`: the task of one queue, which connects and reconnects
-//! - `connection`: one connection; writes requests and reads responses
+//! - `connection`: one connection, which writes requests and reads responses
 //! - `pending`: the requests on a connection that have no response yet
-//! - `codec`: the text of a request, the meaning of a response
-//! - `report`: reports the end of each call to the driver
+//! - `codec`: encodes requests and decodes responses
+//! - `report`: reports the result of each call to the driver
 
 mod client;
 mod codec;
@@ -25,8 +25,8 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Starts a task for each queue; each ends when the [`CounterClient`] is dropped. A call without a response times out
-/// after `timeout_ms`. A change of the address takes effect at once.
+/// Starts one task for each queue. The tasks end when the [`CounterClient`] is dropped. A call without a response times
+/// out after `timeout_ms`. A change of the address takes effect at once.
 pub fn spawn(
     queues: CounterQueues,
     addr: &watch::Receiver<SocketAddr>,
--- a/src/bin/quota-gateway/counter/pending.rs
+++ b/src/bin/quota-gateway/counter/pending.rs
@@ -7,17 +7,17 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A request that is queued or written.
+/// A request without a response, which may be partly or completely written.
 struct PendingRequest {
     call: IncrementCall,
     /// Position in the connection's outgoing bytes at which the request ends.
     end_offset: u64,
-    /// The call was reported as timed out, or this request adds only a part of its amount that is not the last.
+    /// True if the call was reported as timed out, or if the request is not the last part of its call.
     ignore_response: bool,
 }
 
-/// The requests without a response, in the order in which they were queued. Responses come in the same order. Each call
-/// is reported once: by its response, by its time-out, or when the connection closes.
+/// The requests without a response, in the order in which they were queued. Responses arrive in the same order. Each
+/// call is reported exactly once: after its response, after its timeout, or when the connection closes.
 #[derive(Default)]
 pub struct PendingRequests {
     requests: VecDeque<PendingRequest>,
@@ -29,13 +29,13 @@
         self.requests.len()
     }
 
-    /// True if no request is without a response.
+    /// True if all requests have responses.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Adds a request that ends at this position in the connection's outgoing bytes. The response to the last part of a
-    /// call is that of the call.
+    /// Adds a request that ends at `end_offset` in the connection's outgoing bytes. The response to the last part of a
+    /// call counts as the response to the call.
     pub fn push(&mut self, call: &IncrementCall, end_offset: u64, is_last_part: bool) {
         self.requests.push_back(PendingRequest {
             call: call.clone(),
@@ -44,7 +44,7 @@
         });
     }
 
-    /// Reports the response to the oldest request.
+    /// Removes the oldest request, to which a response has arrived, and reports the response unless it is ignored.
     pub fn report_response(&mut self, reporter: &CallReporter, outcome: Outcome, total: f64) {
         let answered = self.requests.pop_front();
         if let Some(request) = answered.filter(|request| !request.ignore_response) {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Reports the calls that have had no response for this time.
+    /// Reports the calls that have had no response for `timeout`.
     pub fn report_timeouts(&mut self, reporter: &CallReporter, timeout: Duration, now: Instant) {
         let awaited = self
             .requests
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Reports the calls that have no response as the connection closes: one that was written completely may have been
-    /// added, the others were not.
+    /// Reports the calls that have no response when the connection closes. The amount of a completely written call may
+    /// have been added; the amounts of the others were not.
     pub fn report_unanswered(&self, reporter: &CallReporter, bytes_written: u64) {
         for request in self.awaited() {
             let outcome = if request.end_offset <= bytes_written {
@@ -80,17 +80,17 @@
         }
     }
 
-    /// True if a call awaits its response.
+    /// True if any call awaits its response.
     pub fn awaits_response(&self) -> bool {
         self.awaited().next().is_some()
     }
 
-    /// When the oldest request's call was started, whether or not the call still awaits its response.
+    /// Start time of the oldest request's call, whether or not the call still awaits its response.
     pub fn oldest_started_at(&self) -> Option<Instant> {
         self.requests.front().map(|request| request.call.started_at)
     }
 
-    /// When the oldest call that awaits its response was started.
+    /// Start time of the oldest call that awaits its response.
     pub fn oldest_awaited_started_at(&self) -> Option<Instant> {
         self.awaited().next().map(|request| request.call.started_at)
     }
--- a/src/bin/quota-gateway/counter/worker.rs
+++ b/src/bin/quota-gateway/counter/worker.rs
@@ -1,4 +1,4 @@
-//! The task of one queue of calls: connects when a call is waiting and the former connection has ended.
+//! The task of one queue of calls, which opens a connection when a call is waiting and no connection is open.
 
 use super::client::IncrementCall;
 use super::connection::{CounterConnection, CounterContext};
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// Runs until the sender of the queue is dropped. A change of the address takes effect at once.
+/// Serves a queue until its sender is dropped. A change of the address takes effect at once.
 pub async fn run(
     mut addr: watch::Receiver<SocketAddr>,
     mut queue: Receiver<IncrementCall>,
@@ -27,14 +27,14 @@
         connection.enqueue(&first_call);
         tokio::select! {
             () = connection.serve(Some(&mut queue)) => connection.close(),
-            // Calls in flight still get their responses from the old address, and new calls don't wait for them. The
-            // task ends with the last response, or once the old address has been silent for too long.
+            // Calls in flight still receive their responses from the old address, and new calls do not wait for them.
+            // The spawned task ends after the last response, or once the old address has not responded for too long.
             Ok(()) = addr.changed() => drop(tokio::task::spawn_local(connection.finish())),
         }
     }
 }
 
-/// Reports that nothing was added for any of the calls, as there is no connection.
+/// Reports that no amount was added for any of the waiting calls, because connecting failed.
 fn fail_waiting_calls(
     first_call: &IncrementCall,
     queue: &mut Receiver<IncrementCall>,
--- a/src/bin/quota-gateway/gossip.rs
+++ b/src/bin/quota-gateway/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip: short messages between gateways, as UDP datagrams, which may be lost.
+//! Exchanges gossip with other gateways: short messages in UDP datagrams, which may be lost.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,9 +9,9 @@
 #[cfg(test)]
 mod tests;
 
-/// Longest message, in bytes.
+/// Maximum length of a message.
 const MAX_MESSAGE_BYTES: usize = 256;
-/// The recipient of a message to all other gateways.
+/// The recipient index that stands for all other gateways.
 const ALL_GATEWAYS: u32 = u32::MAX;
 
 /// Receives messages from other gateways.
@@ -20,21 +20,21 @@
     fn gossip_received(self: Rc<Self>, from: u32, body: Vec<u8>);
 }
 
-/// The socket for gossip, and the addresses of the gateways.
+/// The socket for gossip and the addresses of the gateways.
 pub struct GossipSocket {
     socket: UdpSocket,
-    /// The addresses of all gateways, by index.
+    /// The addresses of all gateways, by their index.
     peers: Vec<SocketAddr>,
-    /// The address for messages to all other gateways.
+    /// The address for messages to all other gateways; without it such messages are dropped.
     broadcast: Option<SocketAddr>,
 }
 
 impl GossipSocket {
-    /// Binds the socket.
+    /// Binds the socket to `listen`.
     ///
     /// # Errors
     ///
-    /// Fails if the address can't be bound.
+    /// Fails if the address cannot be bound.
     pub async fn bind(
         listen: SocketAddr,
         peers: Vec<SocketAddr>,
@@ -48,8 +48,8 @@
         })
     }
 
-    /// Sends to the gateway with this index, or to all others for `u32::MAX`. A message that is too long, or that the
-    /// system does not accept now, is dropped.
+    /// Sends a message to the gateway with index `to`, or to all others if `to` is `u32::MAX`. A message that is too
+    /// long, or that the system does not accept immediately, is dropped.
     pub fn send(&self, to: u32, body: &[u8]) {
         if body.len() > MAX_MESSAGE_BYTES {
             return;
@@ -71,20 +71,21 @@
     }
 }
 
-/// Receives messages for as long as the program runs, and drops those over the rate.
+/// Receives messages for as long as the program runs, and drops those above the rate limit.
 pub async fn run(
     socket: Rc<GossipSocket>,
     max_messages_per_second: f64,
     handler: Rc<dyn GossipHandler>,
 ) {
-    // The system cuts a datagram to the buffer: one byte more than the longest message shows which were longer.
+    // The system truncates a datagram to the buffer. One byte more than the maximum length reveals longer messages.
     let mut buffer = [0; MAX_MESSAGE_BYTES + 1];
     let mut limiter = RateLimiter::new(max_messages_per_second);
     loop {
         let Ok((length, addr)) = socket.socket.recv_from(&mut buffer).await else {
             continue;
         };
-        // Messages from other addresses, and messages that are too long, must not use up the rate of the gateways.
+        // Messages from unknown addresses and messages that are too long do not count towards the rate limit, so that
+        // they cannot use up the share of the gateways.
         let Some(from) = socket.index(addr) else {
             continue;
         };
@@ -99,7 +100,7 @@
     }
 }
 
-/// A token bucket that holds the messages of one second.
+/// A token bucket with a burst of one second's messages.
 struct RateLimiter {
     per_second: f64,
     tokens: f64,
--- a/src/bin/quota-gateway/gossip/tests.rs
+++ b/src/bin/quota-gateway/gossip/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use std::time::Duration;
 
-/// A faulty gateway floods its peers with messages. Handling all of them would take the time of requests. Messages over
-/// the rate are dropped, with a burst of one second's messages allowed.
+/// Guards against a faulty gateway that floods its peers with messages, whose handling would delay requests. Messages
+/// above the rate are dropped; a burst of one second's messages is allowed.
 #[tokio::test(start_paused = true)]
 async fn messages_of_one_second_are_admitted_at_once_and_later_ones_at_the_rate() {
     let mut limiter = RateLimiter::new(60.0);
--- a/src/bin/quota-gateway/retry.rs
+++ b/src/bin/quota-gateway/retry.rs
@@ -1,8 +1,8 @@
-//! Retries opening sockets and files, at the start and at a reload.
+//! Retries opening sockets and files at startup and at a reload.
 //!
-//! Guards against failures of the system that pass by themselves: descriptors or memory are short for a moment, a call is
-//! interrupted, the former process still has the address. Without a retry the process would end at its start, or keep
-//! addresses that are no longer served.
+//! Guards against transient failures of the system: a temporary lack of descriptors or memory, an interrupted system
+//! call, or an address that the previous process still uses. Without a retry, the process would exit at startup, or
+//! keep addresses that are no longer served.
 
 use crate::transient_errors::is_transient_open_error;
 use std::future::Future;
@@ -11,16 +11,16 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Delay between two tries.
+/// Delay between two attempts.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Longest time for which signal handlers and the runtime are retried.
+/// Maximum time for which setting up signal handlers and the runtime is retried.
 const RUNTIME_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Tries until `open` succeeds, fails for a reason that does not pass, or has been tried for `max_duration`.
+/// Calls `open` until it succeeds, fails with an error that is not transient, or has been retried for `max_duration`.
 ///
 /// # Errors
 ///
-/// The last failure.
+/// Returns the error of the last attempt.
 pub async fn retry<T, E, F>(
     max_duration: Duration,
     is_transient: impl Fn(&E) -> bool,
@@ -39,11 +39,11 @@
     }
 }
 
-/// Like `retry`, before the runtime is there: it blocks the thread, for `RUNTIME_TIMEOUT` at most.
+/// Like [`retry`], for use before the runtime is started. Blocks the thread, and retries for at most `RUNTIME_TIMEOUT`.
 ///
 /// # Errors
 ///
-/// The last failure.
+/// Returns the error of the last attempt.
 pub fn retry_blocking<T>(open: impl Fn() -> io::Result<T>) -> io::Result<T> {
     let deadline = std::time::Instant::now() + RUNTIME_TIMEOUT;
     loop {
--- a/src/bin/quota-gateway/server/accept.rs
+++ b/src/bin/quota-gateway/server/accept.rs
@@ -16,7 +16,7 @@
 use crate::metrics::ConnectionEnd;
 use crate::rate_limited_warning::RateLimitedWarning;
 use crate::socket::{PeekResult, Socket};
-use crate::transient_errors::lacks_resources;
+use crate::transient_errors::is_resource_exhaustion;
 use std::future::poll_fn;
 use std::io;
 use std::rc::Rc;
@@ -98,7 +98,7 @@
 /// Waits after an accept error if resources are exhausted. Most other errors concern only the connection that they
 /// remove from the queue, so the next one may be accepted at once.
 async fn delay_after_error(error: &io::Error, consecutive_errors: u32) {
-    if lacks_resources(error) || consecutive_errors >= MAX_ERRORS_WITHOUT_DELAY {
+    if is_resource_exhaustion(error) || consecutive_errors >= MAX_ERRORS_WITHOUT_DELAY {
         sleep(ACCEPT_RETRY_DELAY).await;
     } else {
         yield_now().await;
--- a/src/bin/quota-gateway/socket.rs
+++ b/src/bin/quota-gateway/socket.rs
@@ -1,17 +1,18 @@
-//! TCP streams whose system calls may fail temporarily.
+//! TCP streams that tolerate temporary failures of system calls.
 //!
-//! Failures that this module guards against:
+//! This module guards against three failures:
 //!
-//! - A signal or a lack of memory interrupts a call on a good connection. Taken for a broken connection, it costs a
-//!   client its response and an endpoint its health. The errors that `transient_errors` lists have the call made again.
-//! - A read or write is cut short, though the socket has more bytes or more space. The runtime's own stream takes that for
-//!   an empty or a full socket and waits for the next readiness event. The system reports changes only, so that there
-//!   may be none: the task hangs until its time-out. Reads and writes here clear the readiness only if a call says that
-//!   it would block.
-//! - After a stall of the process the runtime does not know yet what the sockets have received. `peek` and
-//!   `peer_has_closed` ask the system itself.
+//! - A signal or a lack of memory interrupts a system call on an intact connection. If the connection counted as
+//!   broken, a client would lose its response and an endpoint would count as unhealthy. After the errors listed in
+//!   `transient_errors`, the call is repeated.
+//! - A read or write transfers fewer bytes than requested, although the socket has more bytes or more space. The
+//!   runtime's own stream regards the socket as empty or full and waits for the next readiness event. The system
+//!   reports only changes of readiness, so there may be no such event, and the task hangs until its timeout. Reads and
+//!   writes in this module clear the readiness only if a call would block.
+//! - After a stall of the process, the runtime does not yet know which bytes the sockets have received. `peek` and
+//!   `peer_has_closed` ask the system directly.
 
-use crate::transient_errors::{is_transient_for_transfer, is_transient_open_error};
+use crate::transient_errors::{is_transient_open_error, is_transient_transfer_error};
 use nix::poll::{poll, PollFd, PollFlags, PollTimeout};
 use socket2::SockRef;
 use std::io::{self, ErrorKind, IoSlice};
@@ -26,34 +27,35 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// Most attempts to connect, if they fail for reasons on this machine that may pass.
+/// Maximum number of attempts to connect if they fail with transient errors of this machine.
 const MAX_CONNECT_ATTEMPTS: u32 = 4;
-/// Most temporary failures of a call that does not wait. After that a peek finds nothing, and a write fails.
+/// Maximum number of transient failures of an operation that does not wait. After that, a peek returns `Empty` and a
+/// write fails.
 const MAX_TRANSIENT_FAILURES: u32 = 8;
 /// Delay before the next attempt to connect.
 const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(3);
 
-/// A TCP stream. Clones are handles of the same stream, which is closed with the last of them.
+/// A TCP stream. Clones are handles of the same stream, which is closed when the last handle is dropped.
 #[derive(Clone)]
 pub struct Socket {
     stream: Rc<TcpStream>,
 }
 
 impl Socket {
-    /// Wraps a stream, and has the system send small writes at once.
+    /// Wraps a stream and sets `TCP_NODELAY`, so that the system sends small writes immediately.
     pub fn new(stream: TcpStream) -> Self {
-        // Fails on a connection that is already broken, as the next read or write will show.
+        // The call fails only on a broken connection, which the next read or write will report.
         let _ = stream.set_nodelay(true);
         Socket {
             stream: Rc::new(stream),
         }
     }
 
-    /// Connects. Failures that are not the peer's are retried a few times.
+    /// Connects to `addr`. Transient errors of this machine are retried a few times.
     ///
     /// # Errors
     ///
-    /// The last failure.
+    /// Returns the error of the last attempt.
     pub async fn connect(addr: SocketAddr) -> io::Result<Self> {
         let mut attempts = 1;
         loop {
@@ -77,15 +79,15 @@
         self.stream.writable().await
     }
 
-    /// Writes as many bytes as the system accepts now.
+    /// Writes as many bytes as the system accepts immediately.
     ///
     /// # Errors
     ///
-    /// `WouldBlock` if it accepts none now; with all other errors the connection is broken.
+    /// Fails with `WouldBlock` if the system accepts no bytes now. Any other error means that the connection is broken.
     pub fn try_write(&self, bytes: &[u8]) -> io::Result<usize> {
         let written = self.stream.try_write(bytes);
         written.map_err(|error| {
-            if is_transient_for_transfer(&error) {
+            if is_transient_transfer_error(&error) {
                 ErrorKind::WouldBlock.into()
             } else {
                 error
@@ -93,11 +95,11 @@
         })
     }
 
-    /// Writes a short message without waiting. For a new connection, whose send buffer is empty.
+    /// Writes a short message without waiting. Intended for new connections, whose send buffer is empty.
     ///
     /// # Errors
     ///
-    /// Fails if the system does not accept all of it at once, or the connection is broken.
+    /// Fails if the system does not accept the whole message immediately or the connection is broken.
     pub fn write_at_once(&self, message: &[u8]) -> io::Result<()> {
         let mut written = 0;
         let mut failures = 0;
@@ -117,7 +119,7 @@
         Ok(())
     }
 
-    /// Asks the system whether it has received bytes that were not read, whether or not the runtime knows of them.
+    /// Asks the system for unread bytes or the end of the stream, even if the runtime was not notified of them yet.
     pub fn peek(&self) -> PeekResult {
         let mut byte = [MaybeUninit::uninit()];
         for _ in 0..MAX_TRANSIENT_FAILURES {
@@ -125,31 +127,31 @@
                 Ok(0) => return PeekResult::EndOfStream,
                 Ok(_) => return PeekResult::Data,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return PeekResult::Empty,
-                Err(error) if is_transient_for_transfer(&error) => {}
+                Err(error) if is_transient_transfer_error(&error) => {}
                 Err(_) => return PeekResult::EndOfStream,
             }
         }
         PeekResult::Empty
     }
 
-    /// True if at least this many bytes are unread.
+    /// True if at least `count` bytes are unread.
     pub fn has_unread_bytes(&self, count: usize) -> bool {
-        let mut space = vec![MaybeUninit::uninit(); count];
+        let mut buffer = vec![MaybeUninit::uninit(); count];
         SockRef::from(&*self.stream)
-            .peek(&mut space)
+            .peek(&mut buffer)
             .is_ok_and(|bytes| bytes >= count)
     }
 
-    /// True if the system knows that the peer has closed its side or that the connection broke, even with unread bytes
-    /// before the end.
+    /// True if the system knows that the peer has closed its side or that the connection is broken, even if there are
+    /// unread bytes before the end.
     pub fn peer_has_closed(&self) -> bool {
-        // Beside this event the system reports only errors and hang-ups.
+        // In addition to the requested event, the system reports only errors and hang-ups.
         let closed = PollFlags::from_bits_retain(nix::libc::POLLRDHUP);
         let mut sockets = [PollFd::new(self.stream.as_fd(), closed)];
         for _ in 0..MAX_TRANSIENT_FAILURES {
             match poll(&mut sockets, PollTimeout::ZERO) {
                 Ok(found) => return found > 0,
-                Err(error) if is_transient_for_transfer(&error.into()) => {}
+                Err(error) if is_transient_transfer_error(&error.into()) => {}
                 Err(_) => return false,
             }
         }
@@ -171,8 +173,8 @@
 }
 
 impl WeakSocket {
-    /// Like [`Socket::peek`], but the result is `EndOfStream` also if the peer has closed its side behind unread bytes, and
-    /// once the socket is closed here.
+    /// Like [`Socket::peek`], but also returns `EndOfStream` if the peer has closed its side after unread bytes, or if
+    /// the socket was closed by this process.
     pub fn peek_or_closed(&self) -> PeekResult {
         let Some(stream) = self.stream.upgrade() else {
             return PeekResult::EndOfStream;
@@ -185,10 +187,10 @@
     }
 }
 
-/// What a socket's receive buffer holds.
+/// The state of a socket's receive buffer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeekResult {
-    /// The peer has sent nothing that was not read.
+    /// All received bytes were read.
     Empty,
     /// At least one byte is unread.
     Data,
@@ -196,9 +198,10 @@
     EndOfStream,
 }
 
-/// Makes a call once the socket is ready for it, and again for as long as its failures may pass. A call that would block
-/// clears the readiness, so that the next `poll_ready` waits. Calls that fail again and again in another way are bounded
-/// by the runtime: each `poll_ready` takes from the task's cooperative budget, and is pending when that is used up.
+/// Makes a system call once the socket is ready for it, and repeats the call after transient errors. A call that would
+/// block clears the readiness, so that the next `poll_ready` waits. Repeated failures with other transient errors are
+/// limited by the runtime: each `poll_ready` uses a part of the task's cooperative budget and is pending once the
+/// budget is used up.
 fn poll_transfer<T>(
     mut poll_ready: impl FnMut() -> Poll<io::Result<()>>,
     mut call: impl FnMut() -> io::Result<T>,
@@ -206,7 +209,7 @@
     loop {
         ready!(poll_ready())?;
         match call() {
-            Err(error) if is_transient_for_transfer(&error) => {}
+            Err(error) if is_transient_transfer_error(&error) => {}
             result => return Poll::Ready(result),
         }
     }
--- a/src/bin/quota-gateway/transient_errors.rs
+++ b/src/bin/quota-gateway/transient_errors.rs
@@ -1,4 +1,4 @@
-//! Which errors of system calls are transient: they have their cause on this machine and may pass by themselves.
+//! Classifies errors of system calls. A transient error has its cause on this machine, and a later call may succeed.
 
 use nix::libc;
 use std::io::{self, ErrorKind};
@@ -14,29 +14,29 @@
     libc::ENOBUFS,
     libc::ENOMEM,
 ];
-/// Transient errors of a call on an open socket: they say nothing about the connection.
+/// Transient errors of a call on an open socket, which do not indicate a broken connection.
 const TRANSFER_ERRORS: [i32; 4] = [libc::EAGAIN, libc::EINTR, libc::ENOBUFS, libc::ENOMEM];
-/// Errors for lack of descriptors or memory: any other call may fail in the same way.
+/// Errors caused by a lack of descriptors or memory. Any other call may fail in the same way.
 const RESOURCE_ERRORS: [i32; 4] = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
 
-/// Whether an error of opening a file or a socket is transient.
+/// True if an error of opening a file or a socket is transient.
 pub fn is_transient_open_error(error: &io::Error) -> bool {
     is_one_of(error, &OPENING_ERRORS)
 }
 
-/// Whether an error of binding an address is transient. The address may be in use until the former process has ended.
+/// True if an error of binding an address is transient. The address may be in use until the previous process has ended.
 pub fn is_transient_bind_error(error: &io::Error) -> bool {
     error.kind() == ErrorKind::AddrInUse || is_transient_open_error(error)
 }
 
-/// Whether a call on an open socket can be repeated.
-pub fn is_transient_for_transfer(error: &io::Error) -> bool {
-    // The runtime makes errors of this kind without a code of the system.
+/// True if an error of a read, write or peek on an open socket is transient, so that the call can be repeated.
+pub fn is_transient_transfer_error(error: &io::Error) -> bool {
+    // The runtime creates `WouldBlock` errors without an error code of the system.
     error.kind() == ErrorKind::WouldBlock || is_one_of(error, &TRANSFER_ERRORS)
 }
 
-/// Whether an error is for lack of descriptors or memory.
-pub fn lacks_resources(error: &io::Error) -> bool {
+/// True if an error was caused by a lack of descriptors or memory.
+pub fn is_resource_exhaustion(error: &io::Error) -> bool {
     is_one_of(error, &RESOURCE_ERRORS)
 }
 
