--- a/src/bin/quota-gateway/discovery/call.rs
+++ b/src/bin/quota-gateway/discovery/call.rs
@@ -2,8 +2,8 @@
 //!
 //! This module guards against two failures:
 //!
-//! - An overloaded discovery sends the complete list and rejects the watch request that follows. If the list were
-//!   discarded with the watch, endpoints that the list marks as draining would still receive requests. The list is
+//! - An overloaded discovery service sends the complete list and rejects the watch request that follows. If the list
+//!   were discarded with the watch, endpoints that the list marks as draining would still receive requests. The list is
 //!   therefore applied before the watch is requested.
 //! - Discovery accepts a connection and never responds, as happens to calls that arrive during an outage. Each step has
 //!   a timeout.
--- a/src/bin/quota-gateway/discovery/mod.rs
+++ b/src/bin/quota-gateway/discovery/mod.rs
@@ -34,7 +34,7 @@
 use tokio::sync::watch::Receiver;
 use tokio::time::{sleep, Instant};
 use updates::ListUpdates;
-use watch::follow;
+use watch::follow_watch;
 
 /// The warning for a failed call and for the end of a watch.
 const NO_WATCH: &str = "no discovery watch is open, the last endpoint list stays in use";
@@ -80,7 +80,7 @@
         let on_failure = |error| self.warning.warn(NO_WATCH, error);
         let watch = open_watch(&mut self.policy, call, on_failure).await;
         let opened_at = Instant::now();
-        let end = follow(watch, &self.updates).await;
+        let end = follow_watch(watch, &self.updates).await;
         let delay = self
             .policy
             .on_watch_ended(opened_at.elapsed(), end.is_invalid_response());
--- a/src/bin/quota-gateway/discovery/open/tests.rs
+++ b/src/bin/quota-gateway/discovery/open/tests.rs
@@ -88,10 +88,11 @@
                     .calls
                     .iter()
                     .for_each(|at| per_second[at.as_secs() as usize] += 1.0);
-                let even = f64::from(gateway_count) / (f64::from(gateway_count) / 10.0).min(4.0);
-                let most = 4.0 / 3.0 * even + 4.0 * even.sqrt();
+                let even_rate =
+                    f64::from(gateway_count) / (f64::from(gateway_count) / 10.0).min(4.0);
+                let max_rate = 4.0 / 3.0 * even_rate + 4.0 * even_rate.sqrt();
                 assert!(
-                    per_second.iter().all(|n| *n <= most),
+                    per_second.iter().all(|n| *n <= max_rate),
                     "{gateway_count}, {outage:?} {outage_ms}: {per_second:?}"
                 );
             }
--- a/src/bin/quota-gateway/discovery/schedule/tests.rs
+++ b/src/bin/quota-gateway/discovery/schedule/tests.rs
@@ -24,11 +24,11 @@
         for at in attempt_times(gateway_count).concat() {
             per_second[at.as_secs() as usize] += 1.0;
         }
-        let even = f64::from(gateway_count) / MAX_INTERVAL.as_secs_f64();
-        let most = even + 4.0 * even.sqrt();
+        let even_rate = f64::from(gateway_count) / MAX_INTERVAL.as_secs_f64();
+        let max_rate = even_rate + 4.0 * even_rate.sqrt();
         assert!(
-            per_second[1..].iter().all(|n| *n <= most),
-            "{gateway_count}: {per_second:?}, {even} would be even"
+            per_second[1..].iter().all(|n| *n <= max_rate),
+            "{gateway_count}: {per_second:?}, an even rate would be {even_rate}"
         );
     }
 }
--- a/src/bin/quota-gateway/discovery/updates.rs
+++ b/src/bin/quota-gateway/discovery/updates.rs
@@ -57,8 +57,9 @@
         Ok(())
     }
 
-    /// Applies a complete list that was fetched before the watch was requested. With two calls in flight, the later
-    /// call may receive its list first: a list older than the current one is ignored, unless a change was missed.
+    /// Applies a complete list that was fetched before the watch was requested, even if the watch fails afterwards.
+    /// With two calls in flight, the later call may receive its list first: a list older than the current one is
+    /// ignored, unless a change was missed.
     pub fn apply_fetched(&self, list: EndpointList) {
         if self.is_incomplete() || list.version >= self.version.get() {
             self.apply(list);
--- a/src/bin/quota-gateway/discovery/updates/tests.rs
+++ b/src/bin/quota-gateway/discovery/updates/tests.rs
@@ -8,9 +8,9 @@
 
 /// A handler that records the versions of the lists it receives.
 #[derive(Default)]
-struct Versions(RefCell<Vec<u64>>);
+struct VersionRecorder(RefCell<Vec<u64>>);
 
-impl EndpointListHandler for Versions {
+impl EndpointListHandler for VersionRecorder {
     fn endpoint_list_changed(self: Rc<Self>, list: EndpointList) {
         self.0.borrow_mut().push(list.version);
     }
@@ -31,7 +31,7 @@
 /// complete list applies, because another discovery service may number its versions differently.
 #[test]
 fn a_fetched_list_older_than_the_current_one_changes_nothing() {
-    let versions = Rc::new(Versions::default());
+    let versions = Rc::new(VersionRecorder::default());
     let updates = ListUpdates::new(7, versions.clone());
     updates.mark_incomplete();
     // Another discovery service may use lower version numbers.
@@ -48,7 +48,7 @@
 /// version it has.
 #[test]
 fn a_stale_change_on_a_watch_requires_the_complete_list() {
-    let versions = Rc::new(Versions::default());
+    let versions = Rc::new(VersionRecorder::default());
     let updates = ListUpdates::new(7, versions.clone());
     assert!(updates.apply_watched(list(6, false)).is_err());
     assert!(updates.is_incomplete());
--- a/src/bin/quota-gateway/discovery/watch.rs
+++ b/src/bin/quota-gateway/discovery/watch.rs
@@ -18,7 +18,7 @@
 
 /// Applies the events of a watch until it ends, and returns the reason for its end. `reader` has already read the head
 /// of the watch's response.
-pub async fn follow(mut reader: Reader<Socket>, updates: &ListUpdates) -> DiscoveryError {
+pub async fn follow_watch(mut reader: Reader<Socket>, updates: &ListUpdates) -> DiscoveryError {
     let mut events = WatchEvents {
         framer: ObjectFramer::default(),
         updates,
--- a/src/bin/quota-gateway/http/body.rs
+++ b/src/bin/quota-gateway/http/body.rs
@@ -66,16 +66,16 @@
             return Decoded::Incomplete;
         }
         let data = match *self {
-            BodyDecoder::Length(left) => {
-                let length = left.min(buffer.len());
-                *self = BodyDecoder::Length(left - length);
+            BodyDecoder::Length(remaining) => {
+                let length = remaining.min(buffer.len());
+                *self = BodyDecoder::Length(remaining - length);
                 buffer.split_to(length)
             }
-            BodyDecoder::ChunkData(left) => {
-                let length = usize::try_from(left)
+            BodyDecoder::ChunkData(remaining) => {
+                let length = usize::try_from(remaining)
                     .unwrap_or(usize::MAX)
                     .min(buffer.len());
-                *self = BodyDecoder::ChunkData(left - length as u64);
+                *self = BodyDecoder::ChunkData(remaining - length as u64);
                 buffer.split_to(length)
             }
             _ => buffer.split(),
--- a/src/bin/quota-gateway/server/client_stream.rs
+++ b/src/bin/quota-gateway/server/client_stream.rs
@@ -66,8 +66,8 @@
 impl StreamState {
     /// Reads and buffers pipelined bytes, or detects the end of the stream.
     fn poll_read_ahead(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        let mut space = [0; READ_BUFFER_BYTES];
-        let mut buffer = ReadBuf::new(&mut space);
+        let mut storage = [0; READ_BUFFER_BYTES];
+        let mut buffer = ReadBuf::new(&mut storage);
         let result = ready!(Pin::new(&mut self.socket).poll_read(cx, &mut buffer));
         let bytes = buffer.filled();
         if result.is_err() || bytes.is_empty() {
@@ -81,8 +81,8 @@
 
     /// Reads and discards pipelined bytes, or detects the end of the stream.
     fn poll_discard(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        let mut space = [0; DISCARD_BUFFER_BYTES];
-        let mut buffer = ReadBuf::new(&mut space);
+        let mut storage = [0; DISCARD_BUFFER_BYTES];
+        let mut buffer = ReadBuf::new(&mut storage);
         let result = ready!(Pin::new(&mut self.socket).poll_read(cx, &mut buffer));
         let bytes = buffer.filled().len();
         self.ended = result.is_err() || bytes == 0;
--- a/src/bin/quota-gateway/server/client_stream/tests.rs
+++ b/src/bin/quota-gateway/server/client_stream/tests.rs
@@ -25,10 +25,10 @@
     (client, stream, budget)
 }
 
-/// Guards against sending requests on after their client has closed its side or reset the connection, with the
-/// read-ahead budget used up and bytes of the client unread. The disconnect is detected without reading, and a client
-/// that stays connected is not mistaken for a disconnected one. Uses the paused clock; bytes on loopback arrive at
-/// once.
+/// Guards against forwarding requests of a client that has closed its side or reset the connection, while the
+/// read-ahead budget is used up and bytes of the client are unread. The disconnect is detected without reading, and a
+/// client that stays connected is not mistaken for a disconnected one. Uses the paused clock; bytes on loopback arrive
+/// at once.
 #[tokio::test(start_paused = true)]
 async fn a_disconnect_is_detected_after_unread_bytes() {
     for reset in [false, true] {
--- a/src/bin/quota-gateway/server/connection/linger.rs
+++ b/src/bin/quota-gateway/server/connection/linger.rs
@@ -20,20 +20,20 @@
 
 /// Closes the sending side, and waits until the client has closed its side or a limit is reached.
 pub async fn linger(socket: Socket) {
-    // An error means that the client has reset the connection, so that there is nothing left to wait for.
+    // An error means that the client has reset the connection, so that there is nothing remaining to wait for.
     let _ = timeout_at(Instant::now() + TIMEOUT, discard_until_closed(socket)).await;
 }
 
 async fn discard_until_closed(mut socket: Socket) -> io::Result<()> {
     socket.shutdown().await?;
     let mut buffer = vec![0; BUFFER_BYTES];
-    let mut left = MAX_BYTES;
-    while left > 0 {
+    let mut remaining = MAX_BYTES;
+    while remaining > 0 {
         let read = socket.read(&mut buffer).await?;
         if read == 0 {
             break;
         }
-        left = left.saturating_sub(read as u64);
+        remaining = remaining.saturating_sub(read as u64);
     }
     Ok(())
 }
--- a/src/bin/quota-gateway/server/in_progress.rs
+++ b/src/bin/quota-gateway/server/in_progress.rs
@@ -20,7 +20,7 @@
 }
 
 impl<'a> RequestInProgress<'a> {
-    /// Starts a request whose head is complete, and records that in the client's state.
+    /// Creates the state of a request whose head is complete, and records the head in the client's state.
     pub fn begin(server: &'a Server, client: &'a Client) -> Self {
         client.head_completed();
         RequestInProgress {
--- a/src/bin/quota-gateway/socket.rs
+++ b/src/bin/quota-gateway/socket.rs
@@ -150,7 +150,7 @@
         let mut sockets = [PollFd::new(self.stream.as_fd(), closed)];
         for _ in 0..MAX_TRANSIENT_FAILURES {
             match poll(&mut sockets, PollTimeout::ZERO) {
-                Ok(found) => return found > 0,
+                Ok(ready_sockets) => return ready_sockets > 0,
                 Err(error) if is_transient_transfer_error(&error.into()) => {}
                 Err(_) => return false,
             }
@@ -158,7 +158,7 @@
         false
     }
 
-    /// A handle that does not keep the socket open.
+    /// Returns a handle that does not keep the socket open.
     pub fn downgrade(&self) -> WeakSocket {
         WeakSocket {
             stream: Rc::downgrade(&self.stream),
@@ -166,7 +166,7 @@
     }
 }
 
-/// A handle that does not keep the socket open.
+/// A handle of a [`Socket`] that does not keep the socket open.
 #[derive(Clone, Default)]
 pub struct WeakSocket {
     stream: Weak<TcpStream>,
