--- a/src/bin/quota-gateway/counter/connection.rs
+++ b/src/bin/quota-gateway/counter/connection.rs
@@ -36,7 +36,7 @@
 
 /// Idle time after which a connection is closed; shorter than the counter's own idle timeout.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Number of requests without a response from which on no more calls are taken from the queue.
+/// While this many requests have no response, no more calls are taken from the queue.
 const MAX_PENDING_REQUESTS: usize = 256;
 /// Maximum size of a response's body.
 const MAX_RESPONSE_BYTES: usize = 1024;
@@ -186,10 +186,10 @@
         let now = Instant::now();
         self.pending
             .report_timeouts(&self.context.reporter, self.context.call_timeout, now);
-        let ends_at = self
-            .silence_deadline()
+        let close_at = self
+            .response_deadline()
             .unwrap_or_else(|| self.idle_deadline());
-        if ends_at <= now {
+        if close_at <= now {
             return ControlFlow::Break(());
         }
         ControlFlow::Continue(())
@@ -197,12 +197,12 @@
 
     /// Time at which the timer has to fire next.
     fn wake_at(&self) -> Instant {
-        let Some(silence_deadline) = self.silence_deadline() else {
+        let Some(response_deadline) = self.response_deadline() else {
             return self.idle_deadline();
         };
         match self.next_call_deadline() {
-            Some(call_deadline) => call_deadline.min(silence_deadline),
-            None => silence_deadline,
+            Some(call_deadline) => call_deadline.min(response_deadline),
+            None => response_deadline,
         }
     }
 
@@ -212,8 +212,8 @@
         Some(started_at + self.context.call_timeout)
     }
 
-    /// Time at which the connection counts as broken; `None` if no responses are outstanding.
-    fn silence_deadline(&self) -> Option<Instant> {
+    /// Time at which the connection counts as broken without a response; `None` if no responses are outstanding.
+    fn response_deadline(&self) -> Option<Instant> {
         let started_at = self.pending.oldest_started_at()?;
         Some(started_at.max(self.last_response_at) + 2 * self.context.call_timeout)
     }
--- a/src/bin/quota-gateway/discovery/error.rs
+++ b/src/bin/quota-gateway/discovery/error.rs
@@ -1,4 +1,4 @@
-//! The reasons for which a call to discovery fails or a watch ends.
+//! The reasons why a call to discovery fails or a watch ends.
 
 use super::list::MAX_LIST_BYTES;
 use std::io::{self, ErrorKind};
@@ -6,7 +6,7 @@
 use tokio::task::JoinError;
 use tokio::time::error::Elapsed;
 
-/// The reason for which a call failed or a watch ended.
+/// The reason why a call failed or a watch ended.
 #[derive(Debug, Error)]
 pub enum DiscoveryError {
     /// The connection failed, or the received bytes are not a valid HTTP response.
--- a/src/bin/quota-gateway/discovery/mod.rs
+++ b/src/bin/quota-gateway/discovery/mod.rs
@@ -10,7 +10,7 @@
 //! - `updates`: decides which lists apply
 //! - `list`: the JSON format of the endpoint list
 //! - `handler`: the interface to the owner of the list
-//! - `error`: the reasons for which a call fails or a watch ends
+//! - `error`: the reasons why a call fails or a watch ends
 
 mod call;
 mod error;
--- a/src/bin/quota-gateway/http/error.rs
+++ b/src/bin/quota-gateway/http/error.rs
@@ -5,7 +5,7 @@
 use std::io::{self, ErrorKind};
 use thiserror::Error;
 
-/// The reason for which a response cannot be read. No further response can be read on its connection.
+/// The reason why a response cannot be read. No further response can be read on its connection.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum MalformedResponse {
     #[error("invalid HTTP/1 response head")]
--- a/src/bin/quota-gateway/http/mod.rs
+++ b/src/bin/quota-gateway/http/mod.rs
@@ -1,4 +1,5 @@
-//! Reads HTTP/1.1 responses of endpoints, the counter and discovery, and defines the header names of the protocol.
+//! Reads HTTP/1.1 responses (RFC 9112) of endpoints, the counter and discovery, and defines the header names of the
+//! protocol.
 //!
 //! - `head`: parses the status line and the headers with httparse
 //! - `body`: decodes bodies that are framed by length, by chunks or by the end of the connection
--- a/src/bin/quota-gateway/server/accept.rs
+++ b/src/bin/quota-gateway/server/accept.rs
@@ -28,7 +28,7 @@
 
 /// Delay after an error that affects all connections, such as exhausted file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
-/// Number of consecutive errors from which on the cause is assumed to affect all connections. With fewer, each error is
+/// After this many consecutive errors, the cause is assumed to affect all connections. Before that, each error is
 /// attributed to the connection that it removed from the queue.
 const MAX_ERRORS_WITHOUT_DELAY: u32 = 64;
 
--- a/src/bin/quota-gateway/server/client_stream.rs
+++ b/src/bin/quota-gateway/server/client_stream.rs
@@ -8,11 +8,11 @@
 //! While a request is being served, the connection therefore reads from the socket itself:
 //!
 //! 1. Pipelined bytes are buffered within the limits of `read_ahead`, and hyper reads them later.
-//! 2. Once a client exceeds its own limit, all further bytes are discarded. Requests in the discarded bytes are not
+//! 2. Once a client reaches its own limit, all further bytes are discarded. Requests in the discarded bytes are not
 //!    served.
 //! 3. Once the budget of all clients is used up, nothing is read, and the system is polled for the end of the stream.
 //!    The system detects the end only if all bytes before it fit into its receive buffer, so the bytes of a client with
-//!    more than [`MAX_UNREAD_BYTES`] unread are discarded as well.
+//!    at least [`MAX_UNREAD_BYTES`] unread are discarded as well.
 
 use super::client::Client;
 use super::read_ahead::{ReadAheadBudget, ReadAheadBuffer};
@@ -33,8 +33,8 @@
 /// Interval at which the system is polled for a disconnect of a client that is not being read. A disconnect has to be
 /// detected within 0.1 s, because an attempt that is written later breaks a rule.
 const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(40);
-/// Number of unread bytes from which on the bytes of a client are read and discarded. The system's receive buffer holds
-/// more, so that the end of the stream always fits in.
+/// Once this many bytes of a client are unread, they are read and discarded. The system's receive buffer holds more, so
+/// that the end of the stream always fits in.
 const MAX_UNREAD_BYTES: usize = 32 * 1024;
 /// Maximum number of discarded bytes of one client, which bounds the work.
 const MAX_DISCARDED_BYTES: u64 = 64 << 20;
--- a/src/bin/quota-gateway/server/connection.rs
+++ b/src/bin/quota-gateway/server/connection.rs
@@ -1,6 +1,6 @@
 //! Serves one client's connection with hyper's HTTP/1.1 implementation, from the first byte to the close.
 //!
-//! - `close_reason`: the reasons for which the gateway closes the connection
+//! - `close_reason`: the reasons why the gateway closes the connection
 //! - `head_timer`: the time limit for the head of the next request
 //! - `linger`: the lingering close after the last response
 
--- a/src/bin/quota-gateway/server/connection/close_reason.rs
+++ b/src/bin/quota-gateway/server/connection/close_reason.rs
@@ -1,4 +1,4 @@
-//! The reasons for which the gateway closes a client's connection.
+//! The reasons why the gateway closes a client's connection.
 
 use super::head_timer::{is_expired, HeadTimer};
 use crate::lifecycle::Phase;
@@ -7,7 +7,7 @@
 use crate::server::client_stream::ClientStream;
 use std::task::{Context, Poll};
 
-/// The reason for which no more requests are served on a connection.
+/// The reason why no more requests are served on a connection.
 pub enum CloseReason {
     /// hyper has ended the connection.
     Finished,
--- a/src/bin/quota-gateway/server/connection/linger.rs
+++ b/src/bin/quota-gateway/server/connection/linger.rs
@@ -1,4 +1,4 @@
-//! The lingering close of a connection after its last response.
+//! The lingering close of a connection after its last response, as described in RFC 9112, section 9.6.
 //!
 //! Guards against losing the response when a connection is closed while its client is still sending, for instance a
 //! body that is too long. The system responds to bytes that arrive after the close with a reset, and the reset discards
@@ -20,7 +20,7 @@
 
 /// Closes the sending side, and waits until the client has closed its side or a limit is reached.
 pub async fn linger(socket: Socket) {
-    // An error means that the client has reset the connection, so that there is nothing remaining to wait for.
+    // An error means that the client has reset the connection, so that there is nothing left to wait for.
     let _ = timeout_at(Instant::now() + TIMEOUT, discard_until_closed(socket)).await;
 }
 
--- a/src/bin/quota-gateway/server/read_ahead.rs
+++ b/src/bin/quota-gateway/server/read_ahead.rs
@@ -8,11 +8,10 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Number of buffered bytes of one client from which on further bytes are discarded (see `client_stream`). The limit is
+/// Once this many bytes of one client are buffered, further bytes are discarded (see `client_stream`). The limit is
 /// far above the largest request, so that only a client that pipelines many requests loses any.
 const MAX_BYTES: usize = 1 << 20;
-/// Number of buffered bytes of all clients from which on no more bytes are read ahead; further bytes stay in the
-/// sockets.
+/// Once this many bytes of all clients are buffered, no more bytes are read ahead; further bytes stay in the sockets.
 pub const MAX_TOTAL_BYTES: usize = 4 << 20;
 /// Time after the first read within which further bytes count as having arrived together with the first.
 const ARRIVAL_RESOLUTION: Duration = Duration::from_millis(5);
--- a/src/bin/quota-gateway/server/request/error.rs
+++ b/src/bin/quota-gateway/server/request/error.rs
@@ -3,7 +3,7 @@
 use hyper::{Method, StatusCode};
 use thiserror::Error;
 
-/// The reason for which a request is invalid. The status of its response is neither 429 nor 503, because those promise
+/// The reason why a request is invalid. The status of its response is neither 429 nor 503, because those promise
 /// that a retry is harmless. The message is the body of the response.
 #[derive(Debug, Error)]
 pub enum RequestError {
--- a/src/bin/quota-gateway/server/response.rs
+++ b/src/bin/quota-gateway/server/response.rs
@@ -87,16 +87,16 @@
     } else {
         String::new()
     };
-    unavailable(&headers)
+    service_unavailable(&headers)
 }
 
 /// Serializes the response to a request that is incomplete when the shutdown refuses requests.
 pub fn incomplete_at_shutdown() -> String {
-    unavailable("")
+    service_unavailable("")
 }
 
 /// Serializes a response with status 503. `headers` consists of complete header lines, including their line ends.
-fn unavailable(headers: &str) -> String {
+fn service_unavailable(headers: &str) -> String {
     format!("HTTP/1.1 503 Service Unavailable\r\n{headers}Connection: close\r\nContent-Length: 0\r\n\r\n")
 }
 
--- a/src/bin/quota-gateway/transient_errors.rs
+++ b/src/bin/quota-gateway/transient_errors.rs
@@ -4,7 +4,7 @@
 use std::io::{self, ErrorKind};
 
 /// Transient errors of opening a file or a socket.
-const OPENING_ERRORS: [i32; 8] = [
+const OPEN_ERRORS: [i32; 8] = [
     libc::EADDRNOTAVAIL,
     libc::EAGAIN,
     libc::EINTR,
@@ -21,7 +21,7 @@
 
 /// True if an error of opening a file or a socket is transient.
 pub fn is_transient_open_error(error: &io::Error) -> bool {
-    is_one_of(error, &OPENING_ERRORS)
+    is_one_of(error, &OPEN_ERRORS)
 }
 
 /// True if an error of binding an address is transient. The address may be in use until the previous process has ended.
