--- a/src/bin/quota-gateway/server/accept.rs
+++ b/src/bin/quota-gateway/server/accept.rs
@@ -113,7 +113,7 @@
         let mut phase = self.lifecycle.subscribe();
         let mut consecutive_errors = 0;
         let mut queue = AcceptQueue::new(listener);
-        for number in 0.. {
+        for sequence_number in 0.. {
             let accepted = tokio::select! {
                 // The queue is polled first, so that the shutdown ends the loop only once the queue is empty.
                 biased;
@@ -123,7 +123,7 @@
             match accepted {
                 Ok(socket) => {
                     consecutive_errors = 0;
-                    self.serve_if_slot(number, socket, &queue).await;
+                    self.serve_or_reject(sequence_number, socket, &queue).await;
                 }
                 Err(error) => {
                     queue.record_accept_failure();
@@ -137,7 +137,12 @@
     }
 
     /// Serves a new connection, or rejects it if no slot is available.
-    async fn serve_if_slot(self: &Rc<Self>, number: u64, socket: Socket, queue: &AcceptQueue) {
+    async fn serve_or_reject(
+        self: &Rc<Self>,
+        sequence_number: u64,
+        socket: Socket,
+        queue: &AcceptQueue,
+    ) {
         let metrics = self.driver.metrics();
         metrics.connections_accepted.inc();
         let Some(slot) = self.acquire_slot().await else {
@@ -147,7 +152,7 @@
             return;
         };
         let client = Rc::new(Client::new(queue.earliest_arrival(&socket)));
-        self.spawn_client(number, socket, client, slot);
+        self.spawn_client(sequence_number, socket, client, slot);
         // The client's task runs first and reads a request that has already arrived. Otherwise the next connection
         // could evict this client as idle.
         yield_now().await;
@@ -156,16 +161,19 @@
     /// Starts the task of a client, which holds the slot until the connection is closed.
     fn spawn_client(
         self: &Rc<Self>,
-        number: u64,
+        sequence_number: u64,
         socket: Socket,
         client: Rc<Client>,
         slot: OwnedSemaphorePermit,
     ) {
         let server = self.clone();
         tokio::task::spawn_local(async move {
-            server.clients.borrow_mut().insert(number, client.clone());
+            server
+                .clients
+                .borrow_mut()
+                .insert(sequence_number, client.clone());
             server.serve_until_evicted(socket, &client).await;
-            server.clients.borrow_mut().remove(&number);
+            server.clients.borrow_mut().remove(&sequence_number);
             drop(slot);
         });
     }
