--- a/src/bin/quota-gateway/config/tests.rs
+++ b/src/bin/quota-gateway/config/tests.rs
@@ -1,3 +1,5 @@
+//! Tests the conversion of a configuration and the messages for invalid fields.
+
 use super::*;
 use serde_json::{json, Value};
 
@@ -39,7 +41,7 @@
 #[test]
 fn each_error_is_one_line_that_names_the_field() {
     for (pointer, value, line) in [
-        ("/limits/sockets", json!(39), "limits.sockets: at least 40 are needed"),
+        ("/limits/sockets", json!(39), "limits.sockets: must be at least 40"),
         ("/settings/position", json!(1), "settings.position: must be less than settings.balancers"),
         ("/settings/locality", json!(1), "settings.locality: must be an index into settings.zones"),
         ("/settings/categories", json!([]), "settings.categories: must not be empty"),
@@ -59,8 +61,8 @@
             "settings.tiers-of-service[0].store-size: must be above 0 if refill is, and refill must not be negative",
         ),
         ("/counter", Value::Null, "counter: missing, but required if settings.domain.may-count is true"),
-        ("/peers", json!([]), "peers: one address for each gateway and peer_listen are needed"),
-        ("/seed", json!("seed"), "seed: not a hex number"),
+        ("/peers", json!([]), "peers: gossip requires peer_listen and one address for each gateway"),
+        ("/seed", json!("seed"), "seed: not a 64-bit hexadecimal number"),
     ] {
         let mut file = sample();
         *file.pointer_mut(pointer).unwrap() = value;
