--- a/emulator/src/clients.rs
+++ b/emulator/src/clients.rs
@@ -1,4 +1,5 @@
-//! Model of the clients: arrivals of requests, their customer and gateway, retries, and disconnects.
+//! Model of the clients: Poisson arrivals, customers with Zipf-distributed popularity, choice of the gateway, retries,
+//! and disconnects.
 
 use crate::experiment::{Experiment, ExperimentError};
 use crate::{micros, seeded_rng, Micros};
@@ -211,6 +212,7 @@
 
 /// A number from 0 to 1 derived from a hash of the customer and the property, the same in every experiment.
 fn customer_draw(customer: u64, property: CustomerProperty) -> f64 {
+    // Mixes the bits with the constants of SplitMix64.
     let key = customer ^ (property as u64) << 40;
     let mixed = key
         .wrapping_add(0x9E37_79B9_7F4A_7C15)
--- a/emulator/src/counter.rs
+++ b/emulator/src/counter.rs
@@ -86,7 +86,8 @@
     }
 
     fn shard(&mut self, key: u64) -> &mut Shard {
-        // The low bits of a key identify the window and the high bits the customer, so both are mixed into the hash.
+        // Fibonacci hashing. The lowest bits of a key identify the window and the higher ones the customer, so both are
+        // mixed into the hash.
         let hash = (key ^ key >> 30).wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 33;
         let count = self.shards.len() as u64;
         &mut self.shards[(hash % count) as usize]
--- a/emulator/src/endpoint.rs
+++ b/emulator/src/endpoint.rs
@@ -1,5 +1,5 @@
-//! Model of the endpoints that requests are forwarded to: service slots, a queue, slow start, draining, and failure by
-//! overload in slow start.
+//! Model of the endpoints that requests are forwarded to: service slots with lognormal service times, a queue, slow
+//! start, draining, and failure by overload in slow start.
 
 use crate::experiment::{Experiment, ExperimentError};
 use crate::{micros, seeded_rng, Micros};
@@ -7,7 +7,7 @@
 use rand_distr::{Distribution, LogNormal};
 use std::collections::VecDeque;
 
-/// State of an endpoint, which decides how it treats requests.
+/// Status of an endpoint, which decides how the endpoint handles requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EndpointStatus {
     /// The endpoint serves requests.
@@ -107,7 +107,7 @@
 /// One emulated endpoint.
 pub(crate) struct EmulatedEndpoint {
     pub(crate) zone: u32,
-    pub(crate) state: EndpointStatus,
+    pub(crate) status: EndpointStatus,
     /// Start time of the endpoint's process; `None` if it started long before the experiment.
     pub(crate) started_at: Option<Micros>,
     /// Number of times that the endpoint lost its requests. Completions of an earlier generation are ignored.
@@ -127,7 +127,7 @@
     pub(crate) fn new(seed: u64, index: u64, zone: u32, started_at: Option<Micros>) -> Self {
         EmulatedEndpoint {
             zone,
-            state: EndpointStatus::Running,
+            status: EndpointStatus::Running,
             started_at,
             generation: 0,
             connections: 0,
@@ -146,7 +146,7 @@
         now: Micros,
         attempt: u64,
     ) -> Arrival {
-        match self.state {
+        match self.status {
             EndpointStatus::Running => {}
             EndpointStatus::Draining => return Arrival::Rejected,
             EndpointStatus::Unreachable => return Arrival::NoResponse,
@@ -185,7 +185,7 @@
         if arrived as f64 <= allowed {
             return None;
         }
-        self.stop(EndpointStatus::Stopped);
+        self.reset(EndpointStatus::Stopped);
         Some(Arrival::Overloaded { arrived, allowed })
     }
 
@@ -209,9 +209,9 @@
         Some((next, service_time))
     }
 
-    /// Sets the state and drops all requests that the endpoint has.
-    pub(crate) fn stop(&mut self, state: EndpointStatus) {
-        self.state = state;
+    /// Drops all requests that the endpoint has and sets its status.
+    pub(crate) fn reset(&mut self, status: EndpointStatus) {
+        self.status = status;
         self.generation += 1;
         self.busy_slots = 0;
         self.queue.clear();
@@ -220,7 +220,7 @@
 
     /// Restarts the endpoint, which begins in slow start.
     pub(crate) fn restart(&mut self, now: Micros) {
-        self.stop(EndpointStatus::Running);
+        self.reset(EndpointStatus::Running);
         self.started_at = Some(now);
     }
 }
--- a/emulator/src/measured_gateway.rs
+++ b/emulator/src/measured_gateway.rs
@@ -1,12 +1,12 @@
-//! One instance of the decision library that knows a large fleet of endpoints, for measurements of the library alone.
-//! The scaling measurements and the benchmarks share it.
+//! One instance of the decision library that knows a given number of endpoints, for measurements of the library alone.
+//! The scaling measurements and the benchmarks share this code.
 
 use quota_gateway::{
     Action, AttemptEnd, Class, CounterSettings, Endpoint, EndpointId, EndpointState, Event,
     Gateway, Idempotency, Limits, Outcome, Plan, Prices, Request, RequestId, Rules, Settings,
 };
 
-/// Number of gateways in the fleet: the next fleet size named by the operators.
+/// Number of gateways of the next fleet size named by the operators.
 const GATEWAYS: u32 = 720;
 const GATEWAY_SEED: u64 = 7;
 const ZONES: u32 = 8;
--- a/emulator/src/network.rs
+++ b/emulator/src/network.rs
@@ -8,7 +8,7 @@
     same_zone: Micros,
     same_region: Micros,
     cross_region: Micros,
-    /// Whether each region is partitioned from the others, by region.
+    /// For each region, whether a partition separates the region from the others.
     partitioned: Vec<bool>,
 }
 
--- a/emulator/src/report/summary.rs
+++ b/emulator/src/report/summary.rs
@@ -7,7 +7,7 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> Result {
         writeln!(
             f,
-            "{} seed {}: {} s, {} measured",
+            "{} seed {}: {} s, of which {} s measured",
             self.experiment, self.seed, self.seconds, self.measured_s
         )?;
         self.write_requests(f)?;
--- a/emulator/src/scaling/mod.rs
+++ b/emulator/src/scaling/mod.rs
@@ -24,7 +24,8 @@
 #[must_use]
 pub fn measure_all(quick: bool) -> Vec<ScalingLine> {
     let rounds = if quick { QUICK_ROUNDS } else { ROUNDS };
-    // Memory is measured first, with all gateways kept until the end: reused memory would not count as growth.
+    // Memory is measured before anything is freed, and all gateways are kept until its last measurement: reused memory
+    // would not count as growth.
     let mut kept = Vec::new();
     let memory = over_sizes(|endpoints| memory_kb(endpoints, &mut kept));
     drop(kept);
--- a/emulator/src/simulation/attempts.rs
+++ b/emulator/src/simulation/attempts.rs
@@ -82,7 +82,7 @@
     /// Schedules the arrival of an attempt at its endpoint, or the failure of its connection.
     fn transmit(&mut self, attempt: u64, gateway: u32, endpoint: u32, connection: ConnectionUse) {
         let target = &self.endpoints[endpoint as usize];
-        let reachable = target.state != EndpointStatus::Unreachable;
+        let reachable = target.status != EndpointStatus::Unreachable;
         let delay = self
             .network
             .delay(self.gateways[gateway as usize].zone, target.zone);
@@ -150,7 +150,7 @@
         };
         let index = attempt.endpoint;
         let endpoint = &mut self.endpoints[index as usize];
-        if is_measuring && endpoint.state == EndpointStatus::Running {
+        if is_measuring && endpoint.status == EndpointStatus::Running {
             endpoint.requests += 1;
         }
         match endpoint.arrive(&self.endpoint_parameters, now, id) {
@@ -191,7 +191,7 @@
             };
             self.queue.schedule_in(service_time, completed);
         }
-        if self.endpoints[index as usize].state != EndpointStatus::Unreachable {
+        if self.endpoints[index as usize].status != EndpointStatus::Unreachable {
             self.respond(attempt, Outcome::Success);
         }
     }
--- a/emulator/src/simulation/endpoint_list.rs
+++ b/emulator/src/simulation/endpoint_list.rs
@@ -49,7 +49,7 @@
     /// Records the endpoint's current state in discovery and distributes the change.
     pub(super) fn endpoint_status_detected(&mut self, endpoint: u32) {
         let detected = &self.endpoints[endpoint as usize];
-        let state = match detected.state {
+        let state = match detected.status {
             EndpointStatus::Running => EndpointState::Ready,
             EndpointStatus::Draining => EndpointState::Draining,
             EndpointStatus::Unreachable | EndpointStatus::Stopped => EndpointState::Removed,
--- a/emulator/src/simulation/event_queue.rs
+++ b/emulator/src/simulation/event_queue.rs
@@ -1,4 +1,4 @@
-//! The event clock and the queue of scheduled events.
+//! The event clock and the queue of scheduled events, a binary heap.
 
 use super::event::Event;
 use crate::Micros;
--- a/emulator/src/simulation/faults.rs
+++ b/emulator/src/simulation/faults.rs
@@ -52,11 +52,11 @@
         for index in 0..self.endpoints.len() {
             let endpoint = &mut self.endpoints[index];
             let is_up = matches!(
-                endpoint.state,
+                endpoint.status,
                 EndpointStatus::Running | EndpointStatus::Draining
             );
             if endpoint.zone == zone && is_up {
-                endpoint.stop(EndpointStatus::Unreachable);
+                endpoint.reset(EndpointStatus::Unreachable);
                 self.schedule_endpoint_status_detection(index as u32);
             }
         }
@@ -65,7 +65,7 @@
     fn end_zone_outage(&mut self, zone: u32) {
         for index in 0..self.endpoints.len() {
             let endpoint = &mut self.endpoints[index];
-            if endpoint.zone == zone && endpoint.state == EndpointStatus::Unreachable {
+            if endpoint.zone == zone && endpoint.status == EndpointStatus::Unreachable {
                 endpoint.restart(self.queue.now());
                 self.endpoint_status_detected(index as u32);
             }
@@ -132,7 +132,7 @@
     pub(super) fn replace_endpoints(&mut self, share: f64) {
         let count = (f64::from(self.experiment.endpoints.count) * share).round() as usize;
         let is_initial = |endpoint: &EmulatedEndpoint| {
-            endpoint.state == EndpointStatus::Running && endpoint.started_at.is_none()
+            endpoint.status == EndpointStatus::Running && endpoint.started_at.is_none()
         };
         let replaced: Vec<usize> = (0..self.endpoints.len())
             .filter(|index| is_initial(&self.endpoints[*index]))
@@ -140,7 +140,7 @@
             .collect();
         for index in replaced {
             let endpoint = index as u32;
-            self.endpoints[index].state = EndpointStatus::Draining;
+            self.endpoints[index].status = EndpointStatus::Draining;
             self.queue
                 .schedule_in(ENDPOINT_DRAIN_TIME, Event::EndpointStops { endpoint });
             self.endpoint_status_detected(endpoint);
@@ -162,7 +162,7 @@
 
     /// Stops an endpoint that has drained.
     pub(super) fn stop_drained_endpoint(&mut self, index: u32) {
-        self.endpoints[index as usize].stop(EndpointStatus::Stopped);
+        self.endpoints[index as usize].reset(EndpointStatus::Stopped);
         self.endpoint_status_detected(index);
     }
 }
--- a/emulator/src/simulation/gateway.rs
+++ b/emulator/src/simulation/gateway.rs
@@ -65,7 +65,7 @@
 /// Connections of one gateway to one endpoint.
 #[derive(Default)]
 struct EndpointConnections {
-    /// Time since which each idle connection has been idle, oldest first.
+    /// Times at which the idle connections became idle, oldest first.
     idle_since: Vec<Micros>,
     open: u32,
 }
--- a/emulator/src/simulation/mod.rs
+++ b/emulator/src/simulation/mod.rs
@@ -162,8 +162,8 @@
         let mut progress = Progress::new();
         while let Some(event) = self.queue.pop() {
             let now = self.queue.now();
-            // After the last arrival, the simulation goes on until all open requests have ended or the
-            // last deadline has passed.
+            // After the last arrival, the simulation continues until all open requests have ended, at the latest until the
+            // last deadline.
             if now > self.ends_at && (self.open_requests.is_empty() || now > last_response_by) {
                 break;
             }
--- a/emulator/src/simulation/recorder.rs
+++ b/emulator/src/simulation/recorder.rs
@@ -94,7 +94,7 @@
             }
         }
         let running: Vec<usize> = (0..endpoints.len())
-            .filter(|index| endpoints[*index].state == EndpointStatus::Running)
+            .filter(|index| endpoints[*index].status == EndpointStatus::Running)
             .collect();
         let over_running = |value: &dyn Fn(usize) -> f64| {
             Distribution::of(running.iter().map(|index| value(*index)).collect())
--- a/emulator/src/simulation/requests.rs
+++ b/emulator/src/simulation/requests.rs
@@ -143,8 +143,9 @@
         let at_s = self.queue.now() as f64 / 1e6;
         let violations = &mut self.recorder.report.violations;
         violations.unanswered += 1;
-        violations
-            .describe_first(|| format!("lost: gateway {gateway}, class {class}, at {at_s:.3} s"));
+        violations.describe_first(|| {
+            format!("lost: no response from gateway {gateway}, class {class}, by {at_s:.3} s")
+        });
         self.drop_if_ended(id);
     }
 
@@ -166,7 +167,8 @@
         if after_deadline {
             let violations = &mut self.recorder.report.violations;
             violations.unanswered += 1;
-            violations.describe_first(|| format!("lost: served after {latency} us"));
+            violations
+                .describe_first(|| format!("lost: served after {latency} us, past the deadline"));
         }
     }
 
--- a/emulator/src/simulation/rule_checks.rs
+++ b/emulator/src/simulation/rule_checks.rs
@@ -75,7 +75,7 @@
         let violations = &mut self.recorder.report.violations;
         violations.sent_after_drain += 1;
         violations.describe_first(|| {
-            format!("drain: gateway {gateway} sent to endpoint {endpoint} {late_ms} ms after it was notified")
+            format!("drain: gateway {gateway} sent to endpoint {endpoint} {late_ms} ms after the drain notice")
         });
     }
 
