--- a/soak/src/faults/gateway_faults.rs
+++ b/soak/src/faults/gateway_faults.rs
@@ -76,7 +76,7 @@
             gateway.reload(addresses)?;
         }
         if let Some(former) = former {
-            former.retire(FORMER_CLOSE_DELAY).await;
+            former.shut_down(FORMER_CLOSE_DELAY).await;
         }
         Ok(())
     }
--- a/stand-ins/src/discovery.rs
+++ b/stand-ins/src/discovery.rs
@@ -73,7 +73,7 @@
     }
 
     /// Accepts nothing more, and closes what is open after a delay.
-    pub async fn retire(self, close_delay: Duration) {
+    pub async fn shut_down(self, close_delay: Duration) {
         self.server.stop_accepting();
         sleep(close_delay).await;
         self.server.stop();
