--- a/soak/src/endpoint.rs
+++ b/soak/src/endpoint.rs
@@ -145,7 +145,7 @@
         context.checker.borrow_mut().attempt(ObservedAttempt {
             transaction,
             endpoint: self.number,
-            began_at: self.connection.began_at(),
+            began_at: self.connection.first_byte_at(),
             propagated_deadline: Duration::from_millis(propagated_ms),
             drain_notified_at,
             started_at: endpoint
--- a/stand-ins/src/connection.rs
+++ b/stand-ins/src/connection.rs
@@ -16,7 +16,7 @@
 pub struct Connection {
     stream: TcpStream,
     received: Vec<u8>,
-    began_at: Instant,
+    first_byte_at: Instant,
 }
 
 impl Connection {
@@ -28,7 +28,7 @@
         Connection {
             stream,
             received: Vec::new(),
-            began_at: Instant::now(),
+            first_byte_at: Instant::now(),
         }
     }
 
@@ -48,7 +48,7 @@
             }
             if self.received.is_empty() {
                 self.stream.readable().await?;
-                self.began_at = Instant::now();
+                self.first_byte_at = Instant::now();
             }
             if self.stream.read_buf(&mut self.received).await? == 0 {
                 return Ok(None);
@@ -58,8 +58,8 @@
 
     /// When the first byte of the last message arrived. Messages that arrive together have the moment of the first.
     #[must_use]
-    pub fn began_at(&self) -> Instant {
-        self.began_at
+    pub fn first_byte_at(&self) -> Instant {
+        self.first_byte_at
     }
 
     /// True if the peer has closed or broken the connection, and that has arrived here.
