--- a/emulator/src/real/clients.rs
+++ b/emulator/src/real/clients.rs
@@ -136,7 +136,7 @@
             .receive()
             .await?
             .ok_or_else(|| io::Error::other("closed"))?;
-        if !response.closes() {
+        if !response.closes_connection() {
             self.connection = Some(connection);
         }
         Ok(response.status())
--- a/soak/src/clients/shutdown.rs
+++ b/soak/src/clients/shutdown.rs
@@ -148,7 +148,7 @@
     /// Waits for an answer; false if nothing more is answered behind it.
     async fn receive(&self, connection: &mut Connection, request: &Request) -> bool {
         match receive(&self.context, connection, request).await {
-            Outcome::Answered(answer) => return !answer.closes(),
+            Outcome::Answered(answer) => return !answer.closes_connection(),
             Outcome::Closed(close) => self.check_unanswered(request, close),
             Outcome::TimedOut => self.lost(request, "no answer in time"),
         }
--- a/soak/src/clients/steady.rs
+++ b/soak/src/clients/steady.rs
@@ -170,7 +170,7 @@
     }
 
     fn keep(&mut self, mut open: GatewayConnection, answer: &Message) {
-        if !answer.closes() && self.rng.random_range(0..10) > 0 {
+        if !answer.closes_connection() && self.rng.random_range(0..10) > 0 {
             open.is_reused = true;
             self.idle_connection = Some(open);
         }
@@ -270,7 +270,7 @@
         for request in [first, &second] {
             match receive(&self.context, &mut open.connection, request).await {
                 // Behind this nothing more is answered.
-                Outcome::Answered(answer) if answer.closes() => return,
+                Outcome::Answered(answer) if answer.closes_connection() => return,
                 Outcome::Answered(_) => {}
                 Outcome::TimedOut => return self.check_timed_out(&open, request),
                 Outcome::Closed(close) if self.was_forwarded(request) => {
--- a/stand-ins/src/message.rs
+++ b/stand-ins/src/message.rs
@@ -82,7 +82,7 @@
 
     /// True if the peer closes the connection behind this message.
     #[must_use]
-    pub fn closes(&self) -> bool {
+    pub fn closes_connection(&self) -> bool {
         self.header("connection")
             .is_some_and(|value| value.eq_ignore_ascii_case("close"))
     }
--- a/stand-ins/src/message/tests.rs
+++ b/stand-ins/src/message/tests.rs
@@ -14,7 +14,7 @@
     assert_eq!(message.header("x-turned-away"), Some("1"));
     assert_eq!(message.body, b"busy");
     assert_eq!(message.wire_bytes(), text.len());
-    assert!(!message.closes());
+    assert!(!message.closes_connection());
 }
 
 #[test]
@@ -25,5 +25,5 @@
     assert_eq!(message.target(), "/a?by=1");
     assert!(message.content_length().is_err());
     assert!(message.body.is_empty());
-    assert!(message.closes());
+    assert!(message.closes_connection());
 }
