--- a/stand-ins/src/connection.rs
+++ b/stand-ins/src/connection.rs
@@ -1,4 +1,4 @@
-//! One HTTP connection of a tokio task, of a stand-in or of a client.
+//! An asynchronous HTTP/1.1 connection, used by servers and by test clients.
 
 use crate::message::{response, Message};
 use socket2::SockRef;
@@ -9,10 +9,10 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Bytes of an incomplete message above which the connection fails.
+/// Maximum size of an incomplete message, in bytes. Receiving fails above it.
 const MAX_BUFFERED: usize = 1 << 20;
 
-/// A connection and the bytes that were received on it.
+/// A TCP connection with a buffer for received bytes.
 pub struct Connection {
     stream: TcpStream,
     received: Vec<u8>,
@@ -20,10 +20,10 @@
 }
 
 impl Connection {
-    /// Takes over a stream; small writes are sent at once.
+    /// Wraps a stream and sets `TCP_NODELAY` on it.
     #[must_use]
     pub fn new(stream: TcpStream) -> Self {
-        // It fails on a connection that is already broken, which the next call reports.
+        // Setting the option fails only on a broken connection, which the next read or write reports.
         let _ = stream.set_nodelay(true);
         Connection {
             stream,
@@ -32,11 +32,11 @@
         }
     }
 
-    /// The next message; `None` once the peer has closed the connection.
+    /// Receives the next message. Returns `None` once the peer has closed the connection.
     ///
     /// # Errors
     ///
-    /// Fails if the connection breaks, or a message is longer than 1 MB.
+    /// Fails if the connection breaks, or if an incomplete message exceeds 1 MiB.
     pub async fn receive(&mut self) -> io::Result<Option<Message>> {
         loop {
             if let Some((message, length)) = Message::decode(&self.received) {
@@ -44,7 +44,9 @@
                 return Ok(Some(message));
             }
             if self.received.len() > MAX_BUFFERED {
-                return Err(io::Error::other("message too long"));
+                return Err(io::Error::other(
+                    "received more than 1 MiB without a complete message",
+                ));
             }
             if self.received.is_empty() {
                 self.stream.readable().await?;
@@ -56,13 +58,14 @@
         }
     }
 
-    /// When the first byte of the last message arrived. Messages that arrive together have the moment of the first.
+    /// The time at which the first byte of the last received message arrived. Pipelined messages that arrive together
+    /// share the time of the first one.
     #[must_use]
     pub fn first_byte_at(&self) -> Instant {
         self.first_byte_at
     }
 
-    /// True if the peer has closed or broken the connection, and that has arrived here.
+    /// Returns true if the peer's close or reset of the connection has been received.
     #[must_use]
     pub fn is_closed_by_peer(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
@@ -72,7 +75,7 @@
         }
     }
 
-    /// Sends bytes as they are.
+    /// Sends bytes unchanged.
     ///
     /// # Errors
     ///
@@ -81,7 +84,7 @@
         self.stream.write_all(bytes).await
     }
 
-    /// Sends a response; `headers` are complete lines. Returns the bytes sent.
+    /// Sends a response and returns its size in bytes. `headers` holds complete header lines, each with its line ending.
     ///
     /// # Errors
     ///
@@ -92,18 +95,18 @@
         Ok(text.len())
     }
 
-    /// Ends the sending side.
+    /// Closes the sending side of the connection.
     ///
     /// # Errors
     ///
     /// Fails if the connection is broken.
-    pub async fn finish(&mut self) -> io::Result<()> {
+    pub async fn close_write(&mut self) -> io::Result<()> {
         self.stream.shutdown().await
     }
 
-    /// From now on, dropping the connection resets it, in place of an orderly close.
+    /// Makes a later drop reset the connection instead of closing it in order.
     pub fn reset_on_drop(&self) {
-        // It fails on a connection that is already broken.
+        // Setting the option fails only on a broken connection, which needs no reset.
         let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
 }
--- a/stand-ins/src/counter.rs
+++ b/stand-ins/src/counter.rs
@@ -1,4 +1,4 @@
-//! The shared counter, served by tokio tasks.
+//! Asynchronous server of the shared counter.
 
 use crate::connection::Connection;
 use crate::counter_totals::{CounterCall, CounterTotals};
@@ -12,7 +12,7 @@
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
-/// The state of a counter and its faults.
+/// A shared counter with its totals and its present fault mode.
 #[derive(Default)]
 pub struct Counter {
     totals: RefCell<CounterTotals>,
@@ -22,7 +22,7 @@
 }
 
 impl Counter {
-    /// A counter that takes this time for a call.
+    /// Creates a counter that waits for `call_time` before each response.
     #[must_use]
     pub fn with_call_time(call_time: Duration) -> Self {
         Counter {
@@ -31,17 +31,17 @@
         }
     }
 
-    /// Sets how it treats calls from now on.
+    /// Sets how the counter handles calls that arrive from now on.
     pub fn set_mode(&self, mode: ServiceMode) {
         self.mode.set(mode);
     }
 
-    /// Calls so far, and the bytes of calls and answers.
+    /// The number of calls so far, and the bytes of the calls and their responses.
     pub fn traffic(&self) -> Traffic {
         self.traffic.read()
     }
 
-    /// Serves a listener.
+    /// Starts to serve the counter on a listener.
     ///
     /// # Errors
     ///
@@ -57,7 +57,8 @@
                     if let Some(call_time) = self.call_time {
                         sleep(call_time).await;
                     }
-                    self.answer(&mut connection, request.target()).await?
+                    self.respond_with_total(&mut connection, request.target())
+                        .await?
                 }
                 ServiceMode::Silent => 0,
                 ServiceMode::Closes => return Ok(()),
@@ -70,7 +71,11 @@
         Ok(())
     }
 
-    async fn answer(&self, connection: &mut Connection, target: &str) -> io::Result<usize> {
+    async fn respond_with_total(
+        &self,
+        connection: &mut Connection,
+        target: &str,
+    ) -> io::Result<usize> {
         let Some(call) = CounterCall::parse(target) else {
             return connection.respond(400, "", "").await;
         };
--- a/stand-ins/src/counter_totals.rs
+++ b/stand-ins/src/counter_totals.rs
@@ -1,18 +1,19 @@
-//! The shared counter without its sockets: calls that add to totals by key.
+//! The protocol of the shared counter: each call adds an amount to the total of a key.
 
 use std::collections::HashMap;
 
-/// One call: add an amount to the total of a key.
+/// A call that adds an amount to the total of a key.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CounterCall {
-    /// The path of the request, which names the total.
+    /// The path of the request, which identifies the total.
     pub key: String,
-    /// Units to add.
+    /// Units to add; may be negative.
     pub amount: f64,
 }
 
 impl CounterCall {
-    /// Reads a request's target, such as `/counters/000000000000002a?by=2&expire_ms=900`; none without an amount.
+    /// Parses a request target such as `/counters/000000000000002a?by=2&expire_ms=900`. Returns `None` if the parameter
+    /// `by` is missing or is not a number.
     #[must_use]
     pub fn parse(target: &str) -> Option<Self> {
         let (key, query) = target.split_once('?')?;
@@ -26,14 +27,14 @@
     }
 }
 
-/// The totals of all keys, in units. They never expire.
+/// The totals of all keys, in units. Totals never expire: `expire_ms` is ignored.
 #[derive(Debug, Default)]
 pub struct CounterTotals {
     by_key: HashMap<String, f64>,
 }
 
 impl CounterTotals {
-    /// Carries out a call. Returns the total after it as the counter writes it, with three decimals.
+    /// Adds the amount of a call. Returns the new total in the format of the counter, with three decimals.
     pub fn add(&mut self, call: &CounterCall) -> String {
         let total = self.by_key.entry(call.key.clone()).or_default();
         *total += call.amount;
--- a/stand-ins/src/counter_totals/tests.rs
+++ b/stand-ins/src/counter_totals/tests.rs
@@ -1,4 +1,4 @@
-//! Calls add to the total of their key.
+//! Tests of parsing calls to the counter and of the totals per key.
 
 use super::{CounterCall, CounterTotals};
 
--- a/stand-ins/src/discovery.rs
+++ b/stand-ins/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery, served by tokio tasks: calls for the complete list, and watches that follow it.
+//! Asynchronous discovery server: calls for the complete endpoint list, and watches of its changes.
 
 use crate::connection::Connection;
 use crate::endpoint_list::EndpointList;
@@ -14,29 +14,29 @@
 use tokio::net::TcpListener;
 use tokio::time::{sleep, timeout};
 
-/// While nothing changes, a watch carries an empty line this often.
+/// Interval at which a watch sends an empty line while the list does not change.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-/// A list that was cut off.
+/// A truncated endpoint list.
 const MALFORMED_LIST: &str = "{\"version\": 3, \"full\": tr";
 
-/// What a watch sends first.
+/// The first update that a watch sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FirstUpdate {
     /// The complete list.
     CompleteList,
-    /// The changes after the version that the watch names.
+    /// The changes after the version that the watch's request names.
     Changes,
 }
 
-/// A running discovery.
+/// A running discovery server.
 pub struct Discovery {
     server: Server,
     traffic: Rc<TrafficMeter>,
 }
 
 impl Discovery {
-    /// Serves a listener.
+    /// Starts to serve the list of `publisher` on a listener.
     ///
     /// # Errors
     ///
@@ -60,19 +60,19 @@
         Ok(Discovery { server, traffic })
     }
 
-    /// Where it listens.
+    /// The address on which discovery listens.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Calls so far, and the bytes that were sent.
+    /// The number of calls so far, and the bytes sent.
     #[must_use]
     pub fn traffic(&self) -> Traffic {
         self.traffic.read()
     }
 
-    /// Accepts nothing more, and closes what is open after a delay.
+    /// Stops accepting connections at once, and closes the open ones after `close_delay`.
     pub async fn shut_down(self, close_delay: Duration) {
         self.server.stop_accepting();
         sleep(close_delay).await;
@@ -80,7 +80,7 @@
     }
 }
 
-/// One connection.
+/// A connection and the state that its task needs.
 struct Session {
     publisher: Rc<ListPublisher>,
     first_update: FirstUpdate,
@@ -117,7 +117,7 @@
         Ok(())
     }
 
-    /// Serves a watch until its connection ends or discovery fails.
+    /// Serves a watch until its connection ends or discovery becomes unavailable.
     async fn serve_watch(&mut self, call: &Message) -> io::Result<()> {
         let mut changes = self.publisher.subscribe();
         let mut sent_version = known_version(call);
@@ -131,7 +131,7 @@
                     is_first = false;
                     self.send(&chunk(&line)).await?;
                 }
-                // What the gateway misses meanwhile it gets by a new watch.
+                // The gateway opens a new watch afterwards, and receives the missed changes on it.
                 ServiceMode::Silent => {
                     self.publisher.wait_until_available().await;
                     return Ok(());
@@ -144,7 +144,7 @@
         }
     }
 
-    /// The next line of a watch; empty if nothing has changed.
+    /// The next line of a watch; empty if the list has not changed.
     fn next_line(&self, sent_version: u64, is_first: bool) -> String {
         self.publisher.read(|list| {
             if is_first && self.first_update == FirstUpdate::CompleteList {
@@ -170,13 +170,13 @@
     }
 }
 
-/// The version that a watch names as known; 0 if it names none.
+/// The version in the parameter `index` of a watch's request; 0 if the parameter is missing or invalid.
 fn known_version(call: &Message) -> u64 {
     let index = call.target().split("index=").nth(1);
     index.and_then(|index| index.parse().ok()).unwrap_or(0)
 }
 
-/// A line of a watch, as a chunk of its own.
+/// Encodes a line of a watch as one HTTP chunk.
 #[must_use]
 pub fn chunk(line: &str) -> String {
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
--- a/stand-ins/src/endpoint.rs
+++ b/stand-ins/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! How an endpoint answers requests: by serving them, or with one of the faults that tests need.
+//! Responses of endpoints: success, or one of several faults.
 
 use crate::connection::Connection;
 use std::io;
@@ -6,41 +6,41 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// A request that is never answered keeps its connection for this long.
+/// Time for which an endpoint that hangs keeps the connection open.
 const HANG_TIME: Duration = Duration::from_secs(20);
 const INVALID_HTTP: &[u8] = b"\x01\x02 this is no HTTP\r\n\r\n";
 
-/// How an endpoint behaves towards requests.
+/// How an endpoint handles a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
-    /// Serves them.
+    /// Executes the request and responds with 200.
     Serves,
-    /// Executes them and never answers.
+    /// Executes the request and never responds.
     Hangs,
-    /// Executes them and resets the connection.
+    /// Executes the request and resets the connection.
     Resets,
-    /// Rejects them, and says that they were never executed.
+    /// Rejects the request with 503 and the header `X-Turned-Away`, which says that it was not executed.
     Rejects,
-    /// Executes them and answers with something other than HTTP.
+    /// Executes the request and responds with bytes that are not valid HTTP.
     SendsInvalidHttp,
-    /// Answers without a length, and ends the connection behind that.
+    /// Responds without a `Content-Length`, and closes the connection at the end of the body.
     OmitsLength,
-    /// Answers twice.
+    /// Sends the response twice.
     AnswersTwice,
-    /// Closes the connection behind each answer without announcing it.
+    /// Closes the connection after the response without a `Connection: close` header.
     ClosesUnannounced,
 }
 
-/// The response that an endpoint makes.
+/// The response of an endpoint that executes a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Response<'a> {
-    /// Headers as complete lines.
+    /// Complete header lines, each with its line ending.
     pub headers: &'a str,
-    /// The body.
+    /// Body of the response.
     pub body: &'a str,
 }
 
-/// Answers a request in the manner of a behaviour. Returns whether the connection is used any further.
+/// Responds to a request as `behaviour` says. Returns `Break` if the connection must not be used any further.
 ///
 /// # Errors
 ///
@@ -70,7 +70,7 @@
         Behaviour::OmitsLength => {
             let text = format!("HTTP/1.1 200 OK\r\n{headers}\r\n{body}");
             connection.send(text.as_bytes()).await?;
-            connection.finish().await?;
+            connection.close_write().await?;
             return Ok(ControlFlow::Break(()));
         }
         Behaviour::AnswersTwice => {
@@ -79,7 +79,7 @@
         }
         Behaviour::ClosesUnannounced => {
             connection.respond(200, headers, body).await?;
-            connection.finish().await?;
+            connection.close_write().await?;
             return Ok(ControlFlow::Break(()));
         }
     }
--- a/stand-ins/src/endpoint_list.rs
+++ b/stand-ins/src/endpoint_list.rs
@@ -1,44 +1,44 @@
-//! The endpoint list without its sockets: entries, versions, and the text that discovery sends.
+//! The endpoint list: entries, versions, and the wire format in which discovery sends it.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The state of an endpoint in the list, by its name on the wire.
+/// The state of an endpoint in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryState {
-    /// It takes requests.
+    /// The endpoint accepts requests.
     Ready,
-    /// It drains: nothing new may be sent to it after the grace time.
+    /// The endpoint is draining: no new requests may be sent to it after the grace period.
     #[serde(rename = "Terminating")]
     Draining,
-    /// It was removed.
+    /// The endpoint was removed.
     #[serde(rename = "Gone")]
     Removed,
 }
 
-/// One entry of the list.
+/// An entry of the list.
 #[derive(Clone, Debug, Serialize)]
 pub struct ListEntry {
-    /// The endpoint's id.
+    /// Id of the endpoint.
     pub id: String,
-    /// Where it listens.
+    /// Address on which the endpoint listens.
     #[serde(rename = "addr")]
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the endpoint.
     pub zone: String,
-    /// Its kind of machine.
+    /// Machine type of the endpoint.
     pub kind: String,
-    /// Its cell.
+    /// Cell of the endpoint.
     pub cell: u32,
-    /// Its state.
+    /// State of the endpoint.
     pub state: EntryState,
-    /// Its weight among the others.
+    /// Weight of the endpoint relative to the other endpoints.
     pub weight: f64,
-    /// When it started, in ms since 1970; 0 if that is long past.
+    /// Start time of the endpoint, in ms since the Unix epoch; 0 if the endpoint started long ago.
     pub started_ms: u64,
 }
 
-/// The list and its version.
+/// The endpoint list and its version.
 #[derive(Debug)]
 pub struct EndpointList {
     version: u64,
@@ -48,10 +48,11 @@
 #[derive(Debug)]
 struct VersionedEntry {
     entry: ListEntry,
+    /// Version of the list in which the entry last changed.
     changed_in: u64,
 }
 
-/// The list, or a change of it, on the wire.
+/// Wire format of a complete list or of changes.
 #[derive(Serialize)]
 struct ListUpdate<'a> {
     version: u64,
@@ -62,7 +63,7 @@
 }
 
 impl EndpointList {
-    /// An empty list of this version.
+    /// Creates an empty list with this version.
     #[must_use]
     pub fn new(version: u64) -> Self {
         EndpointList {
@@ -71,18 +72,18 @@
         }
     }
 
-    /// The version of the list.
+    /// The present version, which increases with each change.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// All entries, those that were removed included, in the order in which they were added.
+    /// All entries, including removed ones, in the order in which they were added.
     pub fn entries(&self) -> impl Iterator<Item = &ListEntry> {
         self.entries.iter().map(|versioned| &versioned.entry)
     }
 
-    /// Adds an entry that belongs to the present version.
+    /// Adds an entry without a new version.
     pub fn add_initial(&mut self, entry: ListEntry) {
         self.entries.push(VersionedEntry {
             entry,
@@ -90,17 +91,17 @@
         });
     }
 
-    /// Adds an entry, in a new version.
+    /// Adds an entry and increments the version.
     pub fn add(&mut self, entry: ListEntry) {
         self.version += 1;
         self.add_initial(entry);
     }
 
-    /// Changes the state of the entry that was added as number `index`, in a new version.
+    /// Sets the state of the entry at `index`, in the order of addition, and increments the version.
     ///
     /// # Panics
     ///
-    /// Panics if there is no such entry.
+    /// Panics if `index` is out of range.
     pub fn set_state(&mut self, index: usize, state: EntryState) {
         self.version += 1;
         let versioned = &mut self.entries[index];
@@ -108,27 +109,30 @@
         versioned.changed_in = self.version;
     }
 
-    /// The complete list, as discovery writes it.
+    /// The complete list without removed entries, in wire format.
     #[must_use]
     pub fn complete_list(&self) -> String {
-        let present = |versioned: &VersionedEntry| versioned.entry.state != EntryState::Removed;
-        self.write(true, present)
+        let is_listed = |versioned: &VersionedEntry| versioned.entry.state != EntryState::Removed;
+        self.encode(true, is_listed)
     }
 
-    /// What changed after a version, as discovery writes it.
+    /// The entries that changed after `version`, including removed ones, in wire format.
     #[must_use]
     pub fn changes_after(&self, version: u64) -> String {
-        self.write(false, |versioned| versioned.changed_in > version)
+        self.encode(false, |versioned| versioned.changed_in > version)
     }
 
-    fn write(&self, is_complete: bool, is_named: impl Fn(&VersionedEntry) -> bool) -> String {
-        let named = self.entries.iter().filter(|versioned| is_named(versioned));
+    fn encode(&self, is_complete: bool, is_included: impl Fn(&VersionedEntry) -> bool) -> String {
+        let included = self
+            .entries
+            .iter()
+            .filter(|versioned| is_included(versioned));
         let update = ListUpdate {
             version: self.version,
             is_complete,
-            entries: named.map(|versioned| &versioned.entry).collect(),
+            entries: included.map(|versioned| &versioned.entry).collect(),
         };
-        // Plain fields can always be written.
+        // Serialization of strings, numbers and enums cannot fail.
         serde_json::to_string(&update).unwrap_or_default()
     }
 }
--- a/stand-ins/src/endpoint_list/tests.rs
+++ b/stand-ins/src/endpoint_list/tests.rs
@@ -1,4 +1,4 @@
-//! Updates name what changed after a version, in the wire format.
+//! Tests of the wire format of complete lists and changes.
 
 use super::{EndpointList, EntryState, ListEntry};
 
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn changes_are_those_after_the_version_and_removed_entries_leave_the_complete_list() {
+fn changes_start_after_the_version_and_removed_entries_leave_the_complete_list() {
     let mut list = EndpointList::new(7);
     list.add_initial(entry(1));
     list.add(entry(2));
--- a/stand-ins/src/lib.rs
+++ b/stand-ins/src/lib.rs
@@ -1,18 +1,18 @@
-//! Stand-ins for the services around a gateway, shared by the gateway's tests, the soak test and the emulator's runs of
-//! the real program. Nothing here depends on the program.
+//! Test doubles ("stand-ins") for the services around a gateway. The integration tests of the gateway, the soak test and
+//! the emulator's runs of the real program share them. The crate does not depend on the gateway.
 //!
-//! The core does no I/O and is the same for all users:
+//! The protocol modules do no I/O:
 //!
 //! - [`message`]: HTTP messages
-//! - [`counter_totals`]: calls of the shared counter and the totals that they lead to
+//! - [`counter_totals`]: calls to the shared counter and the totals per key
 //! - [`endpoint_list`]: the endpoint list, its versions and its wire format
 //!
-//! Two thin runtimes above it serve sockets:
+//! Two runtimes serve these protocols on sockets:
 //!
-//! - tasks of one tokio thread, for many processes under load: [`connection`], [`server`], [`counter`], [`discovery`],
-//!   [`list_publisher`], [`endpoint`], with faults as options ([`service_mode`], [`endpoint::Behaviour`]) and [`traffic`]
-//!   counts
-//! - [`blocking`]: a thread for each connection, for tests that script each step of a single gateway
+//! - Asynchronous, for runs of many gateways under load: tokio tasks on one thread in [`connection`], [`server`],
+//!   [`counter`], [`discovery`], [`list_publisher`] and [`endpoint`]. Faults are configured by [`service_mode`] and
+//!   [`endpoint::Behaviour`]; [`traffic`] counts calls and bytes.
+//! - [`blocking`], for tests that script each step of a single gateway: one thread per connection.
 
 pub mod blocking;
 pub mod connection;
--- a/stand-ins/src/list_publisher.rs
+++ b/stand-ins/src/list_publisher.rs
@@ -1,11 +1,11 @@
-//! The endpoint list as discovery publishes it, and whether discovery is available.
+//! Publishes the endpoint list to discovery servers and notifies their watches.
 
 use crate::endpoint_list::EndpointList;
 use crate::service_mode::ServiceMode;
 use std::cell::{Cell, RefCell};
 use tokio::sync::watch;
 
-/// Owns the list and wakes the watches when it or the mode of discovery changes.
+/// Owns the endpoint list and the service mode of discovery, and notifies watches when either changes.
 pub struct ListPublisher {
     list: RefCell<EndpointList>,
     mode: Cell<ServiceMode>,
@@ -14,7 +14,7 @@
 }
 
 impl ListPublisher {
-    /// Publishes a list, by a discovery that is available.
+    /// Publishes a list. Discovery is available at first.
     #[must_use]
     pub fn new(list: EndpointList) -> Self {
         let publisher = ListPublisher {
@@ -27,45 +27,45 @@
         publisher
     }
 
-    /// Changes the list. Watches learn of it at the next [`publish`](Self::publish).
+    /// Changes the list. Watches are notified by the next [`publish`](Self::publish).
     pub fn edit<T>(&self, change: impl FnOnce(&mut EndpointList) -> T) -> T {
         change(&mut self.list.borrow_mut())
     }
 
-    /// Reads the list.
+    /// Calls `read` with the list and returns the result.
     pub fn read<T>(&self, read: impl FnOnce(&EndpointList) -> T) -> T {
         read(&self.list.borrow())
     }
 
-    /// Wakes the watches for the list as it is now.
+    /// Notifies the watches of the current list.
     pub fn publish(&self) {
         let list = self.list.borrow();
         if self.mode.get() == ServiceMode::Available {
             self.last_published.replace(list.complete_list());
         }
-        // Without any watch there is nobody to wake.
+        // Sending fails if no watch is open.
         let _ = self.changed.send(list.version());
     }
 
-    /// The complete list as it was when it was last published while discovery was available.
+    /// The complete list at the last publication while discovery was available.
     #[must_use]
     pub fn last_published(&self) -> String {
         self.last_published.borrow().clone()
     }
 
-    /// How discovery treats calls at present.
+    /// How discovery currently handles calls.
     #[must_use]
     pub fn mode(&self) -> ServiceMode {
         self.mode.get()
     }
 
-    /// Sets how discovery treats calls, and publishes.
+    /// Sets how discovery handles calls, and notifies the watches.
     pub fn set_mode(&self, mode: ServiceMode) {
         self.mode.set(mode);
         self.publish();
     }
 
-    /// Wakes for each change of the list and of the mode.
+    /// Returns a receiver that is notified of each published change of the list or the mode.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
--- a/stand-ins/src/message.rs
+++ b/stand-ins/src/message.rs
@@ -1,26 +1,26 @@
-//! HTTP/1.1 messages as stand-ins and their clients need them: no chunked bodies, no folded headers.
+//! Minimal HTTP/1.1 messages for test servers and clients, without chunked bodies and folded headers.
 
 use std::collections::HashMap;
 use std::num::ParseIntError;
 
-/// What ends a head.
+/// The bytes that end the head of a message.
 pub const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// A request or a response.
+/// An HTTP request or response.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     /// The request or status line.
     pub line: String,
-    /// The headers, with names in lower case. Of several with one name, the first.
+    /// The headers by name in lower case. If a name occurs more than once, the first value is kept.
     pub headers: HashMap<String, String>,
-    /// The body.
+    /// Body of the message; empty if it has none.
     pub body: Vec<u8>,
-    /// Bytes of the head, with the empty line that ends it.
+    /// Size of the head in bytes, including the empty line that ends it.
     head_bytes: usize,
 }
 
 impl Message {
-    /// A message without its body, from its head up to and including the empty line.
+    /// Parses a head, up to and including the empty line, into a message without a body.
     #[must_use]
     pub fn from_head(head: &[u8]) -> Self {
         let text = String::from_utf8_lossy(head);
@@ -40,7 +40,8 @@
         message
     }
 
-    /// The first message in these bytes and its length, if it is complete. A length that is not a number counts as 0.
+    /// Decodes the first message in `bytes`. Returns the message and its size in bytes, or `None` if it is incomplete.
+    /// An invalid `Content-Length` counts as 0.
     #[must_use]
     pub fn decode(bytes: &[u8]) -> Option<(Self, usize)> {
         let head_end = bytes
@@ -53,41 +54,41 @@
         Some((message, end))
     }
 
-    /// The length of the body according to the head; 0 if the head does not say.
+    /// The value of `Content-Length`; 0 if the header is missing.
     ///
     /// # Errors
     ///
-    /// Fails if the header is not a number.
+    /// Fails if the value is not a number.
     pub fn content_length(&self) -> Result<usize, ParseIntError> {
         self.header("content-length").map_or(Ok(0), str::parse)
     }
 
-    /// The value of a header, named in lower case.
+    /// The value of a header. `name` must be in lower case.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).map(String::as_str)
     }
 
-    /// A request's target.
+    /// The target of a request; empty if the request line has none.
     #[must_use]
     pub fn target(&self) -> &str {
         self.second_word()
     }
 
-    /// A response's status; 0 if it has none.
+    /// The status code of a response; 0 if the status line has no valid code.
     #[must_use]
     pub fn status(&self) -> u16 {
         self.second_word().parse().unwrap_or(0)
     }
 
-    /// True if the peer closes the connection behind this message.
+    /// Returns true if the message has `Connection: close`: its sender closes the connection after it.
     #[must_use]
     pub fn closes_connection(&self) -> bool {
         self.header("connection")
             .is_some_and(|value| value.eq_ignore_ascii_case("close"))
     }
 
-    /// Bytes of head and body.
+    /// Size of head and body in bytes.
     #[must_use]
     pub fn wire_bytes(&self) -> usize {
         self.head_bytes + self.body.len()
@@ -98,7 +99,7 @@
     }
 }
 
-/// The text of a response with a length; `headers` are complete lines.
+/// Formats a response with a `Content-Length`. `headers` holds complete header lines, each with its line ending.
 #[must_use]
 pub fn response(status: u16, headers: &str, body: &str) -> String {
     let length = body.len();
@@ -106,7 +107,7 @@
     format!("HTTP/1.1 {status} {reason}\r\n{headers}Content-Length: {length}\r\n\r\n{body}")
 }
 
-/// Peers ignore the phrase; only the frequent one is spelled out.
+/// The reason phrase of a status. Peers ignore it, so all statuses except 200 share a placeholder.
 fn reason_phrase(status: u16) -> &'static str {
     if status == 200 {
         "OK"
--- a/stand-ins/src/message/tests.rs
+++ b/stand-ins/src/message/tests.rs
@@ -1,4 +1,4 @@
-//! Messages are found in whatever pieces they arrive.
+//! Tests of decoding messages.
 
 use super::{response, Message};
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_length_that_is_no_number_counts_as_none_and_can_be_seen() {
+fn an_invalid_content_length_is_an_error_and_decodes_as_an_empty_body() {
     let (message, _) =
         Message::decode(b"GET /a?by=1 HTTP/1.1\r\nContent-Length: x\r\nConnection: Close\r\n\r\n")
             .expect("a complete message");
--- a/stand-ins/src/server.rs
+++ b/stand-ins/src/server.rs
@@ -1,4 +1,4 @@
-//! Accepts connections and serves each in a task of its own, on one thread.
+//! Accepts connections and serves each one in its own task, all on one thread.
 
 use crate::connection::Connection;
 use std::cell::RefCell;
@@ -9,19 +9,19 @@
 use tokio::net::TcpListener;
 use tokio::task::{spawn_local, AbortHandle, JoinSet};
 
-/// The tasks of a server's connections.
+/// The tasks that serve open connections.
 type ConnectionTasks = Rc<RefCell<JoinSet<()>>>;
 
-/// A running server. It runs on when this handle is dropped, unless it has stopped accepting: then the open connections
-/// are closed with the handle.
+/// Handle of a running server. A server that still accepts connections goes on running when its handle is dropped. Once
+/// the server has stopped accepting, dropping the handle closes the open connections.
 pub struct Server {
     address: SocketAddr,
-    accepting: AbortHandle,
+    accept_task: AbortHandle,
     connections: ConnectionTasks,
 }
 
 impl Server {
-    /// Starts to serve a listener; `serve` makes the task of each connection. A connection that fails ends its task only.
+    /// Starts to serve a listener. `serve` returns the task of a connection; an error ends only that task.
     ///
     /// # Errors
     ///
@@ -33,15 +33,15 @@
     {
         let address = listener.local_addr()?;
         let connections = ConnectionTasks::default();
-        let accepting = spawn_local(accept(listener, connections.clone(), serve));
+        let accept_task = spawn_local(accept(listener, connections.clone(), serve));
         Ok(Server {
             address,
-            accepting: accepting.abort_handle(),
+            accept_task: accept_task.abort_handle(),
             connections,
         })
     }
 
-    /// Where it listens.
+    /// The address on which the server listens.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
@@ -49,7 +49,7 @@
 
     /// Closes the listener. Open connections are served until the handle is dropped.
     pub fn stop_accepting(&self) {
-        self.accepting.abort();
+        self.accept_task.abort();
     }
 
     /// Closes the listener and all connections.
@@ -67,10 +67,10 @@
     while let Ok((stream, _)) = listener.accept().await {
         let serving = serve(Connection::new(stream));
         let mut connections = connections.borrow_mut();
-        // The set keeps tasks that have ended until they are joined.
+        // A `JoinSet` keeps finished tasks until they are joined.
         while connections.try_join_next().is_some() {}
         connections.spawn_local(async move {
-            // Connections break as part of the test.
+            // Broken connections are expected: tests inject them.
             let _ = serving.await;
         });
     }
--- a/stand-ins/src/service_mode.rs
+++ b/stand-ins/src/service_mode.rs
@@ -1,17 +1,17 @@
-//! The faults of a service that gateways call.
+//! Fault modes of the services that gateways call: the counter and discovery.
 
-/// Whether a service works, and how it fails if it does not.
+/// Whether a service is available, and if not, how it fails.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServiceMode {
-    /// It answers.
+    /// Calls are answered.
     #[default]
     Available,
-    /// It takes calls and never answers.
+    /// Calls are read and never answered.
     Silent,
-    /// It closes connections at the first call.
+    /// Connections are closed at the first call.
     Closes,
-    /// It rejects calls with 503.
+    /// Calls are rejected with 503.
     Rejects,
-    /// It answers with a body that can't be parsed.
+    /// Calls are answered with a body that cannot be parsed.
     Malformed,
 }
