--- a/stand-ins/src/blocking/counter.rs
+++ b/stand-ins/src/blocking/counter.rs
@@ -1,4 +1,4 @@
-//! The shared counter.
+//! Blocking server of the shared counter.
 
 use super::server::{start_server, Reply};
 use crate::counter_totals::{CounterCall, CounterTotals};
@@ -6,15 +6,17 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
-/// Starts a counter that writes totals with three decimals, as the real one does, and records the amounts.
+/// Starts a counter that records the amount of each call in `amounts`. Like the real counter, it writes totals with three
+/// decimals.
 ///
 /// # Panics
 ///
-/// Panics if no port is free. A call without an amount breaks its connection.
+/// Panics if no port is free. A call without an amount ends its connection.
 pub fn start_counter(amounts: Arc<Mutex<Vec<f64>>>) -> SocketAddr {
     let totals = Mutex::new(CounterTotals::default());
     start_server(move |request| {
-        let call = CounterCall::parse(request.target()).expect("a call has an amount");
+        let call = CounterCall::parse(request.target())
+            .expect("the target of a call has the parameter by");
         amounts
             .lock()
             .expect("no test panics with the lock")
--- a/stand-ins/src/blocking/discovery.rs
+++ b/stand-ins/src/blocking/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery, and the endpoint lists that it sends.
+//! Blocking discovery server whose responses a test writes, and entries of its endpoint lists.
 
 use super::http::read_message;
 use super::timeout::TEST_TIMEOUT;
@@ -8,12 +8,12 @@
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{channel, Receiver, Sender};
 
-/// Discovery, whose watches the test writes.
+/// A discovery server that reads calls. The test writes the lists and the lines of watches.
 pub struct Discovery {
-    /// Its address.
+    /// Address on which discovery listens.
     pub addr: SocketAddr,
-    /// Each call that came: the request line, and the connection.
-    pub watches: Receiver<(String, TcpStream)>,
+    /// Received calls: the request line and the connection of each.
+    pub calls: Receiver<(String, TcpStream)>,
 }
 
 impl Default for Discovery {
@@ -23,13 +23,13 @@
 }
 
 impl Discovery {
-    /// One on a port of its own.
+    /// Starts discovery on a free port.
     #[must_use]
     pub fn new() -> Self {
         Discovery::at((Ipv4Addr::LOCALHOST, 0).into())
     }
 
-    /// One at this address.
+    /// Starts discovery at an address.
     ///
     /// # Panics
     ///
@@ -38,16 +38,16 @@
     pub fn at(addr: SocketAddr) -> Self {
         let listener = TcpListener::bind(addr).expect("a free address");
         let addr = listener.local_addr().expect("an address");
-        let (calls, watches) = channel();
+        let (call_sender, calls) = channel();
         std::thread::spawn(move || {
             for stream in listener.incoming() {
-                take_call(stream.expect("a connection"), &calls);
+                receive_call(stream.expect("an accepted connection"), &call_sender);
             }
         });
-        Discovery { addr, watches }
+        Discovery { addr, calls }
     }
 
-    /// The watch that follows the list on the same connection.
+    /// Receives the watch that follows a complete list on the same connection.
     ///
     /// # Panics
     ///
@@ -55,25 +55,26 @@
     #[must_use]
     pub fn watch_after_list(stream: TcpStream) -> (String, TcpStream) {
         let mut from = BufReader::new(stream.try_clone().expect("a second handle"));
-        let request = read_message(&mut from).expect("a watch follows the list");
+        let request =
+            read_message(&mut from).expect("a watch after the list on the same connection");
         (request.line, stream)
     }
 
-    /// Waits for the next call.
+    /// Waits for the next call, for a watch or for the complete list.
     ///
     /// # Panics
     ///
-    /// Panics if none comes in time.
+    /// Panics if no call arrives within [`TEST_TIMEOUT`].
     #[must_use]
-    pub fn next_watch(&self) -> (String, TcpStream) {
-        self.watches
+    pub fn next_call(&self) -> (String, TcpStream) {
+        self.calls
             .recv_timeout(TEST_TIMEOUT)
-            .expect("the gateway opens a watch")
+            .expect("a call to discovery")
     }
 }
 
-/// Reads a call, begins the response if it is a watch, and passes call and connection to the test.
-fn take_call(mut stream: TcpStream, calls: &Sender<(String, TcpStream)>) {
+/// Reads a call and passes it to the test. If the call opens a watch, the head of the response is sent first.
+fn receive_call(mut stream: TcpStream, calls: &Sender<(String, TcpStream)>) {
     let mut from = BufReader::new(stream.try_clone().expect("a second handle"));
     let Some(request) = read_message(&mut from) else {
         return;
@@ -81,28 +82,28 @@
     if request.line.contains("stream=1") {
         stream
             .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            .expect("the gateway reads");
+            .expect("the gateway reads the response");
     }
-    // It fails once the test has ended.
+    // Sending fails once the test has ended.
     let _ = calls.send((request.line, stream));
 }
 
-/// Sends one line of a watch, in a chunk of its own.
+/// Sends one line of a watch as one chunk.
 ///
 /// # Panics
 ///
-/// Panics if the watch is broken.
+/// Panics if the connection is broken.
 pub fn push_update(watch: &mut TcpStream, line: &str) {
     watch
         .write_all(chunk(line).as_bytes())
         .expect("the gateway reads the watch");
 }
 
-/// One entry of an endpoint list; `state` by its name on the wire.
+/// An entry of an endpoint list. `state` is the name of the state on the wire.
 ///
 /// # Panics
 ///
-/// Panics if there is no such state.
+/// Panics if `state` is unknown.
 #[must_use]
 pub fn list_entry(number: usize, addr: SocketAddr, state: &str) -> serde_json::Value {
     let entry = ListEntry {
@@ -111,9 +112,9 @@
         zone: "room-a".to_owned(),
         kind: "std-2c".to_owned(),
         cell: 0,
-        state: serde_json::from_value(state.into()).expect("a state of the protocol"),
+        state: serde_json::from_value(state.into()).expect("a known state"),
         weight: 1.0,
         started_ms: 0,
     };
-    serde_json::to_value(entry).expect("plain fields")
+    serde_json::to_value(entry).expect("an entry can be serialized")
 }
--- a/stand-ins/src/blocking/endpoint.rs
+++ b/stand-ins/src/blocking/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints.
+//! Blocking endpoints.
 
 use super::server::{start_server, Reply};
 use super::timeout::TEST_TIMEOUT;
@@ -8,10 +8,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-/// State of a connection in `/proc/net/tcp` whose SYN was sent and not answered.
+/// State in `/proc/net/tcp` of a connection whose SYN was sent but not acknowledged.
 const SYN_SENT: &str = "02";
 
-/// An endpoint that serves all requests, and those that it got.
+/// Starts an endpoint that serves all requests. Returns its address and the requests received so far.
 ///
 /// # Panics
 ///
@@ -30,12 +30,12 @@
     (addr, received)
 }
 
-/// An endpoint to which no connection comes up until `accept_next`: its queue is full.
+/// An endpoint with a full accept queue: no connection is established until [`accept_next`](Self::accept_next).
 pub struct StalledEndpoint {
-    /// Its address.
+    /// Address of the endpoint.
     pub addr: SocketAddr,
     socket: Socket,
-    _filler: TcpStream,
+    _queue_filler: TcpStream,
 }
 
 impl Default for StalledEndpoint {
@@ -45,7 +45,7 @@
 }
 
 impl StalledEndpoint {
-    /// One on a port of its own.
+    /// Starts a stalled endpoint on a free port.
     ///
     /// # Panics
     ///
@@ -57,53 +57,57 @@
         socket.bind(&any_port.into()).expect("a free port");
         socket.listen(0).expect("a listener");
         let addr = socket.local_addr().expect("an address");
-        let addr = addr.as_socket().expect("an address of IPv4");
+        let addr = addr.as_socket().expect("an IPv4 address");
         StalledEndpoint {
             addr,
             socket,
-            _filler: TcpStream::connect(addr).expect("the queue takes one connection"),
+            _queue_filler: TcpStream::connect(addr).expect("the queue takes one connection"),
         }
     }
 
-    /// Connections that wait to be accepted, according to the system.
+    /// Number of connections to the endpoint in `SYN_SENT`, according to `/proc/net/tcp`.
     fn pending_connections(&self) -> usize {
         let port = format!(":{:04X}", self.addr.port());
-        let table = std::fs::read_to_string("/proc/net/tcp").expect("the system's table");
-        // The table holds all sockets of the system, tens of thousands after a soak: few rows are split.
+        let table = std::fs::read_to_string("/proc/net/tcp").expect("/proc/net/tcp is readable");
+        // The table lists all sockets of the system, tens of thousands after a soak test. Only matching rows are split.
         let candidates = table.lines().filter(|row| row.contains(&port));
         let rows = candidates.map(|row| row.split_whitespace().collect::<Vec<_>>());
         rows.filter(|row| row[2].ends_with(&port) && row[3] == SYN_SENT)
             .count()
     }
 
-    /// Waits until this many connections wait to come up.
+    /// Waits until exactly `number` connections are pending.
     ///
     /// # Panics
     ///
-    /// Panics if that does not happen in time.
+    /// Panics if the number is not reached within [`TEST_TIMEOUT`].
     pub fn wait_for_pending(&self, number: usize) {
         let start = Instant::now();
         while self.pending_connections() != number {
             assert!(
                 start.elapsed() < TEST_TIMEOUT,
-                "{} connections wait",
+                "{} connections are pending, expected {number}",
                 self.pending_connections()
             );
             std::thread::yield_now();
         }
     }
 
-    /// Lets the next connection come up.
+    /// Frees the accept queue and accepts the next connection.
     ///
     /// # Panics
     ///
-    /// Panics if none comes in time.
+    /// Panics if no connection arrives within [`TEST_TIMEOUT`].
     #[must_use]
     pub fn accept_next(&self) -> TcpStream {
-        drop(self.socket.accept().expect("the filler's connection"));
+        drop(
+            self.socket
+                .accept()
+                .expect("the connection that fills the queue"),
+        );
         self.socket
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a time-out");
+            .expect("an open socket");
         let (accepted, _) = self.socket.accept().expect("a connection");
         accepted.into()
     }
--- a/stand-ins/src/blocking/http.rs
+++ b/stand-ins/src/blocking/http.rs
@@ -1,14 +1,14 @@
-//! Reads messages from blocking streams.
+//! Reads HTTP messages from blocking streams.
 
 use crate::message::{Message, HEAD_END};
 use std::io::{BufRead, BufReader, Read};
 use std::net::TcpStream;
 
-/// Reads one message; none if the connection ends before it is complete.
+/// Reads one message. Returns `None` if the connection ends before the message is complete.
 ///
 /// # Panics
 ///
-/// Panics if the length of its body is not a number.
+/// Panics if `Content-Length` is not a number.
 pub fn read_message(from: &mut BufReader<TcpStream>) -> Option<Message> {
     let mut head = Vec::new();
     while !head.ends_with(HEAD_END) {
@@ -19,7 +19,7 @@
     let mut message = Message::from_head(&head);
     let length = message
         .content_length()
-        .expect("the length of a body is a number");
+        .expect("Content-Length is a number");
     message.body.resize(length, 0);
     from.read_exact(&mut message.body).ok()?;
     Some(message)
--- a/stand-ins/src/blocking/mod.rs
+++ b/stand-ins/src/blocking/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins with a thread for each connection, for tests that script what each of them does. They panic where a test
-//! fails.
+//! Blocking servers with one thread per connection, for tests that script each response. Their functions panic when a
+//! test fails.
 
 mod counter;
 mod discovery;
--- a/stand-ins/src/blocking/server.rs
+++ b/stand-ins/src/blocking/server.rs
@@ -1,4 +1,4 @@
-//! A server whose replies a function of the test makes. Stands in for endpoints, the counter and discovery.
+//! A blocking server with a response handler that a test supplies. Used for endpoints, the counter and discovery.
 
 use super::http::read_message;
 use crate::message::Message;
@@ -9,22 +9,22 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// What was written has been read by the other side after this, if that reads at all.
+/// Delay between writing a response and resetting the connection, so that the peer can read the response first.
 const RESET_DELAY: Duration = Duration::from_millis(50);
 
-/// What a server does with a message.
+/// The reaction of a server to a message.
 pub enum Reply {
-    /// Writes this and keeps the connection.
+    /// Sends the text and keeps the connection open.
     Send(String),
-    /// Writes this and closes the connection.
+    /// Sends the text and closes the connection.
     SendAndClose(String),
-    /// Writes this and resets the connection once it has arrived.
+    /// Sends the text and resets the connection after a delay in which the peer can read the text.
     SendAndReset(String),
-    /// Says nothing until the other side has closed, then notes that by the sender.
+    /// Sends nothing. Once the peer has closed the connection, sends the time of that on the channel.
     StaySilent(Sender<Instant>),
 }
 
-/// Starts a server on a port of its own, with a thread for each connection.
+/// Starts a server on a free port, with one thread per connection. `handler` chooses the reply to each message.
 ///
 /// # Panics
 ///
@@ -35,7 +35,7 @@
     let handler = Arc::new(handler);
     std::thread::spawn(move || {
         for stream in listener.incoming() {
-            let stream = stream.expect("a connection");
+            let stream = stream.expect("an accepted connection");
             let handler = handler.clone();
             std::thread::spawn(move || serve(stream, handler.as_ref()));
         }
@@ -43,7 +43,7 @@
     addr
 }
 
-/// Serves a connection until it ends or a reply ends it.
+/// Serves a connection until the peer or a reply ends it.
 fn serve(mut stream: TcpStream, handler: &impl Fn(&Message) -> Reply) {
     let mut from = BufReader::new(stream.try_clone().expect("a second handle"));
     while let Some(message) = read_message(&mut from) {
@@ -64,7 +64,7 @@
             }
             Reply::StaySilent(closed) => {
                 let _ = from.read(&mut [0]);
-                // It fails once the test has ended.
+                // Sending fails once the test has ended.
                 let _ = closed.send(Instant::now());
                 return;
             }
@@ -75,10 +75,10 @@
 fn write(stream: &mut TcpStream, text: &str) {
     stream
         .write_all(text.as_bytes())
-        .expect("the other side reads");
+        .expect("the peer reads the response");
 }
 
-/// A port on which nobody listens.
+/// An address on the loopback interface with a port on which nobody listens.
 ///
 /// # Panics
 ///
--- a/stand-ins/src/blocking/timeout.rs
+++ b/stand-ins/src/blocking/timeout.rs
@@ -1,6 +1,6 @@
-//! The longest wait of a test.
+//! The time-out for waits in tests.
 
 use std::time::Duration;
 
-/// Tests wait for conditions, not for times; this only ends a test that has failed.
+/// Longest wait for a condition. Tests wait for conditions rather than times, so only a failing test waits this long.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
--- a/tests/gateway/attempts.rs
+++ b/tests/gateway/attempts.rs
@@ -204,7 +204,7 @@
         start_counter(Arc::default()),
         discovery.addr,
     ));
-    let (_, mut watch) = discovery.next_watch();
+    let (_, mut watch) = discovery.next_call();
     let mut connection = gateway.connect();
     connection
         .get_mut()
--- a/tests/gateway/crossings.rs
+++ b/tests/gateway/crossings.rs
@@ -111,7 +111,7 @@
     config["settings"]["limits"]["connect-timeout-ms"] = 20_000.into();
     config["settings"]["categories"][1]["aim-ms"] = 3900.into();
     let gateway = Gateway::new(&config);
-    let (_, mut watch) = discovery.next_watch();
+    let (_, mut watch) = discovery.next_call();
     let mut client = gateway.connect();
     let request = post_request("order", IDEMPOTENCY_KEY_HEADER, "x")
         .replace("Remaining-Ms: 3000", "Remaining-Ms: 4000");
--- a/tests/gateway/discovery.rs
+++ b/tests/gateway/discovery.rs
@@ -30,14 +30,14 @@
     let (two, _) = healthy_endpoint();
     let discovery = Discovery::new();
     let gateway = gateway_with(&[one, two], &discovery);
-    let (line, mut watch) = discovery.next_watch();
+    let (line, mut watch) = discovery.next_call();
     assert!(line.contains("index=7"), "{line}");
     let servers = serde_json::json!([list_entry(0, one, "Terminating")]);
     let change = update(8, &servers);
     push_update(&mut watch, &change.to_string());
     push_update(&mut watch, "{\"version\": 9, \"full\": tr");
     // An event that can't be read is a missed change: the complete list is requested.
-    let (line, _) = discovery.next_watch();
+    let (line, _) = discovery.next_call();
     assert!(!line.contains("stream"), "{line}");
     let before = got_one.lock().unwrap().len();
     for customer in 0..10 {
@@ -53,11 +53,11 @@
     let (one, _) = healthy_endpoint();
     let discovery = Discovery::new();
     let _gateway = gateway_with(&[one], &discovery);
-    let (_, mut watch) = discovery.next_watch();
+    let (_, mut watch) = discovery.next_call();
     push_update(&mut watch, "");
     push_update(&mut watch, &update(12, &serde_json::json!([])).to_string());
     drop(watch);
-    assert!(discovery.next_watch().0.contains("index=12"));
+    assert!(discovery.next_call().0.contains("index=12"));
 }
 
 /// A list has an entry that can't be read, for instance of a newer format, beside an endpoint that drains. If the list
@@ -69,7 +69,7 @@
     let (two, _) = healthy_endpoint();
     let discovery = Discovery::new();
     let gateway = gateway_with(&[one, two], &discovery);
-    let (_, mut watch) = discovery.next_watch();
+    let (_, mut watch) = discovery.next_call();
     let invalid = serde_json::json!({"id": 7, "addr": "nowhere", "state": "Odd"});
     let servers = serde_json::json!([invalid, list_entry(0, one, "Terminating")]);
     let change = update(8, &servers);
@@ -95,7 +95,7 @@
     let (two, _) = healthy_endpoint();
     let discovery = Discovery::new();
     let gateway = gateway_with(&[one, two], &discovery);
-    let (_, mut watch) = discovery.next_watch();
+    let (_, mut watch) = discovery.next_call();
     let servers = serde_json::json!([invalid_entry(), list_entry(0, one, "Terminating")]);
     let change = update(8, &servers);
     let text = format!("\n{}\n\n", serde_json::to_string_pretty(&change).unwrap());
@@ -107,7 +107,7 @@
     // The list applies, and no other watch was opened meanwhile.
     gateway.wait_until_list_is_applied();
     assert!(
-        discovery.watches.try_recv().is_err(),
+        discovery.calls.try_recv().is_err(),
         "the first watch stays open"
     );
     (0..10).for_each(|customer| assert_eq!(gateway.get(customer, 1).status(), 200));
@@ -123,10 +123,10 @@
     for last in ["", "{\"version\": 8, \"full\": false, "] {
         let discovery = Discovery::new();
         let _gateway = gateway_with(&[one], &discovery);
-        let (_, mut watch) = discovery.next_watch();
+        let (_, mut watch) = discovery.next_call();
         let start = Instant::now();
         push_update(&mut watch, last);
-        let (line, _) = discovery.next_watch();
+        let (line, _) = discovery.next_call();
         assert!(line.contains("index=7"), "{line}");
         assert!(
             start.elapsed() < Duration::from_secs(4),
@@ -190,12 +190,12 @@
         let text = text.unwrap();
         let discovery = Discovery::new();
         let gateway = Gateway::spawn(&config(&[], start_counter(Arc::default()), discovery.addr));
-        let (line, mut watch) = discovery.next_watch();
+        let (line, mut watch) = discovery.next_call();
         assert!(line.contains("index=7"), "{line}");
         push_update(&mut watch, &text);
         gateway.wait_until_ready();
         assert_eq!(gateway.get(1, 1).status(), 200);
-        assert!(discovery.watches.try_recv().is_err(), "one call");
+        assert!(discovery.calls.try_recv().is_err(), "one call");
     }
 }
 
@@ -210,13 +210,13 @@
     let answer = response(200, "", &text);
     let discovery = Discovery::new();
     let gateway = gateway_with(&[one], &discovery);
-    let (_, mut watch) = discovery.next_watch();
+    let (_, mut watch) = discovery.next_call();
     push_update(&mut watch, &text);
     gateway.wait_for_log("over 20480 entries");
     let start = Instant::now();
     let mut calls = 0;
     while start.elapsed() < Duration::from_secs(4) {
-        if let Ok((line, mut list)) = discovery.watches.recv_timeout(Duration::from_millis(100)) {
+        if let Ok((line, mut list)) = discovery.calls.recv_timeout(Duration::from_millis(100)) {
             assert!(
                 !line.contains("stream"),
                 "the complete list is requested: {line}"
@@ -268,7 +268,7 @@
         (0..50).for_each(|customer| served(&mut idle, customer));
         let discovery = Discovery::at(addr);
         let (line, mut watch) = discovery
-            .watches
+            .calls
             .recv_timeout(Duration::from_secs(6))
             .expect("a watch in time");
         assert!(line.contains("index=7"), "{line}");
--- a/tests/gateway/races.rs
+++ b/tests/gateway/races.rs
@@ -42,7 +42,7 @@
         &[stalled.addr],
         discovery.addr,
     ));
-    let (_, mut watch) = discovery.next_watch();
+    let (_, mut watch) = discovery.next_call();
     let mut client = start_request(&gateway, &stalled);
     let servers = serde_json::json!([
         invalid_entry(),
--- a/tests/gateway/service.rs
+++ b/tests/gateway/service.rs
@@ -108,7 +108,7 @@
     let silent = start_server(|_| Reply::StaySilent(channel().0));
     let mut config = config(&[old], silent, first.addr);
     let gateway = Gateway::new(&config);
-    let (_, _watch) = first.next_watch();
+    let (_, _watch) = first.next_call();
     let mut customer = 1;
     assert_eq!(gateway.get(customer, 1).status(), 200);
     let amounts = Arc::new(Mutex::new(Vec::new()));
@@ -116,7 +116,7 @@
     for (round, discovery) in [&second, &first, &second].into_iter().enumerate() {
         config["discovery"] = discovery.addr.to_string().into();
         assert!(!gateway.reload(&config.to_string()).contains("stands"));
-        let (line, mut list) = discovery.next_watch();
+        let (line, mut list) = discovery.next_call();
         assert!(
             !line.contains("stream"),
             "the complete list is requested: {line}"
--- a/tests/gateway/system_faults.rs
+++ b/tests/gateway/system_faults.rs
@@ -194,7 +194,7 @@
         let discovery = Discovery::new();
         let config = config(&[warm], start_counter(Arc::default()), discovery.addr);
         let gateway = Gateway::with_faults(&config, faults);
-        let (_, mut watch) = discovery.next_watch();
+        let (_, mut watch) = discovery.next_call();
         push_update(&mut watch, "");
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
         let mut started = list_entry(1, cold, "Ready");
