--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -5,8 +5,8 @@
 mod attempts;
 mod client_timing;
 mod clients;
+mod coinciding_events;
 mod counter;
-mod crossings;
 mod discovery;
 mod log_output;
 mod peers;
