--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -1,5 +1,5 @@
-//! What grows with the number of endpoints: a request with its response, a complete endpoint list, a change of one
-//! entry. Run by `cargo bench`; times are of one machine, the ratios between sizes are what counts.
+//! Benchmarks of the policy by number of endpoints: a request with its response, a complete endpoint list, and a change
+//! of one entry. Run them with `cargo bench`. Absolute times depend on the machine; compare the ratios between sizes.
 #![allow(missing_docs)]
 
 use criterion::{black_box, criterion_group, criterion_main, BatchSize, BenchmarkId, Criterion};
@@ -8,11 +8,11 @@
 };
 use quota_gateway::{Endpoint, EndpointState, Event};
 
-/// Time between two requests, in ms.
+/// Interval between requests on the simulated clock, in ms.
 const REQUEST_INTERVAL_MS: f64 = 8.0;
-/// Time from a request to its response on the clock that the library is given, in ms.
-const RESPONSE_AFTER_MS: f64 = 4.0;
-/// Latency that is reported for a request, in ms.
+/// Time from a request to its response on the simulated clock, in ms.
+const RESPONSE_DELAY_MS: f64 = 4.0;
+/// Latency that is reported with each response, in ms.
 const LATENCY_MS: f64 = 20.0;
 
 fn request_with_response(criterion: &mut Criterion) {
@@ -27,11 +27,11 @@
                 let now = id as f64 * REQUEST_INTERVAL_MS;
                 gateway.handle(now, Event::Request(request(id)), &mut actions);
                 let Some(endpoint) = sent_to(&actions) else {
-                    panic!("not sent")
+                    panic!("the request was not sent to an endpoint")
                 };
                 actions.clear();
                 let response = success(id, endpoint, LATENCY_MS);
-                gateway.handle(now + RESPONSE_AFTER_MS, response, &mut actions);
+                gateway.handle(now + RESPONSE_DELAY_MS, response, &mut actions);
             });
         });
     }
--- a/stand-ins/src/blocking/counter.rs
+++ b/stand-ins/src/blocking/counter.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
-/// Starts a counter that records the amount of each call in `amounts`. Like the real counter, it writes totals with three
-/// decimals.
+/// Starts a counter that records the amount of each call in `amounts`. Totals have three decimals, like those of the
+/// real counter.
 ///
 /// # Panics
 ///
--- a/stand-ins/src/connection.rs
+++ b/stand-ins/src/connection.rs
@@ -84,7 +84,7 @@
         self.stream.write_all(bytes).await
     }
 
-    /// Sends a response and returns its size in bytes. `headers` holds complete header lines, each with its line ending.
+    /// Sends a response and returns its size in bytes. `headers` holds complete header lines with their line endings.
     ///
     /// # Errors
     ///
--- a/stand-ins/src/lib.rs
+++ b/stand-ins/src/lib.rs
@@ -1,5 +1,5 @@
-//! Test doubles ("stand-ins") for the services around a gateway. The integration tests of the gateway, the soak test and
-//! the emulator's runs of the real program share them. The crate does not depend on the gateway.
+//! Test doubles ("stand-ins") for the services around a gateway, shared by the gateway's integration tests, the soak
+//! test and the emulator's runs of the real program. The crate does not depend on the gateway.
 //!
 //! The protocol modules do no I/O:
 //!
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -1,4 +1,4 @@
-//! The gateway on loopback sockets, against stand-ins for endpoints, the counter and discovery.
+//! Integration tests: the real program on loopback sockets, with stand-ins for endpoints, the counter and discovery.
 // Tests fail by panicking.
 #![allow(clippy::unwrap_used)]
 
--- a/tests/gateway/stand_ins/config.rs
+++ b/tests/gateway/stand_ins/config.rs
@@ -5,7 +5,7 @@
 use std::sync::mpsc::channel;
 use std::sync::Arc;
 
-/// A configuration with these endpoints known.
+/// A configuration whose known endpoint list has `endpoints`, all ready.
 pub fn config(
     endpoints: &[SocketAddr],
     counter: SocketAddr,
@@ -44,7 +44,7 @@
     })
 }
 
-/// The same, with a counter that works and discovery that never answers.
+/// A configuration like that of [`config`], with an available counter and a discovery that never answers.
 pub fn config_with_silent_discovery(endpoints: &[SocketAddr]) -> serde_json::Value {
     config(
         endpoints,
@@ -53,7 +53,7 @@
     )
 }
 
-/// An entry of an endpoint list that can't be read, for a list whose application a test waits for: see
+/// An invalid entry of an endpoint list. A list that has one can be waited for with
 /// [`Gateway::wait_until_list_is_applied`](super::Gateway::wait_until_list_is_applied).
 pub fn invalid_entry() -> serde_json::Value {
     serde_json::json!({"id": 7})
--- a/tests/gateway/stand_ins/faults.rs
+++ b/tests/gateway/stand_ins/faults.rs
@@ -1,10 +1,11 @@
-//! Fault injection for the system calls of the program under test, by a library that is preloaded into it.
+//! Fault injection into the system calls of the program under test, by a preloaded library.
 
 use std::path::PathBuf;
 use std::process::Command;
 use std::sync::OnceLock;
 
-/// The environment of a program whose system calls fail as `faults` says; see `tests/shim/syscall_faults.c`.
+/// Environment variables that make system calls of a program fail as `faults` specifies. The format is described in
+/// `tests/shim/syscall_faults.c`.
 pub fn fault_environment(faults: &str) -> Vec<(&'static str, String)> {
     let library = fault_library().to_str().unwrap().to_owned();
     vec![
@@ -13,7 +14,7 @@
     ]
 }
 
-/// The library, compiled once for each run of the tests.
+/// Path of the fault library, which is compiled once per test run.
 fn fault_library() -> &'static PathBuf {
     static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
     LIBRARY.get_or_init(|| {
--- a/tests/gateway/stand_ins/gateway.rs
+++ b/tests/gateway/stand_ins/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway under test.
+//! Starts and controls the gateway under test.
 
 use super::faults::fault_environment;
 use super::requests::get_request;
@@ -10,23 +10,23 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::{Duration, Instant};
 
-/// The program, killed when dropped.
+/// A running gateway process, which is killed when dropped.
 pub struct Gateway {
-    /// Its process.
+    /// Process of the gateway.
     pub child: Child,
-    /// Where it listens.
+    /// Address on which the gateway listens.
     pub addr: SocketAddr,
-    /// The lines of its log.
+    /// Lines of the gateway's log that no test has read yet.
     pub log: Receiver<String>,
     config_path: PathBuf,
 }
 
-/// Starts the program with this configuration. Returns its process and the configuration's file.
+/// Starts the program with a configuration and a piped log. Returns the process and the path of the configuration file.
 pub fn spawn_program(config: &serde_json::Value) -> (Child, PathBuf) {
     spawn_program_with(config, Stdio::piped(), &[])
 }
 
-/// The same, with the log going to `log`, and with more environment variables.
+/// Starts the program like [`spawn_program`], with its log going to `log` and with additional environment variables.
 pub fn spawn_program_with(
     config: &serde_json::Value,
     log: impl Into<Stdio>,
@@ -43,7 +43,7 @@
     (spawn_program_at(&path, sockets, log, environment), path)
 }
 
-/// Starts the program with the configuration in this file, and with at most this number of descriptors.
+/// Starts the program with the configuration file at `path` and a limit of `sockets` file descriptors.
 pub fn spawn_program_at(
     path: &Path,
     sockets: u64,
@@ -75,19 +75,20 @@
         gateway
     }
 
-    /// Starts the program with system calls that fail as `faults` says, and waits until it is ready.
+    /// Starts the program with system calls that fail as `faults` specifies, and waits until it is ready.
     pub fn with_faults(config: &serde_json::Value, faults: &str) -> Self {
         Gateway::with_environment(config, &fault_environment(faults))
     }
 
-    /// Starts the program with these environment variables, and waits until it is ready.
+    /// Starts the program with additional environment variables, and waits until it is ready.
     pub fn with_environment(config: &serde_json::Value, environment: &[(&str, String)]) -> Self {
         let gateway = Gateway::read_log(spawn_program_with(config, Stdio::piped(), environment));
         gateway.wait_until_ready();
         gateway
     }
 
-    /// Starts the program with a log that goes elsewhere, on an address of its own, and waits until it is ready.
+    /// Starts the program on an unused address with its log going to `log`, and waits until it is ready. Its log cannot
+    /// be read.
     pub fn with_log(config: &serde_json::Value, log: impl Into<Stdio>) -> Self {
         let mut config = config.clone();
         let addr = unused_address();
@@ -101,19 +102,22 @@
         };
         let start = Instant::now();
         while TcpStream::connect(addr).is_err() {
-            assert!(start.elapsed() < TEST_TIMEOUT, "never listens");
+            assert!(
+                start.elapsed() < TEST_TIMEOUT,
+                "the gateway does not listen"
+            );
             std::thread::sleep(Duration::from_millis(10));
         }
         gateway.wait_until_ready();
         gateway
     }
 
-    /// Starts the program and waits until it listens.
+    /// Starts the program and waits until it listens. It may not be ready yet.
     pub fn spawn(config: &serde_json::Value) -> Self {
         Gateway::read_log(spawn_program(config))
     }
 
-    /// Waits until a program whose log is a pipe listens.
+    /// Reads the log of a started program from its pipe, and waits until the program listens.
     pub fn read_log((mut child, path): (Child, PathBuf)) -> Self {
         let stderr = BufReader::new(child.stderr.take().unwrap());
         let (to, log) = channel();
@@ -137,7 +141,7 @@
         }
     }
 
-    /// Waits until the program says that it is ready.
+    /// Waits until the readiness check of the gateway succeeds.
     pub fn wait_until_ready(&self) {
         let start = Instant::now();
         while self
@@ -145,60 +149,63 @@
             .status()
             != 200
         {
-            assert!(start.elapsed() < TEST_TIMEOUT, "never ready");
+            assert!(
+                start.elapsed() < TEST_TIMEOUT,
+                "the gateway does not become ready"
+            );
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
-    /// Opens a client's connection.
+    /// Opens a client connection.
     pub fn connect(&self) -> BufReader<TcpStream> {
         let stream = TcpStream::connect(self.addr).unwrap();
         stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         BufReader::new(stream)
     }
 
-    /// Sends a request on a connection of its own and reads the response.
+    /// Sends a request on a new connection and returns the response.
     pub fn exchange(&self, text: &str) -> Message {
         let mut connection = self.connect();
         connection.get_mut().write_all(text.as_bytes()).unwrap();
-        read_message(&mut connection).expect("an answer")
+        read_message(&mut connection).expect("a response")
     }
 
-    /// Sends a request of the idempotent class.
+    /// Sends a request of the class `look` on a new connection and returns the response.
     pub fn get(&self, customer: u64, units: u32) -> Message {
         self.exchange(&get_request(customer, units, 3000))
     }
 
-    /// Replaces the configuration's file, sends SIGHUP and waits until the program has said so.
+    /// Replaces the configuration file, sends SIGHUP and returns the line that the gateway logs about the reload.
     pub fn reload(&self, config: &str) -> String {
         std::fs::write(&self.config_path, config).unwrap();
         self.signal("-HUP");
         std::iter::from_fn(|| self.log.recv_timeout(TEST_TIMEOUT).ok())
             .find(|l| l.contains("SIGHUP"))
-            .expect("a line")
+            .expect("a log line about SIGHUP")
     }
 
-    /// Waits until the program has applied a list that has an [`invalid_entry`](super::invalid_entry): it warns of the
-    /// entry in the same step. Without that a test would not know when its change of the list counts.
+    /// Waits until the gateway has applied a list with an [`invalid_entry`](super::invalid_entry). The gateway applies
+    /// the list and logs a warning about the entry in the same step, so the warning shows that the change is in effect.
     pub fn wait_until_list_is_applied(&self) {
         self.wait_for_log("an entry of the list");
     }
 
-    /// Waits until the program has logged a line with these words.
-    pub fn wait_for_log(&self, words: &str) {
+    /// Waits until the gateway has logged a line that contains `text`.
+    pub fn wait_for_log(&self, text: &str) {
         let start = Instant::now();
         while let Ok(line) = self
             .log
             .recv_timeout(TEST_TIMEOUT.saturating_sub(start.elapsed()))
         {
-            if line.contains(words) {
+            if line.contains(text) {
                 return;
             }
         }
-        panic!("never logged: {words}");
+        panic!("the gateway has not logged: {text}");
     }
 
-    /// Sends the program a signal.
+    /// Sends a signal to the gateway, named as an option of `kill`.
     pub fn signal(&self, name: &str) {
         assert!(Command::new("kill")
             .args([name, &self.child.id().to_string()])
--- a/tests/gateway/stand_ins/mod.rs
+++ b/tests/gateway/stand_ins/mod.rs
@@ -1,4 +1,4 @@
-//! The gateway under test, its configuration and its clients, with the stand-ins that the crate of that name has.
+//! Test support: the gateway under test, its configuration and clients, and the servers of the `stand_ins` crate.
 
 mod config;
 mod faults;
--- a/tests/gateway/stand_ins/requests.rs
+++ b/tests/gateway/stand_ins/requests.rs
@@ -1,6 +1,6 @@
-//! Requests of clients.
+//! Client requests.
 
-/// A request of the idempotent class; its transaction id is the customer's number.
+/// A request of the class `look`, which is read-only. The transaction id is the customer number.
 pub fn get_request(customer: u64, units: u32, remaining_ms: u32) -> String {
     format!(
         "GET /look?account={customer:016x} HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: 0000{customer:012x}\r\n\
@@ -8,7 +8,7 @@
     )
 }
 
-/// A request of another class, with this line for its idempotency key.
+/// A POST request of `class`. `key_header` is the complete header line of the idempotency key; empty for none.
 pub fn post_request(class: &str, key_header: &str, body: &str) -> String {
     format!(
         "POST /{class}?account=0000000000000007 HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: 9b1f03aa5c7e2d41\r\n\
@@ -18,5 +18,5 @@
     )
 }
 
-/// The line of a valid idempotency key.
+/// A complete header line with a valid idempotency key.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "Idempotency-Key: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\n";
--- a/tests/shim/syscall_faults.c
+++ b/tests/shim/syscall_faults.c
@@ -1,24 +1,26 @@
 /*
- * Fault injection for system calls: a library for LD_PRELOAD in tests of the gateway's program.
+ * Fault injection for system calls: a library that tests of the gateway load into the program with LD_PRELOAD.
  *
- * GATEWAY_FAULTS holds comma-separated NAME=NUMBER pairs. Rates are calls in a thousand.
+ * GATEWAY_FAULTS holds comma-separated NAME=NUMBER pairs. Unless marked otherwise, the number is a rate: how many of a
+ * thousand calls are affected.
  *
- *   seed            seed of the random numbers (default 1)
+ *   seed            seed of the random number generator (not a rate; default 0)
  *   recv_eintr      recv fails with EINTR
  *   send_eintr      send and writev fail with EINTR
  *   recv_nomem      recv fails with ENOMEM
  *   send_nobufs     send and writev fail with ENOBUFS
  *   unix_eintr      recv on a Unix socket fails with EINTR
- *   recv_short      recv returns fewer bytes than there are
- *   send_short      send and writev take fewer bytes than they are given
+ *   recv_short      recv returns fewer bytes than are available
+ *   send_short      send and writev accept fewer bytes than they are given
  *   accept_abort    accept4 fails with ECONNABORTED and leaves the connection in the queue
  *   accept_full     accept4 fails with ENFILE and leaves the connection in the queue
  *   connect_fail    connect fails with EADDRNOTAVAIL or ENETUNREACH
  *   socket_fail     socket fails with ENOBUFS or ENFILE
  *   open_fail       open of a file whose name ends in .json fails with EIO or ENFILE
  *   epoll_eintr     epoll_wait fails with EINTR
- *   accept_switch   (not a rate) accept4 fails with ENFILE while the file that GATEWAY_FAULT_SWITCH names exists
- *   wall_clock_s    seconds (not a rate; may be negative) that CLOCK_REALTIME is off
+ *   accept_switch   if not 0, accept4 fails with ENFILE while the file named in GATEWAY_FAULT_SWITCH exists
+ *                   (not a rate)
+ *   wall_clock_s    offset of CLOCK_REALTIME in seconds; may be negative (not a rate)
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -36,6 +38,7 @@
 
 static uint64_t random_state;
 
+/* The number for this name in GATEWAY_FAULTS; 0 if the name is missing. */
 static long setting(const char *name) {
     const char *text = getenv("GATEWAY_FAULTS");
     size_t length = strlen(name);
@@ -51,6 +54,7 @@
     return 0;
 }
 
+/* The next number of a xorshift generator. */
 static uint64_t next_random(void) {
     if (random_state == 0) {
         random_state = (uint64_t)setting("seed") * 0x9E3779B97F4A7C15ull + 0x2545F4914F6CDD1Dull;
@@ -61,7 +65,8 @@
     return random_state >> 11;
 }
 
-static int happens(const char *name) {
+/* Decides at random whether this call fails, with the rate of the named fault. */
+static int draw_fault(const char *name) {
     long rate = setting(name);
     return rate > 0 && (long)(next_random() % 1000) < rate;
 }
@@ -71,7 +76,8 @@
     return -1;
 }
 
-static int family(int fd) {
+/* The address family of a socket; AF_UNSPEC if fd is not a socket. */
+static int address_family(int fd) {
     struct sockaddr_storage address;
     socklen_t length = sizeof(address);
     if (getsockname(fd, (struct sockaddr *)&address, &length) != 0) {
@@ -80,13 +86,15 @@
     return address.ss_family;
 }
 
+/* A random length from 1 to length - 1; lengths up to 1 are returned unchanged. */
 static size_t shortened(size_t length) {
     return length <= 1 ? length : 1 + next_random() % (length - 1);
 }
 
 /*
- * The system's own functions, looked up once when the library is loaded. Handlers of signals call some of them, and
- * dlsym takes a lock: in a handler that has interrupted another dlsym it would wait for itself.
+ * The original functions, looked up once when the library is loaded. A lookup at the first call could deadlock: signal
+ * handlers call some of these functions, and dlsym takes a lock, which a handler would wait for if it had interrupted
+ * another dlsym.
  */
 #define REAL(name) real_##name
 #define DECLARE(name) static __typeof__(&name) real_##name
@@ -102,7 +110,7 @@
 DECLARE(epoll_wait);
 DECLARE(clock_gettime);
 
-__attribute__((constructor)) static void look_up(void) {
+__attribute__((constructor)) static void look_up_originals(void) {
     LOOK_UP(recv);
     LOOK_UP(send);
     LOOK_UP(writev);
@@ -115,18 +123,18 @@
 }
 
 ssize_t recv(int fd, void *buffer, size_t length, int flags) {
-    int kind = family(fd);
-    if (kind == AF_UNIX && happens("unix_eintr")) {
+    int family = address_family(fd);
+    if (family == AF_UNIX && draw_fault("unix_eintr")) {
         return fail(EINTR);
     }
-    if (kind == AF_INET) {
-        if (happens("recv_eintr")) {
+    if (family == AF_INET) {
+        if (draw_fault("recv_eintr")) {
             return fail(EINTR);
         }
-        if (happens("recv_nomem")) {
+        if (draw_fault("recv_nomem")) {
             return fail(ENOMEM);
         }
-        if (!(flags & MSG_PEEK) && happens("recv_short")) {
+        if (!(flags & MSG_PEEK) && draw_fault("recv_short")) {
             length = shortened(length < 512 ? length : 512);
         }
     }
@@ -134,14 +142,14 @@
 }
 
 ssize_t send(int fd, const void *buffer, size_t length, int flags) {
-    if (family(fd) == AF_INET) {
-        if (happens("send_eintr")) {
+    if (address_family(fd) == AF_INET) {
+        if (draw_fault("send_eintr")) {
             return fail(EINTR);
         }
-        if (happens("send_nobufs")) {
+        if (draw_fault("send_nobufs")) {
             return fail(ENOBUFS);
         }
-        if (happens("send_short")) {
+        if (draw_fault("send_short")) {
             length = shortened(length);
         }
     }
@@ -149,14 +157,14 @@
 }
 
 ssize_t writev(int fd, const struct iovec *parts, int count) {
-    if (count > 0 && family(fd) == AF_INET) {
-        if (happens("send_eintr")) {
+    if (count > 0 && address_family(fd) == AF_INET) {
+        if (draw_fault("send_eintr")) {
             return fail(EINTR);
         }
-        if (happens("send_nobufs")) {
+        if (draw_fault("send_nobufs")) {
             return fail(ENOBUFS);
         }
-        if (happens("send_short")) {
+        if (draw_fault("send_short")) {
             return REAL(send)(fd, parts[0].iov_base, shortened(parts[0].iov_len), MSG_NOSIGNAL);
         }
     }
@@ -164,10 +172,10 @@
 }
 
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags) {
-    if (happens("accept_abort")) {
+    if (draw_fault("accept_abort")) {
         return fail(ECONNABORTED);
     }
-    if (happens("accept_full")) {
+    if (draw_fault("accept_full")) {
         return fail(ENFILE);
     }
     const char *file = getenv("GATEWAY_FAULT_SWITCH");
@@ -178,14 +186,14 @@
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
-    if (happens("connect_fail")) {
+    if (draw_fault("connect_fail")) {
         return fail(next_random() % 2 ? EADDRNOTAVAIL : ENETUNREACH);
     }
     return REAL(connect)(fd, address, length);
 }
 
 int socket(int domain, int type, int protocol) {
-    if (domain == AF_INET && happens("socket_fail")) {
+    if (domain == AF_INET && draw_fault("socket_fail")) {
         return fail(next_random() % 2 ? ENOBUFS : ENFILE);
     }
     return REAL(socket)(domain, type, protocol);
@@ -201,14 +209,14 @@
     va_start(arguments, flags);
     mode_t mode = (flags & O_CREAT) ? va_arg(arguments, mode_t) : 0;
     va_end(arguments);
-    if (is_configuration(path) && happens("open_fail")) {
+    if (is_configuration(path) && draw_fault("open_fail")) {
         return fail(next_random() % 2 ? EIO : ENFILE);
     }
     return REAL(open64)(path, flags, mode);
 }
 
 int epoll_wait(int fd, struct epoll_event *events, int count, int timeout) {
-    if (happens("epoll_eintr")) {
+    if (draw_fault("epoll_eintr")) {
         return fail(EINTR);
     }
     return REAL(epoll_wait)(fd, events, count, timeout);
