--- a/tests/gateway/attempts.rs
+++ b/tests/gateway/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts on endpoints, and what comes back.
+//! Attempts on endpoints and their responses.
 
 use crate::stand_ins::*;
 use std::io::Write;
@@ -6,9 +6,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// An endpoint that gets another request than the client sent, or a client that gets another response than the
-/// endpoint's, acts on wrong data. Path, ids, headers and body must arrive unchanged, with a remaining time below the
-/// client's.
+/// Guards against requests or responses that are altered on the way, so that the receiver acts on wrong data. Path,
+/// ids, headers and body must arrive unchanged, with a remaining time below the client's.
 #[test]
 fn forwards_a_request_and_its_response_unchanged() {
     let (endpoint, received) = healthy_endpoint();
@@ -38,13 +37,13 @@
     assert!(remaining > 0 && remaining < 3000, "{remaining}");
 }
 
-/// An endpoint is down, or rejects requests while it is full. The request was not executed, so that even one that is
-/// not idempotent must be retried on another endpoint: the client sees success.
+/// An endpoint is down, or rejects requests while it is full. The request was not executed, so even a non-idempotent
+/// request must be retried on another endpoint, and the client gets a success.
 #[test]
 fn a_request_that_was_never_executed_is_retried_on_another_endpoint() {
     let (endpoint, received) = healthy_endpoint();
     let full = start_server(|_| Reply::Send(response(503, "X-Turned-Away: 1\r\n", "")));
-    // A request that is not idempotent is retried only if it is known not to have been executed.
+    // A non-idempotent request is retried only if it is known that the request was not executed.
     for bad in [unused_address(), full] {
         let gateway = Gateway::new(&config_with_silent_discovery(&[bad, endpoint]));
         for _ in 0..2 {
@@ -57,17 +56,17 @@
     assert_eq!(received.lock().unwrap().len(), 4);
 }
 
-/// An endpoint fails after it has read a request: it responds with an error, or closes the connection before or
-/// within its response. The request may have been executed, and a retry could execute it twice. The client must get
-/// 502, and the endpoint no second attempt.
+/// An endpoint fails after it has read a request: it responds with an error, or closes the connection before or during
+/// its response. The request may have been executed, and a retry could execute it twice. The client must get 502, and
+/// the endpoint must get no second attempt.
 #[test]
 fn a_non_idempotent_request_that_may_have_executed_is_not_retried() {
     for reply in [
         || Reply::Send(response(500, "", "")),
-        // Without the header a 503 proves nothing.
+        // A 503 without `X-Turned-Away` does not prove that the request was not executed.
         || Reply::Send(response(503, "", "")),
         || Reply::SendAndClose(String::new()),
-        // A body that ends too early is a reset, and no response.
+        // A truncated body counts as a reset, not as a response.
         || Reply::SendAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nsto".to_owned()),
     ] {
         let count = Arc::new(Mutex::new(0));
@@ -85,19 +84,19 @@
     }
 }
 
-/// An endpoint reads a request and never responds. It goes on working for nobody unless its connection is closed, and
-/// the client must not wait longer than it said. It must get 502 in time, the connection must close, and nothing may
-/// be sent again, as the request may have been executed.
+/// An endpoint reads a request and never responds. Unless the connection is closed, the endpoint works for nobody, and
+/// the client must not wait beyond its deadline. The client must get 502 in time, and the connection must be closed.
+/// The request must not be sent again, as it may have been executed.
 #[test]
-fn a_timed_out_attempt_closes_its_connection_and_is_answered_in_time() {
-    let (closed_to, closed) = channel();
-    let addr = start_server(move |_| Reply::StaySilent(closed_to.clone()));
+fn a_timed_out_attempt_closes_its_connection_and_the_client_gets_502_in_time() {
+    let (closed_sender, closed) = channel();
+    let addr = start_server(move |_| Reply::StaySilent(closed_sender.clone()));
     let gateway = Gateway::new(&config_with_silent_discovery(&[addr, addr]));
     let start = Instant::now();
     let response = gateway.exchange(
         &post_request("once", "", "x").replace("Remaining-Ms: 3000", "Remaining-Ms: 600"),
     );
-    // It may have been executed, so the response promises nothing.
+    // The request may have been executed, so the response must not say that a retry is safe.
     assert_eq!(response.status(), 502);
     assert!(
         start.elapsed() < Duration::from_millis(1400),
@@ -106,13 +105,13 @@
     );
     closed
         .recv_timeout(TEST_TIMEOUT)
-        .expect("the attempt's connection ends");
-    assert!(closed.try_recv().is_err(), "sent again");
+        .expect("the connection of the attempt is closed");
+    assert!(closed.try_recv().is_err(), "the request was sent again");
 }
 
-/// An endpoint closes a connection after its response, while the gateway keeps it for the next request. A request
-/// that is written to it ends as a reset, may have been executed, and fails. The gateway must see the end of the
-/// connection and open another one.
+/// An endpoint closes a connection after its response, while the gateway keeps the connection for the next request. A
+/// request written on it would be reset and would fail, as it may have been executed. The gateway must detect the close
+/// and open another connection.
 #[test]
 fn a_connection_that_broke_while_idle_is_not_reused() {
     let count = Arc::new(Mutex::new(0));
@@ -123,19 +122,19 @@
     });
     let gateway = Gateway::new(&config_with_silent_discovery(&[addr]));
     for _ in 0..3 {
-        // Sent into a broken connection it might have been executed, and would fail.
+        // On a broken connection the request would fail: the gateway could not rule out that it was executed.
         assert_eq!(
             gateway.exchange(&post_request("once", "", "x")).status(),
             200
         );
-        // The end of the connection has to arrive.
+        // Lets the close of the connection arrive.
         std::thread::sleep(Duration::from_millis(50));
     }
     assert_eq!(*count.lock().unwrap(), 3);
 }
 
-/// A faulty endpoint sends what is no valid response, or one that is too large. Read on, it would use up the client's
-/// time or the gateway's memory. The request must fail at once.
+/// A faulty endpoint sends an invalid response, or one that is too large. Reading on would use up the client's time or
+/// the gateway's memory. The request must fail at once.
 #[test]
 fn invalid_responses_fail_the_request_at_once() {
     for invalid in [
@@ -155,15 +154,15 @@
         );
         assert!(
             start.elapsed() < Duration::from_secs(1),
-            "it is known at once"
+            "the request does not fail at once"
         );
     }
 }
 
-/// A faulty endpoint sends each response twice. The second copy stays in the connection, and would be read as the
-/// response to the next request, of another client. Each client must get the response to its own request.
+/// A faulty endpoint sends each response twice. The second copy would be read as the response to the next request on
+/// the connection, which may be of another client. Each request must get its own response.
 #[test]
-fn bytes_behind_a_response_are_not_read_as_the_next_response() {
+fn bytes_after_a_response_are_not_read_as_the_next_response() {
     let number = Mutex::new(0);
     let addr = start_server(move |_| {
         *number.lock().unwrap() += 1;
@@ -184,16 +183,16 @@
     }
 }
 
-/// An endpoint moves to another address while an attempt is in flight at the old one. The connection of that attempt
-/// becomes idle afterwards, and the old address may belong to another endpoint by then. The attempt must end as
-/// usual, and all later ones must go to the new address.
+/// An endpoint moves to another address while an attempt is in flight at the old address. The connection of that
+/// attempt becomes idle afterwards, when the old address may belong to another endpoint. The attempt must complete, and
+/// all later attempts must go to the new address.
 #[test]
 fn a_connection_to_a_former_address_is_not_reused() {
-    let (begun_to, begun) = channel();
-    let (go_on, wait) = channel::<()>();
+    let (started_sender, started) = channel();
+    let (release, wait) = channel::<()>();
     let wait = Mutex::new(wait);
     let old = start_server(move |_| {
-        begun_to.send(()).unwrap();
+        started_sender.send(()).unwrap();
         wait.lock().unwrap().recv().unwrap();
         Reply::Send(response(200, "", "old"))
     });
@@ -210,11 +209,11 @@
         .get_mut()
         .write_all(get_request(1, 1, 3000).as_bytes())
         .unwrap();
-    begun.recv_timeout(TEST_TIMEOUT).unwrap();
+    started.recv_timeout(TEST_TIMEOUT).unwrap();
     let moved = serde_json::json!({"version": 8, "full": false, "servers": [invalid_entry(), list_entry(0, new, "Ready")]});
     push_update(&mut watch, &moved.to_string());
     gateway.wait_until_list_is_applied();
-    go_on.send(()).unwrap();
+    release.send(()).unwrap();
     assert_eq!(read_message(&mut connection).unwrap().body, b"old");
     for customer in 2..6 {
         std::thread::sleep(Duration::from_millis(10));
--- a/tests/gateway/client_timing.rs
+++ b/tests/gateway/client_timing.rs
@@ -1,4 +1,4 @@
-//! The timing of requests: sent ahead, begun late, or arriving during a stall of the process.
+//! Request timing: pipelined requests, requests that start late, and requests that arrive while the process stalls.
 
 use crate::stand_ins::*;
 use std::io::Write;
@@ -7,12 +7,13 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// How long the endpoint of these tests serves the first request of a connection.
+/// Time that the endpoint of these tests takes to serve a request.
 const SERVICE_TIME: Duration = Duration::from_secs(1);
-/// Allowed excess of the propagated time over the time that the client has left, in ms.
+/// Tolerance by which the propagated remaining time may exceed the client's remaining time, in ms.
 const REMAINING_SLACK_MS: u64 = 150;
 
-/// An endpoint that serves each request for a second, and the remaining times that were propagated to it.
+/// Starts an endpoint that takes [`SERVICE_TIME`] for each request. Returns its address and the remaining times, in ms,
+/// that were propagated to it.
 fn slow_endpoint() -> (std::net::SocketAddr, Arc<Mutex<Vec<u64>>>) {
     let propagated = Arc::new(Mutex::new(Vec::new()));
     let seen = propagated.clone();
@@ -26,11 +27,11 @@
     (addr, propagated)
 }
 
-/// A client sends two requests on one connection, and the second waits behind the first. If its remaining time counted
-/// from when it is served, endpoints would work on it after its client has given up. The time that it waited is
-/// subtracted from the deadline that is propagated.
+/// A client pipelines two requests on one connection, and the second waits until the first is answered. If the
+/// remaining time of the second counted from the start of its service, endpoints would work on it after its client has
+/// given up. The waiting time must be subtracted from the propagated remaining time.
 #[test]
-fn the_remaining_time_of_a_request_sent_ahead_counts_from_its_arrival() {
+fn the_remaining_time_of_a_pipelined_request_counts_from_its_arrival() {
     for (name, pieces) in [("in one piece", 1), ("in two pieces", 2)] {
         let (endpoint, propagated) = slow_endpoint();
         let gateway = Gateway::new(&config_with_silent_discovery(&[endpoint]));
@@ -60,11 +61,11 @@
     }
 }
 
-/// A client sends megabytes behind its request and disconnects before the attempt is written. The end of its stream is
-/// behind bytes that nobody reads, so the attempt would be sent for a client that has left. The disconnect is noticed
-/// however much was sent ahead, and the attempt is given up.
+/// A client sends megabytes after its request and disconnects before the attempt is written. The end of its stream
+/// follows bytes that nobody reads, so the attempt could be sent for a client that has disconnected. The disconnect
+/// must be detected however many bytes precede it, and the attempt must be abandoned.
 #[test]
-fn a_client_that_leaves_behind_megabytes_sent_ahead_ends_its_request() {
+fn a_disconnect_after_megabytes_of_pipelined_bytes_ends_the_request() {
     let stalled = StalledEndpoint::new();
     let mut config = config_with_silent_discovery(&[stalled.addr]);
     config["settings"]["limits"]["connect-timeout-ms"] = 20_000.into();
@@ -88,9 +89,9 @@
     }
 }
 
-/// The process stalls while connections are about to reach their idle time-out, and requests arrive meanwhile. Running
-/// again, it finds the time-out passed and closes connections with requests unread; the clients see a close without a
-/// response. Each request is served, on new connections and on those that were idle.
+/// The process stalls while connections are about to reach their idle time-out, and requests arrive during the stall. A
+/// process that then finds the time-out expired could close connections with unread requests, and their clients would
+/// get no response. Each request must be served, on new connections and on idle ones.
 #[test]
 fn a_request_that_arrives_during_a_stall_over_the_idle_timeout_is_served() {
     let (endpoint, _) = healthy_endpoint();
@@ -103,7 +104,7 @@
             .unwrap();
         assert_eq!(read_message(client).unwrap().status(), 200);
     }
-    // The time-out is 2.3 s.
+    // The idle time-out is 2.3 s.
     sleep(Duration::from_millis(2200));
     gateway.signal("-STOP");
     sleep(Duration::from_millis(150));
@@ -122,13 +123,13 @@
 }
 
 /// A client sends the first bytes of a request shortly before its connection reaches the idle time-out, and the rest
-/// later. If the time-out ran on, a request in transmission would be cut off. Its time limit counts from its first
-/// byte, so it is served.
+/// later. If the idle time-out still applied, the request would be cut off in transmission. The time limit of a request
+/// must start with its first byte, so that this request is served.
 #[test]
-fn a_request_begun_late_has_its_time_from_its_first_byte() {
+fn the_time_limit_of_a_request_starts_with_its_first_byte() {
     let (endpoint, _) = healthy_endpoint();
     let gateway = Gateway::new(&config_with_silent_discovery(&[endpoint]));
-    for (was_idle, begun_ms, rest_ms) in [
+    for (was_idle, started_ms, rest_ms) in [
         (false, 1500, 1000),
         (false, 2100, 500),
         (true, 1500, 1000),
@@ -143,7 +144,7 @@
             assert_eq!(read_message(&mut client).unwrap().status(), 200);
         }
         let request = post_request("once", "", "x");
-        sleep(Duration::from_millis(begun_ms));
+        sleep(Duration::from_millis(started_ms));
         client
             .get_mut()
             .write_all(&request.as_bytes()[..20])
@@ -157,16 +158,16 @@
         assert_eq!(
             status,
             Some(200),
-            "was idle: {was_idle}, begun after {begun_ms} ms, complete {rest_ms} ms later"
+            "was idle: {was_idle}, started after {started_ms} ms, complete {rest_ms} ms later"
         );
     }
 }
 
-/// The process is asked to end while a client has sent a part of a head. If the connection were closed as idle, the
-/// client would lose its request. The connection is kept until the rest arrives, the request is served, and the process
-/// still ends well.
+/// SIGTERM arrives before a client has sent all of a request's head. If the connection were closed as idle, the client
+/// would lose its request. The connection must stay open until the rest arrives, the request must be served, and the
+/// process must exit with success.
 #[test]
-fn a_partial_head_at_shutdown_is_waited_for() {
+fn shutdown_waits_for_the_rest_of_a_partial_head() {
     let (endpoint, _) = healthy_endpoint();
     let mut gateway = Gateway::new(&config_with_silent_discovery(&[endpoint]));
     let mut clients: Vec<_> = (0..4).map(|_| gateway.connect()).collect();
@@ -186,7 +187,7 @@
             .write_all(&request(customer).as_bytes()[..40])
             .unwrap();
     }
-    // Connections close 0.6 s after the signal, and the program may end 1 s after it.
+    // Idle connections close 0.6 s after the signal, and the program may exit 1 s after it.
     sleep(Duration::from_millis(800));
     for (customer, client) in clients.iter_mut().enumerate() {
         client
--- a/tests/gateway/clients.rs
+++ b/tests/gateway/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: their requests, valid and not, and their connections.
+//! Clients: valid and invalid requests, and client connections.
 
 use crate::stand_ins::*;
 use std::io::{Read, Write};
@@ -6,9 +6,9 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// A customer sends more than its quota allows. Were it forwarded all the same, or left to wait, the customer would
-/// take capacity that others paid for. The request over the quota gets 429 with a Retry-After at once, and no endpoint
-/// sees it.
+/// A customer sends more than its quota allows. If the excess were forwarded or queued, the customer would take
+/// capacity that others paid for. The request over the quota must get 429 with a Retry-After at once, and must reach no
+/// endpoint.
 #[test]
 fn a_request_over_quota_is_rejected_at_once_with_retry_after() {
     let (endpoint, received) = healthy_endpoint();
@@ -21,15 +21,15 @@
     assert_eq!(received.lock().unwrap().len(), 2);
 }
 
-/// A client disconnects while an endpoint is busy with its request. If the attempt went on until its time-out,
-/// endpoints would work for clients that have left. The connection to the endpoint is closed at once instead.
+/// A client disconnects while an endpoint works on its request. If the attempt ran until its time-out, endpoints would
+/// work for clients that have disconnected. The connection to the endpoint must be closed at once.
 #[test]
 fn a_client_disconnect_cancels_its_attempt() {
-    let (closed_to, closed) = channel();
-    let (begun_to, begun) = channel();
+    let (closed_sender, closed) = channel();
+    let (started_sender, started) = channel();
     let addr = start_server(move |_| {
-        let _ = begun_to.send(());
-        Reply::StaySilent(closed_to.clone())
+        let _ = started_sender.send(());
+        Reply::StaySilent(closed_sender.clone())
     });
     let gateway = Gateway::new(&config_with_silent_discovery(&[addr]));
     let start = Instant::now();
@@ -38,19 +38,19 @@
         .get_mut()
         .write_all(get_request(3, 1, 3000).as_bytes())
         .unwrap();
-    begun.recv_timeout(TEST_TIMEOUT).unwrap();
+    started.recv_timeout(TEST_TIMEOUT).unwrap();
     drop(connection);
     closed
         .recv_timeout(TEST_TIMEOUT)
-        .expect("the attempt is withdrawn");
+        .expect("the attempt is cancelled");
     assert!(
         start.elapsed() < Duration::from_millis(1400),
-        "only at its time-out"
+        "the attempt ended only at its time-out"
     );
 }
 
-/// Clients keep their connections open between requests, and use up the descriptors of a small process. Later clients
-/// would wait in the queue of the listener until they time out. Idle connections are evicted instead, and each new
+/// Clients keep their connections open between requests, and use up the descriptors of a process with a low limit.
+/// Later clients would wait in the accept queue until they time out. Idle connections must be evicted, so that each new
 /// client is served.
 #[test]
 fn idle_connections_do_not_starve_clients_of_descriptors() {
@@ -70,7 +70,7 @@
     }
 }
 
-/// A part of a valid request, its replacement, and the status of the response.
+/// A part of a valid request, its malformed replacement, and the expected status of the response.
 const MALFORMED: [(&str, &str, u16); 26] = [
     ("/look", "/else", 404),
     ("GET", "DELETE", 405),
@@ -100,28 +100,28 @@
     ("account=0000", "account=", 400),
 ];
 
-/// A client sends a request that breaks the protocol. Forwarded, it would cost an endpoint work; answered with 429 or
-/// 503, it would be retried without end. It gets the 4xx status for what is wrong, no endpoint sees it, and the next
-/// valid request is served.
+/// A client sends a request that violates the protocol. If it were forwarded, it would cost an endpoint work; if it
+/// were answered with 429 or 503, it would be retried endlessly. It must get the 4xx status that fits the error and
+/// reach no endpoint, and the next valid request must be served.
 #[test]
 fn malformed_requests_get_client_error_statuses() {
     let (endpoint, received) = healthy_endpoint();
     let gateway = Gateway::new(&config_with_silent_discovery(&[endpoint]));
-    let fine = get_request(1, 1, 3000);
+    let valid = get_request(1, 1, 3000);
     let replaced =
-        MALFORMED.map(|(found, replacement, status)| (fine.replace(found, replacement), status));
+        MALFORMED.map(|(found, replacement, status)| (valid.replace(found, replacement), status));
     let written = [
         (
-            fine.replace("HTTP/1.1\r\n", "HTTP/1.1\r\nContent-Length: 7\r\n") + "1234567",
+            valid.replace("HTTP/1.1\r\n", "HTTP/1.1\r\nContent-Length: 7\r\n") + "1234567",
             400,
         ),
         (
-            fine.replace("HTTP/1.1\r\n", "HTTP/1.1\r\nTransfer-Encoding: chunked\r\n")
+            valid.replace("HTTP/1.1\r\n", "HTTP/1.1\r\nTransfer-Encoding: chunked\r\n")
                 + "0\r\n\r\n",
             411,
         ),
         (
-            fine.replace(
+            valid.replace(
                 "HTTP/1.1\r\n",
                 &format!("HTTP/1.1\r\nX: {}\r\n", "x".repeat(20_000)),
             ),
@@ -155,11 +155,11 @@
         );
     }
     assert_eq!(received.lock().unwrap().len(), 0);
-    assert_eq!(gateway.exchange(&fine).status(), 200);
+    assert_eq!(gateway.exchange(&valid).status(), 200);
 }
 
-/// A client connects and sends nothing, a part of a head, or a part of a body, and holds a slot for as long as it
-/// likes. Enough of them lock out all others. Each gets an error or a close within 3 s of connecting.
+/// A client connects and sends nothing, a part of a head, or a part of a body. Without a time limit, such clients could
+/// take all slots and lock out the others. Each must get an error or a close within 3 s of connecting.
 #[test]
 fn slow_clients_are_disconnected() {
     let (endpoint, received) = healthy_endpoint();
@@ -188,9 +188,9 @@
     assert_eq!(received.lock().unwrap().len(), 0);
 }
 
-/// A client gets its error response while it is still sending a long body. If the gateway closed the connection at
-/// once, the system would reset it, and the client would lose the response. The gateway reads and discards the rest, so
-/// that the response arrives before the close.
+/// A client gets an error response while it is still sending a long body. If the gateway closed the connection at once,
+/// the system would reset it, and the client would lose the response. The gateway must read and discard the rest of the
+/// body, so that the response arrives before the close.
 #[test]
 fn a_client_still_sending_gets_its_response() {
     let (endpoint, _) = healthy_endpoint();
@@ -208,16 +208,16 @@
             connection
                 .get_mut()
                 .write_all(&vec![b'x'; 100_000])
-                .expect("it is read on");
+                .expect("the gateway reads the rest of the body");
         }
         assert!([400, 413].contains(&read_message(&mut connection).expect("an answer").status()));
         assert_eq!(connection.read(&mut [0]).unwrap(), 0, "closed");
     }
 }
 
-/// A client that opens hundreds of connections without a request takes all slots. Other clients would be turned away
-/// for as long as it goes on. Silent connections are evicted first: each other client is served within a few retries,
-/// and the process stays within its descriptors.
+/// A client that opens hundreds of connections without sending requests takes all slots, and other clients would be
+/// rejected meanwhile. Silent connections must be evicted first: each other client must be served within a few retries,
+/// and the process must stay within its descriptor limit.
 #[test]
 fn hundreds_of_silent_connections_do_not_lock_out_clients() {
     let (endpoint, _) = healthy_endpoint();
@@ -227,7 +227,7 @@
     let mut silent = Vec::new();
     for customer in 0..20 {
         silent.extend((0..10).map(|_| gateway.connect()));
-        // Until a silent connection may be evicted there is no slot: the client is rejected, and retries.
+        // The client is rejected, and retries, until a silent connection may be evicted.
         let start = Instant::now();
         loop {
             let mut connection = gateway.connect();
@@ -240,7 +240,7 @@
                 None | Some(503) => {}
                 Some(other) => panic!("{other}"),
             }
-            assert!(start.elapsed() < TEST_TIMEOUT, "starved");
+            assert!(start.elapsed() < TEST_TIMEOUT, "the client is not served");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -250,11 +250,11 @@
     assert!(open <= 64, "{open} descriptors");
 }
 
-/// A request has both Content-Length and Transfer-Encoding, and its body holds a second request. By the wrong framing
-/// the second one is served as the client's own (request smuggling). The request gets 411, the connection is closed,
-/// and no endpoint sees either.
+/// A request has both Content-Length and Transfer-Encoding, and its body contains a second request. With the wrong
+/// framing, the second request would be served as well (request smuggling). The first request must get 411, the
+/// connection must be closed, and neither request may reach an endpoint.
 #[test]
-fn a_request_hidden_in_a_body_is_not_served() {
+fn a_request_smuggled_in_a_body_is_not_served() {
     let (endpoint, received) = healthy_endpoint();
     let gateway = Gateway::new(&config_with_silent_discovery(&[endpoint]));
     for (one, two) in [
@@ -278,21 +278,21 @@
         assert_eq!(
             connection.read(&mut [0]).unwrap(),
             0,
-            "nothing more is answered"
+            "the connection is closed after the response"
         );
     }
     assert_eq!(received.lock().unwrap().len(), 0);
 }
 
 /// A client sends a request again while the first copy is still being served. If both were forwarded, the request would
-/// be executed twice. The second copy gets 409, the first one its response, and the id is free afterwards.
+/// be executed twice. The second copy must get 409, the first copy its response, and the id must be usable afterwards.
 #[test]
 fn a_duplicate_transaction_id_is_rejected_and_the_open_request_completes() {
-    let (begun_to, begun) = channel();
-    let (go_on, wait) = channel::<()>();
+    let (started_sender, started) = channel();
+    let (release, wait) = channel::<()>();
     let wait = Mutex::new(wait);
     let addr = start_server(move |_| {
-        begun_to.send(()).unwrap();
+        started_sender.send(()).unwrap();
         wait.lock().unwrap().recv().unwrap();
         Reply::Send(response(200, "", "done"))
     });
@@ -302,18 +302,22 @@
         .get_mut()
         .write_all(get_request(5, 1, 3000).as_bytes())
         .unwrap();
-    begun.recv_timeout(TEST_TIMEOUT).unwrap();
+    started.recv_timeout(TEST_TIMEOUT).unwrap();
     assert_eq!(gateway.get(5, 1).status(), 409);
-    go_on.send(()).unwrap();
+    release.send(()).unwrap();
     assert_eq!(read_message(&mut connection).unwrap().body, b"done");
-    go_on.send(()).unwrap();
-    assert_eq!(gateway.get(5, 1).status(), 200, "ended, it is free");
-    assert_eq!(begun.try_iter().count(), 1);
+    release.send(()).unwrap();
+    assert_eq!(
+        gateway.get(5, 1).status(),
+        200,
+        "the id is not usable after the first request has ended"
+    );
+    assert_eq!(started.try_iter().count(), 1);
 }
 
-/// All slots are taken by clients with open requests, so that a new client is rejected. Without a Retry-After it would
-/// retry at once and add to the load; where the settings forbid the header, or bound it, clients do not expect it. The
-/// 503 carries the header only if permitted, and no longer than the maximum.
+/// All slots are taken by clients with open requests, so a new client is rejected. Without a Retry-After the client
+/// would retry at once and add to the load. The 503 must have the header only if the settings permit it, with a value
+/// of at most the configured maximum.
 #[test]
 fn a_client_without_a_slot_gets_retry_after_where_the_settings_permit_it() {
     for (permitted, longest_ms, advice) in [
@@ -326,7 +330,7 @@
         config["settings"]["limits"]["retry-after"] = permitted.into();
         config["settings"]["limits"]["max-retry-after-ms"] = longest_ms.into();
         let gateway = Gateway::new(&config);
-        // A client that got 100 has a request open, and can't be evicted.
+        // A client that got status 100 has an open request, and cannot be evicted.
         let head =
             post_request("once", "", "x").replace("\r\n\r\nx", "\r\nExpect: 100-continue\r\n\r\n");
         let mut connections = Vec::new();
@@ -345,7 +349,7 @@
                 break response;
             }
             connections.push(connection);
-            assert!(connections.len() < 40, "never full");
+            assert!(connections.len() < 40, "no client is rejected");
         };
         assert_eq!(refused.status(), 503);
         assert_eq!(
--- a/tests/gateway/coinciding_events.rs
+++ b/tests/gateway/coinciding_events.rs
@@ -97,11 +97,11 @@
 /// Nothing is written on the late connection, and the client gets 502.
 #[test]
 fn a_keyed_retry_is_not_sent_past_its_window() {
-    let (begun_to, begun) = channel();
-    let (go_on, wait) = channel::<()>();
+    let (started_sender, started) = channel();
+    let (release, wait) = channel::<()>();
     let wait = Mutex::new(wait);
     let breaks = start_server(move |_| {
-        let _ = begun_to.send(());
+        let _ = started_sender.send(());
         let _ = wait.lock().unwrap().recv();
         Reply::SendAndClose(String::new())
     });
@@ -116,7 +116,7 @@
     let request = post_request("order", IDEMPOTENCY_KEY_HEADER, "x")
         .replace("Remaining-Ms: 3000", "Remaining-Ms: 4000");
     client.get_mut().write_all(request.as_bytes()).unwrap();
-    begun.recv_timeout(TEST_TIMEOUT).unwrap();
+    started.recv_timeout(TEST_TIMEOUT).unwrap();
     // The window is 2.5 s long.
     let first_began = Instant::now();
     let servers = serde_json::json!([
@@ -130,7 +130,7 @@
     );
     gateway.wait_until_list_is_applied();
     sleep(Duration::from_secs(2).saturating_sub(first_began.elapsed()));
-    go_on.send(()).unwrap();
+    release.send(()).unwrap();
     late.wait_for_pending(1);
     sleep(Duration::from_millis(2600).saturating_sub(first_began.elapsed()));
     let mut repeated = Vec::new();
@@ -272,9 +272,9 @@
 #[test]
 fn requests_sent_ahead_are_answered_at_shutdown() {
     for pieces in [1, 3] {
-        let (begun_to, begun) = channel();
+        let (started_sender, started) = channel();
         let endpoint = start_server(move |message| {
-            let _ = begun_to.send(());
+            let _ = started_sender.send(());
             sleep(Duration::from_millis(400));
             Reply::Send(response(200, "", &message.headers["x-txn"]))
         });
@@ -294,7 +294,7 @@
                 sleep(Duration::from_millis(20));
             }
         }
-        begun.recv_timeout(TEST_TIMEOUT).unwrap();
+        started.recv_timeout(TEST_TIMEOUT).unwrap();
         gateway.signal("-TERM");
         let bodies: Vec<_> = (1..=3)
             .map(|_| read_message(&mut client).map(|answer| answer.body))
@@ -333,7 +333,8 @@
         if ends {
             gateway.signal("-TERM");
         }
-        // Idle connections close 0.6 s after the signal, or after the idle time-out of 2.3 s; the process may end after 1 s.
+        // Idle connections close 0.6 s after the signal, or after the idle time-out of 2.3 s; the process may end after
+        // 1 s.
         sleep(Duration::from_millis(if ends { 1500 } else { 2800 }));
         let answer = read_message(&mut client).expect("a complete response");
         assert_eq!(answer.body.len(), body.len(), "at the end: {ends}");
--- a/tests/gateway/counter.rs
+++ b/tests/gateway/counter.rs
@@ -1,20 +1,20 @@
-//! The shared counter.
+//! Calls to the shared counter.
 
 use crate::stand_ins::*;
 use std::io::Write;
 use std::sync::mpsc::channel;
 use std::sync::{Arc, Mutex};
 
-/// The counter writes totals with three decimals, and at the beginning of a window the amounts are tiny. Rounded to 0,
-/// what was used would not be counted, and customers could exceed their quota. All amounts on the wire are large
-/// enough, and small enough for the counter to accept.
+/// The counter writes totals with three decimals, and amounts at the beginning of a window are tiny. If they were
+/// rounded to 0, usage would not be counted and customers could exceed their quota. All amounts on the wire must be
+/// large enough not to be rounded to 0, and small enough for the counter to accept.
 #[test]
-fn amounts_are_large_enough_not_to_be_rounded_away_by_the_counter() {
+fn amounts_are_too_large_to_be_rounded_to_zero_by_the_counter() {
     let (endpoint, _) = healthy_endpoint();
     let amounts = Arc::new(Mutex::new(Vec::new()));
     let silent = start_server(|_| Reply::StaySilent(channel().0));
     let gateway = Gateway::new(&config(&[endpoint], start_counter(amounts.clone()), silent));
-    // Customers' windows begin at different times, so these are at any point of theirs.
+    // The windows of customers start at different times, so these customers are at various points of their windows.
     let mut open = gateway.connect();
     for customer in 0..8 {
         open.get_mut()
@@ -30,9 +30,9 @@
     );
 }
 
-/// The counter is down: it does not answer, answers with something else than a total or than HTTP, or refuses
-/// connections. If requests waited for it or were rejected, an outage of the counter would become one of the gateway.
-/// All are served.
+/// The counter is down: it does not answer, answers with something other than a total, answers with invalid HTTP, or
+/// refuses connections. If requests waited for it or were rejected, an outage of the counter would become an outage of
+/// the gateway. All requests must be served.
 #[test]
 fn requests_are_served_while_the_counter_is_silent_invalid_or_unreachable() {
     let (endpoint, _) = healthy_endpoint();
--- a/tests/gateway/service.rs
+++ b/tests/gateway/service.rs
@@ -65,9 +65,9 @@
 /// that is being executed. It must report that it is not ready, serve the request, and exit with success.
 #[test]
 fn sigterm_answers_open_requests_and_exits_successfully() {
-    let (begun_to, begun) = channel();
+    let (started_sender, started) = channel();
     let addr = start_server(move |_| {
-        let _ = begun_to.send(());
+        let _ = started_sender.send(());
         std::thread::sleep(Duration::from_millis(900));
         Reply::Send(response(200, "", "done"))
     });
@@ -76,7 +76,7 @@
     open.get_mut()
         .write_all(get_request(1, 1, 3000).as_bytes())
         .unwrap();
-    begun.recv_timeout(TEST_TIMEOUT).unwrap();
+    started.recv_timeout(TEST_TIMEOUT).unwrap();
     let start = Instant::now();
     gateway.signal("-TERM");
     // The gateway is not ready from now on, but goes on accepting clients.
@@ -168,9 +168,9 @@
 #[test]
 fn sigterm_waits_for_open_requests_until_shortly_before_sigkill() {
     for hangs in [false, true] {
-        let (begun_to, begun) = channel();
+        let (started_sender, started) = channel();
         let addr = start_server(move |_| {
-            let _ = begun_to.send(());
+            let _ = started_sender.send(());
             if hangs {
                 return Reply::StaySilent(channel().0);
             }
@@ -186,7 +186,7 @@
         open.get_mut()
             .write_all(get_request(1, 1, 7000).as_bytes())
             .unwrap();
-        begun.recv_timeout(TEST_TIMEOUT).unwrap();
+        started.recv_timeout(TEST_TIMEOUT).unwrap();
         let start = Instant::now();
         gateway.signal("-TERM");
         assert_eq!(
@@ -302,9 +302,9 @@
 /// too. The new configuration must be taken over, and the shutdown must go on.
 #[test]
 fn a_reload_during_the_shutdown_is_carried_out() {
-    let (begun_to, begun) = channel();
+    let (started_sender, started) = channel();
     let addr = start_server(move |_| {
-        let _ = begun_to.send(());
+        let _ = started_sender.send(());
         std::thread::sleep(Duration::from_secs(1));
         Reply::Send(response(200, "", "done"))
     });
@@ -314,7 +314,7 @@
     open.get_mut()
         .write_all(get_request(1, 1, 3000).as_bytes())
         .unwrap();
-    begun.recv_timeout(TEST_TIMEOUT).unwrap();
+    started.recv_timeout(TEST_TIMEOUT).unwrap();
     gateway.signal("-TERM");
     std::thread::sleep(Duration::from_millis(100));
     assert!(gateway
