--- a/tests/gateway/coinciding_events.rs
+++ b/tests/gateway/coinciding_events.rs
@@ -1,4 +1,4 @@
-//! Rare events that coincide.
+//! Rare events that occur at the same time.
 
 use crate::stand_ins::*;
 use socket2::{Domain, Socket, Type};
@@ -10,11 +10,12 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// An endpoint sends a response without a length, so that only the end of its connection ends the body. If the
-/// connection breaks, the client could get half a body as a success. The response is forwarded only after a proper end;
-/// if it is reset, endless or too long the client gets 502, and the request is not retried, as it was executed.
+/// An endpoint sends a response without a length, so that only the close of the connection ends the body. If the
+/// connection breaks, the client could get a truncated body as a success. The response must be forwarded only after an
+/// orderly close. If the connection is reset, never closed, or the body too long, the client must get 502, and the
+/// request must not be retried, as it was executed.
 #[test]
-fn a_response_without_a_length_counts_once_its_endpoint_has_ended_it() {
+fn a_response_without_a_length_is_forwarded_only_after_an_orderly_close() {
     let head = "HTTP/1.1 200 OK\r\n\r\n";
     let long = format!("{head}{}", "x".repeat(65 * 1024));
     let cases = [
@@ -52,10 +53,10 @@
 }
 
 /// An overloaded discovery sends the complete list, and rejects the watch that should follow. If the list were dropped
-/// with the failed watch, the gateway would go on sending to endpoints that drain by that list. The list applies at
-/// once.
+/// with the failed watch, the gateway would go on sending to endpoints that are draining according to that list. The
+/// list must apply at once.
 #[test]
-fn a_complete_list_applies_though_its_watch_is_rejected() {
+fn a_complete_list_applies_even_if_its_watch_is_rejected() {
     let (one, got_one) = healthy_endpoint();
     let (two, _) = healthy_endpoint();
     let first = Discovery::new();
@@ -92,11 +93,11 @@
     );
 }
 
-/// A request with an idempotency key fails, and the connection for its retry comes up only after the window in which
-/// endpoints remember the key. The endpoint would not recognize the retry and would execute the request a second time.
-/// Nothing is written on the late connection, and the client gets 502.
+/// A request with an idempotency key fails, and the connection for its retry is established only after the window in
+/// which endpoints remember the key. The endpoint would not recognize the retry and would execute the request a second
+/// time. Nothing must be written on the late connection, and the client must get 502.
 #[test]
-fn a_keyed_retry_is_not_sent_past_its_window() {
+fn a_keyed_retry_is_not_sent_after_its_window() {
     let (started_sender, started) = channel();
     let (release, wait) = channel::<()>();
     let wait = Mutex::new(wait);
@@ -117,7 +118,7 @@
         .replace("Remaining-Ms: 3000", "Remaining-Ms: 4000");
     client.get_mut().write_all(request.as_bytes()).unwrap();
     started.recv_timeout(TEST_TIMEOUT).unwrap();
-    // The window is 2.5 s long.
+    // The idempotency window is 2.5 s.
     let first_began = Instant::now();
     let servers = serde_json::json!([
         invalid_entry(),
@@ -143,22 +144,22 @@
     let _ = connection.read_to_end(&mut repeated);
     assert!(
         repeated.is_empty(),
-        "sent again: {}",
+        "the request was sent again: {}",
         String::from_utf8_lossy(&repeated)
     );
 }
 
-/// The process stalls, and meanwhile a client sends its request and disconnects, with or without bytes behind the
-/// request. Running again, the process reads the request first and would forward it for a client that has left. Nothing
-/// is sent for it, on a new connection and on one that was idle.
+/// While the process stalls, a client sends a request and disconnects, with or without bytes after the request. After
+/// the stall, the process reads the request first and could forward it for a client that has disconnected. Nothing must
+/// be sent for such a client, whether its connection is new or was idle.
 #[test]
 fn a_client_that_disconnects_during_a_stall_gets_nothing_sent() {
     let (endpoint, received) = healthy_endpoint();
     let mut config = config_with_silent_discovery(&[endpoint]);
-    // The attempt does not wait for the counter.
+    // Without the counter, attempts are not delayed by calls to it.
     config["settings"]["domain"]["may-count"] = false.into();
     let gateway = Gateway::new(&config);
-    // Opens a connection to the endpoint, which the next attempts use.
+    // Opens a connection to the endpoint, which the next attempts reuse.
     assert_eq!(gateway.get(90, 1).status(), 200);
     let cases = [
         (false, 0),
@@ -203,11 +204,11 @@
     }
 }
 
-/// Other clients have used up the budget for bytes sent ahead, and a client disconnects during a stall with bytes
-/// behind its request. Nobody reads up to the end of its stream, so the request would be forwarded for a client that
-/// has left. The disconnect is noticed behind the unread bytes, and nothing is sent.
+/// Other clients have used up the read-ahead budget, and a client disconnects during a stall with bytes after its
+/// request. The gateway does not read up to the end of that stream, so the request could be forwarded for a client that
+/// has disconnected. The disconnect must be detected despite the unread bytes, and nothing must be sent.
 #[test]
-fn a_disconnect_is_noticed_behind_bytes_over_the_read_ahead_budget() {
+fn a_disconnect_after_bytes_over_the_read_ahead_budget_is_detected() {
     let sent = Arc::new(Mutex::new(Vec::new()));
     let seen = sent.clone();
     let endpoint = start_server(move |request| {
@@ -220,11 +221,11 @@
         Reply::Send(response(200, "", "done"))
     });
     let mut config = config_with_silent_discovery(&[endpoint]);
-    // The attempt does not wait for the counter.
+    // Without the counter, attempts are not delayed by calls to it.
     config["settings"]["domain"]["may-count"] = false.into();
     let gateway = Gateway::new(&config);
     assert_eq!(gateway.get(90, 1).status(), 200);
-    // 1 MiB is buffered of each client, and 4 MiB of all together.
+    // The read-ahead budget is 1 MiB per client and 4 MiB in total.
     let _greedy: Vec<_> = (1..=5)
         .map(|number| {
             let mut client = gateway.connect();
@@ -257,7 +258,7 @@
     sleep(Duration::from_millis(150));
     gateway.signal("-CONT");
     assert_eq!(gateway.get(31, 1).status(), 200);
-    // An attempt for the client that disconnected would arrive within some milliseconds.
+    // An attempt for the disconnected client would arrive within some milliseconds.
     sleep(Duration::from_millis(200));
     assert_eq!(
         *sent.lock().unwrap(),
@@ -266,11 +267,11 @@
     );
 }
 
-/// A client has several requests on one connection when the process is asked to end. If the connection closed behind
-/// the first response, the other requests would be lost. All of them are answered, whether they arrived together or one
-/// by one, and the process ends well.
+/// SIGTERM arrives while a client has several requests open on one connection. If the connection were closed after the
+/// first response, the other requests would be lost. All requests must be answered, whether they arrived together or
+/// one by one, and the process must exit with success.
 #[test]
-fn requests_sent_ahead_are_answered_at_shutdown() {
+fn pipelined_requests_are_answered_at_shutdown() {
     for pieces in [1, 3] {
         let (started_sender, started) = channel();
         let endpoint = start_server(move |message| {
@@ -308,12 +309,12 @@
 }
 
 /// A client reads its response slowly, while the shutdown closes connections or the idle time-out passes. If the
-/// connection counted as idle once the response is made, the client would get a part of the body. It gets all of it,
-/// and the process still ends well.
+/// connection counted as idle as soon as the response is written, the client would get only a part of the body. The
+/// client must get the whole body, and the process must exit with success.
 #[test]
 fn a_response_that_is_read_slowly_is_complete() {
     let body = "quote ".repeat(10_000);
-    for ends in [true, false] {
+    for shuts_down in [true, false] {
         let text = body.clone();
         let endpoint = start_server(move |_| Reply::Send(response(200, "", &text)));
         let mut gateway = Gateway::new(&config_with_silent_discovery(&[endpoint]));
@@ -330,32 +331,36 @@
             .write_all(get_request(1, 1, 3500).as_bytes())
             .unwrap();
         sleep(Duration::from_millis(200));
-        if ends {
+        if shuts_down {
             gateway.signal("-TERM");
         }
-        // Idle connections close 0.6 s after the signal, or after the idle time-out of 2.3 s; the process may end after
-        // 1 s.
-        sleep(Duration::from_millis(if ends { 1500 } else { 2800 }));
+        // Idle connections close 0.6 s after the signal, or after the idle time-out of 2.3 s. The process may exit 1 s
+        // after the signal.
+        sleep(Duration::from_millis(if shuts_down { 1500 } else { 2800 }));
         let answer = read_message(&mut client).expect("a complete response");
-        assert_eq!(answer.body.len(), body.len(), "at the end: {ends}");
-        if ends {
+        assert_eq!(
+            answer.body.len(),
+            body.len(),
+            "during a shutdown: {shuts_down}"
+        );
+        if shuts_down {
             assert!(gateway.child.wait().unwrap().success());
         }
     }
 }
 
-/// The process stalls in its shutdown, and hundreds of clients connect and wait in the queue of the listener. When the
-/// listener closes, the system resets them, and they see a broken connection in place of a response. Each gets a
-/// response first; those without a slot get 503.
+/// The process stalls during its shutdown, and hundreds of clients connect and wait in the accept queue. If the
+/// listener were closed then, the system would reset their connections, and they would get no response. Each client
+/// must get a response first, and clients without a slot must get 503.
 #[test]
 fn clients_without_a_slot_get_503_when_the_listener_closes() {
     assert_clients_without_a_slot_are_answered("");
 }
 
-/// The same, while the system interrupts one write in ten. An interrupted write that is not repeated leaves a client
-/// without its 503. Each client gets its response.
+/// Clients connect as in the previous test, while the system interrupts one write in ten. An interrupted write that is
+/// not repeated would leave a client without its 503. Each client must get its response.
 #[test]
-fn clients_without_a_slot_get_503_though_writes_are_interrupted() {
+fn clients_without_a_slot_get_503_even_if_writes_are_interrupted() {
     assert_clients_without_a_slot_are_answered("send_eintr=100");
 }
 
@@ -369,7 +374,7 @@
     while unready.status() == 200 {
         unready = gateway.exchange("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
     }
-    // Stalled past the end of the accept period, the process finds waiting clients afterwards.
+    // The process stalls beyond the end of the accept period, and finds waiting clients afterwards.
     gateway.signal("-STOP");
     let head =
         post_request("once", "", "x").replace("\r\n\r\nx", "\r\nExpect: 100-continue\r\n\r\n");
@@ -386,6 +391,6 @@
         .collect();
     let unanswered = statuses.iter().filter(|status| **status == 0).count();
     assert_eq!(unanswered, 0, "{statuses:?}");
-    assert!(statuses.contains(&503), "all had a slot");
+    assert!(statuses.contains(&503), "no client was without a slot");
     assert!(gateway.child.wait().unwrap().success());
 }
--- a/tests/gateway/discovery.rs
+++ b/tests/gateway/discovery.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A gateway whose configuration names these endpoints, and this discovery.
+/// Starts a gateway whose known list has `endpoints` and that watches `discovery`.
 fn gateway_with(endpoints: &[SocketAddr], discovery: &Discovery) -> Gateway {
     Gateway::new(&config(
         endpoints,
@@ -16,17 +16,17 @@
     ))
 }
 
-/// An update to the list that names only these endpoints.
+/// An update of the endpoint list with these entries, which is not a complete list.
 fn update(version: u64, servers: &serde_json::Value) -> serde_json::Value {
     serde_json::json!({"version": version, "full": false, "servers": servers})
 }
 
-/// A watch reports a draining endpoint, and then an event that can't be read. If requests still went to the draining
-/// endpoint they would be cut off; if the invalid event were ignored, the change in it would be missed for good. The
-/// endpoint gets nothing more, and the gateway fetches the complete list.
+/// A watch reports a draining endpoint, and then an event that cannot be parsed. If requests still went to the draining
+/// endpoint, they would be cut off; if the invalid event were ignored, its change would be lost. The endpoint must get
+/// no more requests, and the gateway must fetch the complete list.
 #[test]
-fn a_draining_endpoint_gets_no_requests_and_an_invalid_event_changes_nothing() {
-    let (one, got_one) = healthy_endpoint();
+fn a_draining_endpoint_gets_no_requests_and_an_invalid_event_leads_to_the_complete_list() {
+    let (one, received_by_one) = healthy_endpoint();
     let (two, _) = healthy_endpoint();
     let discovery = Discovery::new();
     let gateway = gateway_with(&[one, two], &discovery);
@@ -36,18 +36,18 @@
     let change = update(8, &servers);
     push_update(&mut watch, &change.to_string());
     push_update(&mut watch, "{\"version\": 9, \"full\": tr");
-    // An event that can't be read is a missed change: the complete list is requested.
+    // An event that cannot be parsed is a missed change, so the gateway requests the complete list.
     let (line, _) = discovery.next_call();
     assert!(!line.contains("stream"), "{line}");
-    let before = got_one.lock().unwrap().len();
+    let before = received_by_one.lock().unwrap().len();
     for customer in 0..10 {
         assert_eq!(gateway.get(customer, 1).status(), 200);
     }
-    assert_eq!(got_one.lock().unwrap().len(), before);
+    assert_eq!(received_by_one.lock().unwrap().len(), before);
 }
 
-/// A watch ends, as it does when discovery restarts. Reopened from an old version it would repeat old changes, from a
-/// later one it would miss some. It is reopened from the version of the last event.
+/// A watch ends, as when discovery restarts. A watch reopened from an older version would repeat changes, and one from
+/// a later version would miss some. The watch must be reopened from the version of the last event.
 #[test]
 fn a_watch_that_ends_is_reopened_from_the_last_version() {
     let (one, _) = healthy_endpoint();
@@ -60,12 +60,12 @@
     assert!(discovery.next_call().0.contains("index=12"));
 }
 
-/// A list has an entry that can't be read, for instance of a newer format, beside an endpoint that drains. If the list
-/// were rejected as a whole, the draining endpoint would go on getting requests. The invalid entry is skipped with a
-/// warning, and the others apply.
+/// A list has an invalid entry, for instance of a newer format, and an endpoint that is draining. If the whole list
+/// were rejected, the draining endpoint would go on getting requests. The invalid entry must be skipped with a warning,
+/// and the other entries must apply.
 #[test]
 fn an_invalid_entry_is_skipped_and_the_others_apply() {
-    let (one, got_one) = healthy_endpoint();
+    let (one, received_by_one) = healthy_endpoint();
     let (two, _) = healthy_endpoint();
     let discovery = Discovery::new();
     let gateway = gateway_with(&[one, two], &discovery);
@@ -77,21 +77,21 @@
     gateway.wait_for_log("an entry of the list");
     let start = Instant::now();
     let mut before = usize::MAX;
-    while got_one.lock().unwrap().len() != before {
+    while received_by_one.lock().unwrap().len() != before {
         assert!(
             start.elapsed() < TEST_TIMEOUT,
-            "the draining endpoint gets requests"
+            "the draining endpoint still gets requests"
         );
-        before = got_one.lock().unwrap().len();
+        before = received_by_one.lock().unwrap().len();
         (0..10).for_each(|customer| assert_eq!(gateway.get(customer, 1).status(), 200));
     }
 }
 
-/// Discovery writes a list on several lines, and it arrives byte by byte with empty lines around it. A reader that
-/// takes a line for an event would reject it and miss the change. The list applies, on the same watch.
+/// Discovery writes a list on several lines, which arrives byte by byte with empty lines around it. A parser that takes
+/// each line for an event would reject the list and miss the change. The list must apply, without another watch.
 #[test]
 fn a_list_written_on_several_lines_applies() {
-    let (one, got_one) = healthy_endpoint();
+    let (one, received_by_one) = healthy_endpoint();
     let (two, _) = healthy_endpoint();
     let discovery = Discovery::new();
     let gateway = gateway_with(&[one, two], &discovery);
@@ -104,21 +104,21 @@
             .write_all(&[b'1', b'\r', b'\n', byte, b'\r', b'\n'])
             .unwrap();
     }
-    // The list applies, and no other watch was opened meanwhile.
+    // The list applies without another call to discovery.
     gateway.wait_until_list_is_applied();
     assert!(
         discovery.calls.try_recv().is_err(),
         "the first watch stays open"
     );
     (0..10).for_each(|customer| assert_eq!(gateway.get(customer, 1).status(), 200));
-    assert_eq!(got_one.lock().unwrap().len(), 0);
+    assert_eq!(received_by_one.lock().unwrap().len(), 0);
 }
 
-/// A watch stays open but falls silent, as after the loss of the machine at its other end, perhaps in the middle of an
-/// object. The gateway would wait for events that never come, while the protocol counts it as notified after 6 s. The
-/// watch is reopened within 4 s, from the same version.
+/// A watch stays open but stops sending, perhaps in the middle of an object, as after the loss of the remote machine.
+/// The gateway could wait forever for events, although the protocol counts it as notified after 6 s. The watch must be
+/// reopened within 4 s, from the same version.
 #[test]
-fn a_watch_that_falls_silent_is_reopened_in_time() {
+fn a_silent_watch_is_reopened_in_time() {
     let (one, _) = healthy_endpoint();
     for last in ["", "{\"version\": 8, \"full\": false, "] {
         let discovery = Discovery::new();
@@ -136,15 +136,15 @@
     }
 }
 
-/// An agent never answers a call that arrived while discovery was down. If the gateway waited for that call, it would
-/// miss the changes that the agent has when discovery returns. It calls again in time for another answer within the
-/// drain grace, which is one second here.
+/// A discovery agent never answers a call that arrived while discovery was down. If the gateway waited for that call,
+/// it would miss the changes that the agent has once discovery is back. The gateway must call again in time to get an
+/// answer within the drain grace period, which is one second here.
 #[test]
-fn an_agent_that_does_not_answer_is_called_again_in_time() {
+fn an_unanswered_discovery_call_is_repeated_in_time() {
     let (one, _) = healthy_endpoint();
-    let (asked, calls) = channel();
+    let (call_sender, calls) = channel();
     let agent = start_server(move |m| {
-        let _ = asked.send(m.line.clone());
+        let _ = call_sender.send(m.line.clone());
         Reply::StaySilent(channel().0)
     });
     let _gateway = Gateway::new(&config(&[one], start_counter(Arc::default()), agent));
@@ -160,26 +160,26 @@
     );
 }
 
-/// A complete list with this number of entries, of which only the endpoint at `ready` takes requests.
+/// A complete list with `entries` entries, of which only the endpoint at `ready` accepts requests.
 fn long_list(entries: usize, ready: SocketAddr) -> serde_json::Value {
-    let elsewhere = |number| list_entry(number, nobody_at(number), "Terminating");
+    let elsewhere = |number| list_entry(number, unserved_address(number), "Terminating");
     let servers = (1..entries)
         .map(elsewhere)
         .chain([list_entry(0, ready, "Ready")]);
     serde_json::json!({"version": 9, "full": true, "servers": servers.collect::<Vec<_>>()})
 }
 
-fn nobody_at(number: usize) -> SocketAddr {
+fn unserved_address(number: usize) -> SocketAddr {
     SocketAddr::from(([127, 1, (number >> 8) as u8, number as u8], 9))
 }
 
-/// The configuration names no endpoints, and the list on the watch has 20,000 entries in one chunk. If it exceeded a
-/// limit or took longer than the silence time-out, the gateway would call in a loop and never be ready. It applies at
-/// the first call, on one line as well as indented.
+/// The configuration has no endpoints, and the watch sends a list of 20,000 entries in one chunk. If the list exceeded
+/// a limit or took longer than the time-out for a silent watch, the gateway would call in a loop and never be ready.
+/// The list must apply at the first call, both on one line and indented.
 #[test]
-fn a_long_list_applies_at_the_first_call_however_it_is_laid_out() {
+fn a_long_list_applies_at_the_first_call_on_one_line_or_indented() {
     let (one, _) = healthy_endpoint();
-    // Built before the watch is open, which must not fall silent meanwhile.
+    // The list is built before the watch opens: a delay later would make the watch look silent.
     let list = long_list(20_000, one);
     for pretty in [false, true] {
         let text = if pretty {
@@ -195,17 +195,20 @@
         push_update(&mut watch, &text);
         gateway.wait_until_ready();
         assert_eq!(gateway.get(1, 1).status(), 200);
-        assert!(discovery.calls.try_recv().is_err(), "one call");
+        assert!(
+            discovery.calls.try_recv().is_err(),
+            "discovery was called more than once"
+        );
     }
 }
 
-/// Discovery sends a list with more entries than the limit, again at each call. The gateway could run out of memory, or
-/// parse long lists in a loop and serve nobody. It logs the error, keeps the old list, backs off from further calls and
-/// serves meanwhile.
+/// Discovery sends a list with more entries than the limit at each call. The gateway could run out of memory, or parse
+/// long lists in a loop without serving requests. The gateway must log the error, keep the old list, back off between
+/// calls and serve requests meanwhile.
 #[test]
 fn a_list_with_too_many_entries_leaves_the_gateway_serving() {
     let (one, _) = healthy_endpoint();
-    // Built before the watch is open, which must not fall silent meanwhile.
+    // The list is built before the watch opens: a delay later would make the watch look silent.
     let text = long_list(20_481, one).to_string();
     let answer = response(200, "", &text);
     let discovery = Discovery::new();
@@ -234,13 +237,13 @@
     assert!((1..=9).contains(&calls), "{calls} calls");
 }
 
-/// Idle clients use up the descriptors while discovery refuses connections. When discovery returns there would be no
-/// descriptor for the watch, and draining endpoints would go on getting requests. The watch is reopened in time and its
-/// list applies, in both modes of discovery, and the process stays within its descriptors.
+/// Idle clients use up the descriptors while discovery refuses connections. When discovery is back, there could be no
+/// descriptor for the watch, and draining endpoints would go on getting requests. The watch must be reopened in time
+/// and its list must apply, in both membership modes, and the process must stay within its descriptor limit.
 #[test]
 fn clients_that_use_up_the_descriptors_do_not_prevent_a_watch() {
     for mode in ["push", "ask"] {
-        let (one, got_one) = healthy_endpoint();
+        let (one, received_by_one) = healthy_endpoint();
         let (two, _) = healthy_endpoint();
         let addr = unused_address();
         let mut config = config(&[one], start_counter(Arc::default()), addr);
@@ -279,10 +282,10 @@
         ]);
         push_update(&mut watch, &update(8, &servers).to_string());
         gateway.wait_until_list_is_applied();
-        let before = got_one.lock().unwrap().len();
+        let before = received_by_one.lock().unwrap().len();
         (50..100).for_each(|customer| served(&mut idle, customer));
         assert_eq!(
-            got_one.lock().unwrap().len(),
+            received_by_one.lock().unwrap().len(),
             before,
             "sent to a draining endpoint"
         );
@@ -293,9 +296,9 @@
     }
 }
 
-/// The process restarts while discovery is down, and its configuration has the list that it knew. If it waited for
-/// discovery before it is ready, an outage of discovery would become one of the gateways. It becomes ready and serves,
-/// whether discovery refuses connections or never answers.
+/// The process restarts while discovery is down, with the last known list in its configuration. If it waited for
+/// discovery before becoming ready, an outage of discovery would become an outage of the gateways. The process must
+/// become ready and serve, whether discovery refuses connections or never answers.
 #[test]
 fn a_restart_with_a_known_list_becomes_ready_while_discovery_is_down() {
     let (one, _) = healthy_endpoint();
--- a/tests/gateway/log_output.rs
+++ b/tests/gateway/log_output.rs
@@ -1,4 +1,4 @@
-//! A log that can't be written.
+//! Logs that cannot be written.
 
 use crate::stand_ins::*;
 use std::fs::OpenOptions;
@@ -6,8 +6,8 @@
 use std::os::fd::OwnedFd;
 use std::os::unix::net::UnixStream;
 
-/// The disk of the log is full, and each write to it fails. A program that takes that for a fatal error ends, and its
-/// requests with it. The log may be lost, and nothing else.
+/// The disk of the log is full, and each write to it fails. A program that treats this as a fatal error would exit and
+/// lose its requests. Log lines may be lost, but requests must be served and the shutdown must succeed.
 #[test]
 fn a_log_on_a_full_disk_does_not_end_the_program() {
     let (endpoint, _) = healthy_endpoint();
@@ -20,10 +20,10 @@
     assert!(gateway.child.wait().unwrap().success());
 }
 
-/// The reader of the log stops reading, and writes to it block. On the thread of the gateway that would stall all
-/// requests, and the shutdown. Both must go on.
+/// The reader of the log stops reading, so that writes block. Blocking writes on the gateway's only thread would stall
+/// all requests and the shutdown. Both must go on.
 #[test]
-fn a_log_that_nobody_reads_delays_nothing() {
+fn a_blocked_log_stalls_neither_requests_nor_shutdown() {
     let (endpoint, _) = healthy_endpoint();
     let (log, _unread) = UnixStream::pair().unwrap();
     log.set_nonblocking(true).unwrap();
--- a/tests/gateway/peers.rs
+++ b/tests/gateway/peers.rs
@@ -4,15 +4,15 @@
 use std::net::UdpSocket;
 use std::time::{Duration, Instant};
 
-/// Datagrams reach the gossip port from addresses that are no gateways, or longer than any message may be. Were they
-/// believed, anyone could have customers rejected for units that they never used. Both are dropped: only the customer
-/// that a gateway reported is rejected.
+/// Datagrams reach the gossip port from addresses that are not gateways, or exceed the maximum message size. If they
+/// were accepted, anyone could get customers rejected for units that they never used. Both must be dropped: only the
+/// customer that a configured gateway reported must be rejected.
 #[test]
-fn gossip_from_strangers_and_oversized_messages_are_dropped() {
+fn gossip_from_unknown_addresses_and_oversized_messages_are_dropped() {
     let (endpoint, _) = healthy_endpoint();
     let peer = UdpSocket::bind("127.0.0.1:0").unwrap();
     let at = {
-        // A port that was free a moment ago.
+        // A free port: the socket is closed again at the end of this block.
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         socket.local_addr().unwrap()
     };
@@ -22,7 +22,8 @@
     config["peers"] = serde_json::json!([at, peer.local_addr().unwrap()]);
     config["peers_all"] = peer.local_addr().unwrap().to_string().into();
     let gateway = Gateway::new(&config);
-    // The counter has no capacity, and the customer used four units at the gateway that sends this.
+    // The message says that the shared counter was short of capacity, and that the customer used four units at the
+    // sender.
     let message = |customer: u64| {
         [
             &[2, 1],
@@ -32,17 +33,21 @@
         ]
         .concat()
     };
-    let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
-    stranger.send_to(&message(1), at).unwrap();
+    let unknown_sender = UdpSocket::bind("127.0.0.1:0").unwrap();
+    unknown_sender.send_to(&message(1), at).unwrap();
     peer.send_to(&[message(2), vec![0; 300]].concat(), at)
         .unwrap();
     peer.send_to(&message(3), at).unwrap();
-    // From then on the gateway gossips, too: the message has been handled once this reply to it arrives.
+    // A shortage of the counter makes the gateway gossip as well, so a message from the gateway shows that the peer's
+    // message was handled.
     let start = Instant::now();
     peer.set_nonblocking(true).unwrap();
     let mut customer = 100;
     while peer.recv(&mut [0; 300]).is_err() {
-        assert!(start.elapsed() < TEST_TIMEOUT, "the gateway never gossips");
+        assert!(
+            start.elapsed() < TEST_TIMEOUT,
+            "the gateway sends no gossip"
+        );
         customer += 1;
         assert_eq!(gateway.get(customer, 1).status(), 200);
         std::thread::sleep(Duration::from_millis(10));
