--- a/tests/gateway/client_timing.rs
+++ b/tests/gateway/client_timing.rs
@@ -49,7 +49,7 @@
             }
         }
         for _ in 0..2 {
-            read_message(&mut client).expect("an answer");
+            read_message(&mut client).expect("a response");
         }
         let propagated = propagated.lock().unwrap().clone();
         let waited_ms = SERVICE_TIME.as_millis() as u64 - if pieces == 1 { 0 } else { 100 };
--- a/tests/gateway/clients.rs
+++ b/tests/gateway/clients.rs
@@ -210,7 +210,7 @@
                 .write_all(&vec![b'x'; 100_000])
                 .expect("the gateway reads the rest of the body");
         }
-        assert!([400, 413].contains(&read_message(&mut connection).expect("an answer").status()));
+        assert!([400, 413].contains(&read_message(&mut connection).expect("a response").status()));
         assert_eq!(connection.read(&mut [0]).unwrap(), 0, "closed");
     }
 }
@@ -344,7 +344,7 @@
                         .as_bytes(),
                 )
                 .unwrap();
-            let response = read_message(&mut connection).expect("an answer");
+            let response = read_message(&mut connection).expect("a response");
             if response.status() != 100 {
                 break response;
             }
--- a/tests/gateway/coinciding_events.rs
+++ b/tests/gateway/coinciding_events.rs
@@ -136,7 +136,7 @@
     sleep(Duration::from_millis(2600).saturating_sub(first_began.elapsed()));
     let mut repeated = Vec::new();
     let mut connection = BufReader::new(late.accept_next());
-    assert_eq!(read_message(&mut client).expect("an answer").status(), 502);
+    assert_eq!(read_message(&mut client).expect("a response").status(), 502);
     connection
         .get_mut()
         .set_read_timeout(Some(Duration::from_millis(200)))
--- a/tests/gateway/counter.rs
+++ b/tests/gateway/counter.rs
@@ -15,12 +15,13 @@
     let silent = start_server(|_| Reply::StaySilent(channel().0));
     let gateway = Gateway::new(&config(&[endpoint], start_counter(amounts.clone()), silent));
     // The windows of customers start at different times, so these customers are at various points of their windows.
-    let mut open = gateway.connect();
+    let mut client = gateway.connect();
     for customer in 0..8 {
-        open.get_mut()
+        client
+            .get_mut()
             .write_all(get_request(customer * 0x1234_5671, 2, 3000).as_bytes())
             .unwrap();
-        assert_eq!(read_message(&mut open).unwrap().status(), 200);
+        assert_eq!(read_message(&mut client).unwrap().status(), 200);
     }
     let amounts = amounts.lock().unwrap();
     assert!(!amounts.is_empty());
--- a/tests/gateway/discovery.rs
+++ b/tests/gateway/discovery.rs
@@ -255,12 +255,13 @@
         let served = |idle: &mut Vec<_>, customer| {
             let start = Instant::now();
             loop {
-                let mut open = gateway.connect();
-                open.get_mut()
+                let mut client = gateway.connect();
+                client
+                    .get_mut()
                     .write_all(get_request(customer, 1, 3000).as_bytes())
                     .unwrap();
-                let status = read_message(&mut open).expect("an answer").status();
-                idle.push(open);
+                let status = read_message(&mut client).expect("a response").status();
+                idle.push(client);
                 if status == 200 {
                     return;
                 }
--- a/tests/gateway/races.rs
+++ b/tests/gateway/races.rs
@@ -1,4 +1,4 @@
-//! Events between two steps of a request: a stand-in stops exactly there.
+//! Events between two steps of a request. A stand-in holds the request between these steps.
 
 use crate::stand_ins::*;
 use socket2::SockRef;
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A configuration in which connections may take long to come up.
+/// A configuration in which establishing a connection may take long.
 fn config_with_long_connect_timeout(
     endpoints: &[SocketAddr],
     discovery: SocketAddr,
@@ -19,7 +19,7 @@
     config
 }
 
-/// A client whose request is about to be sent to the endpoint: the connection to it is coming up.
+/// Sends a request and waits until the connection to the stalled endpoint is pending. Returns the client's connection.
 fn start_request(gateway: &Gateway, stalled: &StalledEndpoint) -> BufReader<TcpStream> {
     let mut client = gateway.connect();
     client
@@ -30,9 +30,9 @@
     client
 }
 
-/// An endpoint starts draining while a connection to it comes up. A request that was assigned to it before would reach
-/// it after its notice, and might be cut off when it stops. Nothing is written on the connection; another endpoint gets
-/// the request.
+/// An endpoint starts draining while a connection to it is being established. A request assigned to it before could
+/// arrive after the draining notice, and might be cut off when the endpoint stops. Nothing must be written on the
+/// connection, and another endpoint must get the request.
 #[test]
 fn an_endpoint_that_drains_while_connecting_gets_no_request() {
     let stalled = StalledEndpoint::new();
@@ -63,8 +63,8 @@
     );
 }
 
-/// Bytes in the client's send queue that the gateway's system has not acknowledged.
-fn queued(client: &TcpStream) -> usize {
+/// Bytes in the client's send queue that have not been acknowledged.
+fn unacknowledged_bytes(client: &TcpStream) -> usize {
     let port = format!(":{:04X}", client.local_addr().unwrap().port());
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let candidates = table.lines().filter(|row| row.contains(&port));
@@ -75,9 +75,9 @@
     usize::from_str_radix(row[4].split(':').next().unwrap(), 16).unwrap()
 }
 
-/// A client disconnects while the connection to an endpoint comes up: by a close, a reset or a half-close, with or
-/// without bytes sent ahead. An attempt written after that works for nobody. The attempt is given up before it is
-/// written, although the settings forbid to cancel attempts that were sent.
+/// A client disconnects while the connection to an endpoint is being established: by a close, a reset or a half-close,
+/// with or without pipelined bytes. An attempt written after that would cause work for nobody. The attempt must be
+/// abandoned before it is written, although the settings forbid cancelling attempts that were sent.
 #[test]
 fn a_client_disconnect_while_connecting_ends_the_attempt() {
     let stalled = StalledEndpoint::new();
@@ -119,13 +119,13 @@
             .write_all((post_request("once", "", "x") + ahead).as_bytes())
             .unwrap();
         stalled.wait_for_pending(1);
-        // Waits until what was sent ahead has arrived: the end of the stream follows it.
+        // Waits until the pipelined bytes have arrived, because the end of the stream follows them.
         let start = Instant::now();
-        while queued(&client) > 0 {
+        while unacknowledged_bytes(&client) > 0 {
             assert!(
                 start.elapsed() < TEST_TIMEOUT,
-                "{number}: {} bytes wait",
-                queued(&client)
+                "{number}: {} bytes are not acknowledged",
+                unacknowledged_bytes(&client)
             );
             std::thread::yield_now();
         }
@@ -140,8 +140,8 @@
     }
 }
 
-/// A client sends many requests at once on one connection. Responses in another order would give it the results of
-/// other requests. Each request gets its own response, in order.
+/// A client pipelines many requests on one connection. If the responses were in another order, the client would match
+/// them with the wrong requests. Each request must get its own response, in order.
 #[test]
 fn pipelined_requests_are_answered_in_order() {
     let endpoint = start_server(|m| Reply::Send(response(200, "", &m.headers["x-txn"])));
@@ -156,15 +156,15 @@
         .unwrap();
     for customer in 1..=50 {
         assert_eq!(
-            read_message(&mut client).expect("an answer").body,
+            read_message(&mut client).expect("a response").body,
             format!("0000{customer:012x}").as_bytes()
         );
     }
 }
 
-/// A client disconnects while its request waits for the shared counter. When the wait ends, the request would be
-/// forwarded for a client that has left. It is not sent: the endpoint gets only the next request, which waits as long
-/// and starts later.
+/// A client disconnects while its request waits for the shared counter. When the wait ends, the request could be
+/// forwarded for a client that has disconnected. The endpoint must get only the next request, which waits as long and
+/// starts later.
 #[test]
 fn a_client_disconnect_during_the_counter_call_sends_nothing() {
     let (endpoint, received) = healthy_endpoint();
@@ -175,7 +175,7 @@
     });
     let discovery = Discovery::new();
     let mut config = config(&[endpoint], silent, discovery.addr);
-    // The longest wait for the counter is a share of the latency objective.
+    // The maximum wait for the counter is a share of the latency objective.
     config["settings"]["categories"][2]["aim-ms"] = 4000.into();
     config["settings"]["domain"]["counter-timeout-ms"] = 20_000.into();
     let gateway = Gateway::new(&config);
@@ -198,8 +198,9 @@
     assert_eq!(bodies, [b"stays"]);
 }
 
-/// The connection for an attempt takes long to come up. If the attempt stated the time that remained when it was made,
-/// the endpoint would work on it after its client has given up. It states what remains when it is written.
+/// Establishing the connection for an attempt takes long. If the attempt stated the time that remained when it was
+/// created, the endpoint would work on it after its client has given up. The attempt must state the time that remains
+/// when it is written.
 #[test]
 fn an_attempt_sends_the_time_remaining_when_it_is_written() {
     let stalled = StalledEndpoint::new();
@@ -211,6 +212,9 @@
     std::thread::sleep(Duration::from_millis(800));
     let late = stalled.accept_next();
     let message = read_message(&mut BufReader::new(late)).expect("a request");
-    let left: u64 = message.headers["x-remaining-ms"].parse().unwrap();
-    assert!(left <= 2200, "{left} ms of 3000 are left after 800");
+    let remaining_ms: u64 = message.headers["x-remaining-ms"].parse().unwrap();
+    assert!(
+        remaining_ms <= 2200,
+        "{remaining_ms} ms of 3000 are left after 800"
+    );
 }
--- a/tests/gateway/service.rs
+++ b/tests/gateway/service.rs
@@ -1,4 +1,4 @@
-//! Configuration, reload, shutdown, metrics and log of the program.
+//! Configuration, reload, shutdown, metrics and the log of the program.
 
 use crate::stand_ins::*;
 use std::io::Write;
@@ -6,9 +6,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A configuration has a wrong, missing or impossible value. A process that starts with it would decide wrongly, and
-/// one that ends without a reason is hard to mend at night. It must end with an error of one line that names the
-/// field.
+/// A configuration has a value of the wrong type, a missing value or an impossible one. A process that starts with it
+/// would make wrong decisions, and one that exits without a reason is hard to repair. The process must exit with an
+/// error of one line that names the field.
 #[test]
 fn an_invalid_configuration_is_reported_in_one_line_that_names_the_field() {
     let mut config = config_with_silent_discovery(&[unused_address()]);
@@ -41,8 +41,8 @@
     );
 }
 
-/// Only classes with an idempotency key need a group and a window, and a site leaves them out elsewhere. A process
-/// that insists on them would not start. It must start, and serve all classes.
+/// Only classes with an idempotency key need `group` and `window-ms`, and a site may omit them for other classes. A
+/// process that requires them would not start. The process must start and serve all classes.
 #[test]
 fn optional_settings_may_be_absent() {
     let (endpoint, _) = healthy_endpoint();
@@ -61,8 +61,9 @@
     );
 }
 
-/// A deployment sends SIGTERM while a request is in flight. If the process ends at once, the client loses a request
-/// that is being executed. It must report that it is not ready, serve the request, and exit with success.
+/// A deployment sends SIGTERM while a request is in flight. If the process exits at once, the client gets no response
+/// to a request that is being executed. The process must report that it is not ready, serve the request, and exit with
+/// success.
 #[test]
 fn sigterm_answers_open_requests_and_exits_successfully() {
     let (started_sender, started) = channel();
@@ -72,14 +73,15 @@
         Reply::Send(response(200, "", "done"))
     });
     let mut gateway = Gateway::new(&config_with_silent_discovery(&[addr]));
-    let mut open = gateway.connect();
-    open.get_mut()
+    let mut client = gateway.connect();
+    client
+        .get_mut()
         .write_all(get_request(1, 1, 3000).as_bytes())
         .unwrap();
     started.recv_timeout(TEST_TIMEOUT).unwrap();
     let start = Instant::now();
     gateway.signal("-TERM");
-    // The gateway is not ready from now on, but goes on accepting clients.
+    // The gateway reports that it is not ready, but still accepts clients.
     let unready = loop {
         let answer = gateway.exchange("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
         if answer.status() != 200 {
@@ -90,15 +92,15 @@
         (unready.status(), unready.headers["connection"].as_str()),
         (503, "close")
     );
-    assert_eq!(read_message(&mut open).unwrap().body, b"done");
+    assert_eq!(read_message(&mut client).unwrap().body, b"done");
     assert!(gateway.child.wait().unwrap().success());
     assert!(start.elapsed() < Duration::from_secs(3));
     assert!(gateway.log.iter().all(|line| !line.contains("panic")));
 }
 
-/// Discovery and the counter move, and SIGHUP comes with the new addresses. Without a handler the signal ends the
-/// process; a connection to the old counter that stays silent may hold calls back; the new discovery's lower versions
-/// may look outdated. The new addresses must be used at once, each time.
+/// Discovery and the counter move, and SIGHUP announces the new addresses. Three failures are possible: without a
+/// handler the signal ends the process; a silent connection to the old counter delays calls; the lower list versions of
+/// the new discovery look outdated. The new addresses must be used at once after each reload.
 #[test]
 fn sighup_changes_the_addresses_of_discovery_and_counter() {
     let (old, _) = healthy_endpoint();
@@ -140,10 +142,11 @@
     }
 }
 
-/// SIGHUP comes while the configuration file is cut short, empty or wrong. A process that takes it over, or ends,
-/// stops serving because of a typing error. The old configuration must stay in use, and the log must say so.
+/// SIGHUP arrives while the configuration file is truncated, empty or invalid. A process that applied such a file, or
+/// exited, would stop serving because of a typing error. The old configuration must stay in use, and the log must say
+/// so.
 #[test]
-fn sighup_with_an_invalid_file_changes_nothing() {
+fn sighup_with_an_invalid_file_keeps_the_old_configuration() {
     let (endpoint, _) = healthy_endpoint();
     let valid = config_with_silent_discovery(&[endpoint]);
     let gateway = Gateway::new(&valid);
@@ -162,8 +165,8 @@
     }
 }
 
-/// Deadlines are longer than a shutdown may last. A process that waits for an open request until SIGKILL leaves its
-/// client without a response. The request must be served if that is possible before SIGKILL, and fail in time
+/// Request deadlines are longer than a shutdown may last. A process that waits for an open request until SIGKILL leaves
+/// the client without a response. The request must be served if that is possible before SIGKILL, and must fail in time
 /// otherwise.
 #[test]
 fn sigterm_waits_for_open_requests_until_shortly_before_sigkill() {
@@ -182,19 +185,20 @@
             (class["aim-ms"], class["give-up-ms"]) = (7000.into(), 7500.into());
         }
         let mut gateway = Gateway::new(&config);
-        let mut open = gateway.connect();
-        open.get_mut()
+        let mut client = gateway.connect();
+        client
+            .get_mut()
             .write_all(get_request(1, 1, 7000).as_bytes())
             .unwrap();
         started.recv_timeout(TEST_TIMEOUT).unwrap();
         let start = Instant::now();
         gateway.signal("-TERM");
         assert_eq!(
-            read_message(&mut open).expect("an answer").status(),
+            read_message(&mut client).expect("a response").status(),
             if hangs { 502 } else { 200 }
         );
         assert!(gateway.child.wait().unwrap().success());
-        // Killed after 3.7 s.
+        // SIGKILL would follow 3.7 s after SIGTERM.
         assert!(
             start.elapsed() < Duration::from_millis(3650),
             "{:?}",
@@ -203,46 +207,48 @@
     }
 }
 
-/// Clients connect just before the gateway stops accepting, and the process stalls before it has accepted them. If it
-/// closes the listener when it goes on, they are reset with their requests. They must be accepted and served.
+/// Clients connect just before the gateway stops accepting, and the process stalls before it has accepted them. If the
+/// process closed the listener after the stall, their connections would be reset and their requests lost. The clients
+/// must be accepted and served.
 #[test]
-fn sigterm_serves_clients_that_have_connected() {
+fn sigterm_serves_clients_that_have_connected_before_the_listener_closes() {
     let (endpoint, _) = healthy_endpoint();
     let mut gateway = Gateway::new(&config_with_silent_discovery(&[endpoint]));
     let mut busy = gateway.connect();
     busy.get_mut().write_all(b"GET /look").unwrap();
     gateway.signal("-TERM");
-    // Suspended beyond the end of the accept period, the program finds waiting clients when that has passed.
+    // The process stalls beyond the end of the accept period, and finds waiting clients afterwards.
     let mut unready = gateway.exchange("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
     while unready.status() == 200 {
         unready = gateway.exchange("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
     }
     gateway.signal("-STOP");
-    let mut opens: Vec<_> = (0..20).map(|_| gateway.connect()).collect();
-    for (customer, open) in opens.iter_mut().enumerate() {
-        open.get_mut()
+    let mut clients: Vec<_> = (0..20).map(|_| gateway.connect()).collect();
+    for (customer, client) in clients.iter_mut().enumerate() {
+        client
+            .get_mut()
             .write_all(get_request(customer as u64, 1, 3000).as_bytes())
             .unwrap();
     }
     std::thread::sleep(Duration::from_millis(800));
     gateway.signal("-CONT");
-    let statuses: Vec<_> = opens
+    let statuses: Vec<_> = clients
         .iter_mut()
-        .map(|open| read_message(open).map(|answer| answer.status()))
+        .map(|client| read_message(client).map(|answer| answer.status()))
         .collect();
     assert_eq!(statuses, [Some(200); 20]);
     drop(busy);
     assert!(gateway.child.wait().unwrap().success());
 }
 
-/// SIGTERM and SIGHUP arrive at the same moment. One may hide the other, or the reload may delay the shutdown until
+/// SIGTERM and SIGHUP arrive at the same time. One could hide the other, or the reload could delay the shutdown until
 /// SIGKILL. The process must exit with success in either order.
 #[test]
 fn sigterm_and_sighup_together_exit_successfully() {
     for order in [["-HUP", "-TERM"], ["-TERM", "-HUP"]] {
         let (endpoint, _) = healthy_endpoint();
         let mut gateway = Gateway::new(&config_with_silent_discovery(&[endpoint]));
-        // Suspended, the program finds both at once.
+        // A suspended process receives both signals when it continues.
         for name in ["-STOP", order[0], order[1], "-CONT"] {
             gateway.signal(name);
         }
@@ -250,9 +256,8 @@
     }
 }
 
-/// The engineer on call reads from the metrics how requests, attempts and connections ended, and whether a rule was
-/// broken. A metric that is missing or counts wrongly hides a fault. Each must be there with its label, and show what
-/// happened.
+/// The metrics tell the engineer on call how requests, attempts and connections ended, and whether a rule was broken. A
+/// metric that is missing or wrong hides a fault. Each metric must be present with its label and the right count.
 #[test]
 fn metrics_are_served_as_text() {
     let (endpoint, _) = healthy_endpoint();
@@ -284,10 +289,10 @@
     );
 }
 
-/// A customer complains about one request, by its transaction id. The log at the level `debug` must show that request
-/// and how its attempt ended.
+/// A customer reports a problem with one request by its transaction id. The log at the level `debug` must show that
+/// request and the outcome of its attempt.
 #[test]
-fn the_debug_log_follows_a_request_by_its_id() {
+fn the_debug_log_shows_a_request_by_its_transaction_id() {
     let (endpoint, _) = healthy_endpoint();
     let gateway = Gateway::with_environment(
         &config_with_silent_discovery(&[endpoint]),
@@ -298,10 +303,10 @@
     gateway.wait_for_log("outcome=Success");
 }
 
-/// Discovery moves while the gateway shuts down, and SIGHUP comes. The last requests need discovery and the counter,
-/// too. The new configuration must be taken over, and the shutdown must go on.
+/// Discovery moves while the gateway shuts down, and SIGHUP announces the new address. The remaining requests still
+/// need discovery and the counter. The new configuration must be applied, and the shutdown must go on.
 #[test]
-fn a_reload_during_the_shutdown_is_carried_out() {
+fn a_reload_during_the_shutdown_is_applied() {
     let (started_sender, started) = channel();
     let addr = start_server(move |_| {
         let _ = started_sender.send(());
@@ -310,8 +315,9 @@
     });
     let config = config_with_silent_discovery(&[addr]);
     let mut gateway = Gateway::new(&config);
-    let mut open = gateway.connect();
-    open.get_mut()
+    let mut client = gateway.connect();
+    client
+        .get_mut()
         .write_all(get_request(1, 1, 3000).as_bytes())
         .unwrap();
     started.recv_timeout(TEST_TIMEOUT).unwrap();
@@ -320,6 +326,6 @@
     assert!(gateway
         .reload(&config.to_string())
         .contains("configuration reloaded"));
-    assert_eq!(read_message(&mut open).unwrap().body, b"done");
+    assert_eq!(read_message(&mut client).unwrap().body, b"done");
     assert!(gateway.child.wait().unwrap().success());
 }
--- a/tests/gateway/shutdown.rs
+++ b/tests/gateway/shutdown.rs
@@ -1,4 +1,4 @@
-//! Shutdown after SIGTERM under requests that arrive at any moment of it, on connections that were opened before.
+//! Shutdown after SIGTERM, with requests that arrive at any time during it on connections that were opened before.
 
 use crate::stand_ins::*;
 use std::collections::HashSet;
@@ -9,20 +9,21 @@
 use std::thread::{sleep, spawn, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// The part of the longest deadline that the termination grace period covers.
+/// Maximum time that the longest request deadline contributes to the termination grace period.
 const GRACE_DEADLINE_CAP: Duration = Duration::from_secs(3);
-/// The part of the termination grace period beyond the longest deadline.
+/// Time that the termination grace period adds to the contribution of the longest deadline.
 const GRACE_MARGIN: Duration = Duration::from_millis(700);
-/// How long a process stalls.
-const STALL: Duration = Duration::from_millis(150);
-/// Clients of a run; their requests are spread evenly over the termination grace period.
+/// Duration of a stall of the process.
+const STALL_DURATION: Duration = Duration::from_millis(150);
+/// Number of clients in a run. Their requests are spread evenly over the termination grace period.
 const CLIENTS: u32 = 60;
-/// The first piece of a request that comes in two is sent this long before the second.
+/// Time between the two pieces of a request that is sent in two pieces.
 const PIECE_INTERVAL: Duration = Duration::from_millis(120);
-/// How far a propagated deadline may be behind the end of the process: the two are measured at different moments.
+/// Tolerance by which a propagated deadline may be later than the end of the process, as the two are measured at
+/// different times.
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(50);
 
-/// How a client sends what it has to send.
+/// The way in which a client sends its requests.
 #[derive(Clone, Copy, Debug)]
 enum Sending {
     Complete,
@@ -30,35 +31,36 @@
     TwoAtOnce,
 }
 
-/// An attempt as the endpoint saw it.
-struct SeenAttempt {
+/// An attempt that the endpoint received.
+struct ReceivedAttempt {
     transaction: String,
-    /// The time that was left until its deadline, as the gateway propagated it (`X-Remaining-Ms`).
-    propagated_deadline: Duration,
-    at: Instant,
+    /// The remaining time that the gateway propagated in `X-Remaining-Ms`.
+    remaining_time: Duration,
+    received_at: Instant,
 }
 
-/// What came of one request.
-struct RequestEnd {
+/// The result of one request.
+struct RequestResult {
     transaction: String,
-    /// The status of its response, and whether that asks to close the connection; none without a complete response.
+    /// The status of the response, and whether the response has `Connection: close`. `None` if no complete response
+    /// arrived.
     answer: Option<(u16, bool)>,
 }
 
-/// One shutdown of a process whose endpoint never responds.
+/// The record of the shutdown of a process whose endpoint never responds.
 struct ShutdownRun {
     terminated_at: Instant,
     ended_at: Instant,
     exited_successfully: bool,
-    requests: Vec<RequestEnd>,
-    attempts: Vec<SeenAttempt>,
+    requests: Vec<RequestResult>,
+    attempts: Vec<ReceivedAttempt>,
     log: String,
 }
 
 impl ShutdownRun {
-    /// Requests that the endpoint has got and whose clients got no response.
+    /// Transaction ids of the requests that reached the endpoint and whose clients got no response.
     fn lost_requests(&self) -> Vec<&str> {
-        let seen: HashSet<_> = self
+        let received: HashSet<_> = self
             .attempts
             .iter()
             .map(|attempt| attempt.transaction.as_str())
@@ -69,7 +71,7 @@
             .filter(|request| request.answer.is_none());
         unanswered
             .map(|request| request.transaction.as_str())
-            .filter(|id| seen.contains(id))
+            .filter(|id| received.contains(id))
             .collect()
     }
 }
@@ -79,14 +81,15 @@
     request[start..start + 16].to_owned()
 }
 
-/// Connects at once, sends at its time and waits until the connection has ended.
+/// Connects at once, sends at `send_at` and collects the responses. The first piece of a request in two pieces is sent
+/// at `first_piece_at`.
 fn start_client(
     addr: SocketAddr,
     sending: Sending,
     texts: [String; 2],
     send_at: Instant,
     first_piece_at: Instant,
-) -> JoinHandle<Vec<RequestEnd>> {
+) -> JoinHandle<Vec<RequestResult>> {
     let stream = std::net::TcpStream::connect(addr).unwrap();
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let mut client = std::io::BufReader::new(stream);
@@ -101,13 +104,13 @@
         if matches!(sending, Sending::InTwoPieces) {
             wait_until(first_piece_at);
             let last = rest.split_off(rest.len() / 2);
-            // Writing fails where the process has ended.
+            // Writing fails once the process has exited.
             let _ = client.get_mut().write_all(rest.as_bytes());
             rest = last;
         }
         wait_until(send_at);
         let _ = client.get_mut().write_all(rest.as_bytes());
-        let end_of = |text: &String| {
+        let result_of = |text: &String| {
             let answer = read_message(&mut client);
             let closes = |answer: &Message| {
                 answer
@@ -116,30 +119,30 @@
                     .is_some_and(|v| v == "close")
             };
             let answer = answer.map(|answer| (answer.status(), closes(&answer)));
-            RequestEnd {
+            RequestResult {
                 transaction: transaction_of(text),
                 answer,
             }
         };
-        requests.iter().map(end_of).collect()
+        requests.iter().map(result_of).collect()
     })
 }
 
-/// Ends a process under requests that arrive at any time until SIGKILL. With `stalled_at` it stalls once, this long
-/// after SIGTERM.
+/// Shuts a process down while requests arrive until the time of SIGKILL. The process stalls once, `stalled_at` after
+/// SIGTERM, if that is given.
 fn terminate_under_requests(
     deadline_ms: u32,
     sending: Sending,
     stalled_at: Option<Duration>,
 ) -> ShutdownRun {
     let attempts = Arc::new(Mutex::new(Vec::new()));
-    let seen = attempts.clone();
+    let received = attempts.clone();
     let endpoint = start_server(move |request| {
         let remaining_ms = request.headers["x-remaining-ms"].parse().unwrap();
-        seen.lock().unwrap().push(SeenAttempt {
+        received.lock().unwrap().push(ReceivedAttempt {
             transaction: request.headers["x-txn"].clone(),
-            propagated_deadline: Duration::from_millis(remaining_ms),
-            at: Instant::now(),
+            remaining_time: Duration::from_millis(remaining_ms),
+            received_at: Instant::now(),
         });
         Reply::StaySilent(channel().0)
     });
@@ -150,14 +153,14 @@
     let mut gateway = Gateway::new(&config);
     let termination_grace =
         Duration::from_millis(deadline_ms.into()).min(GRACE_DEADLINE_CAP) + GRACE_MARGIN;
-    // All connections are up before SIGTERM, and accepted by then or a moment later.
+    // All connections are established before SIGTERM, and accepted by then or shortly after.
     let first_pieces_from = Instant::now();
     let sigterm_at = first_pieces_from + PIECE_INTERVAL;
     let client = |number: u32| {
         let texts =
             [number, number + CLIENTS].map(|customer| get_request(customer.into(), 1, deadline_ms));
         let offset = termination_grace * number / CLIENTS;
-        // The first piece is sent at PIECE_INTERVAL before the second.
+        // `first_pieces_from` is PIECE_INTERVAL before `sigterm_at`, and so is each first piece before its second one.
         start_client(
             gateway.addr,
             sending,
@@ -173,7 +176,7 @@
     if let Some(stalled_at) = stalled_at {
         sleep(stalled_at.saturating_sub(terminated_at.elapsed()));
         gateway.signal("-STOP");
-        sleep(STALL);
+        sleep(STALL_DURATION);
         gateway.signal("-CONT");
     }
     let exited_successfully = gateway.child.wait().unwrap().success();
@@ -194,7 +197,7 @@
     }
 }
 
-/// The fault of such a shutdown; none if it has none.
+/// Shuts a process down under requests. Returns a description of what went wrong, or `None` if nothing did.
 fn shutdown_fault(
     deadline_ms: u32,
     sending: Sending,
@@ -220,11 +223,11 @@
     ))
 }
 
-/// A process ends under requests that arrive until SIGKILL, complete, in pieces, or two at once. A client whose
-/// request reached an endpoint and that gets no response can't know whether to send it again. Each request that
-/// reached the endpoint must have a complete response before the process ends.
+/// A process shuts down while requests arrive until SIGKILL: complete, in two pieces, or two at once. A client that
+/// gets no response to a request that reached an endpoint cannot know whether a retry is safe. Each request that
+/// reached the endpoint must get a complete response before the process exits.
 #[test]
-fn every_request_that_was_read_is_answered_before_the_process_ends() {
+fn every_forwarded_request_is_answered_before_the_process_exits() {
     let sendings = [Sending::Complete, Sending::InTwoPieces, Sending::TwoAtOnce];
     let cases = [120, 300, 1700]
         .into_iter()
@@ -235,40 +238,43 @@
     assert!(faults.is_empty(), "{}", faults.join("\n"));
 }
 
-/// The machine stalls the process once while it shuts down. When it goes on, timers are due and requests that arrived
-/// meanwhile are still unread, so that a step of the shutdown may drop them. Whenever the stall comes, each request
-/// that reached the endpoint must have a complete response, before SIGKILL.
+/// The machine stalls the process once during its shutdown. After the stall, timers are due while requests that arrived
+/// during it are still unread, so a step of the shutdown could drop them. Whenever the stall occurs, each request that
+/// reached the endpoint must get a complete response before SIGKILL.
 #[test]
-fn a_process_that_stalls_at_its_end_loses_no_request() {
-    let moments = (1..=8).map(|tenths| Duration::from_millis(100 * tenths));
-    let faults: Vec<_> = moments
+fn a_stall_during_the_shutdown_loses_no_request() {
+    let stall_times = (1..=8).map(|tenths| Duration::from_millis(100 * tenths));
+    let faults: Vec<_> = stall_times
         .filter_map(|at| shutdown_fault(300, Sending::Complete, Some(at)))
         .collect();
     assert!(faults.is_empty(), "{}", faults.join("\n"));
 }
 
-/// A process forwards requests shortly before its end, with the time that their clients still wait. An endpoint would
-/// work on them for longer than the process can wait for the response. The propagated deadline must end with the
-/// process.
+/// A process forwards requests shortly before it exits. If it propagated the full remaining time of the clients, an
+/// endpoint would work on requests for longer than the process can wait for the response. Propagated deadlines must not
+/// be later than the end of the process.
 #[test]
-fn attempts_of_a_process_that_ends_propagate_no_time_beyond_its_end() {
+fn deadlines_propagated_during_the_shutdown_end_with_the_process() {
     let run = terminate_under_requests(1000, Sending::Complete, None);
     let mut late = run
         .attempts
         .iter()
-        .filter(|attempt| attempt.at > run.terminated_at);
+        .filter(|attempt| attempt.received_at > run.terminated_at);
     let beyond = late.find(|attempt| {
-        attempt.at + attempt.propagated_deadline > run.ended_at + DEADLINE_TOLERANCE
+        attempt.received_at + attempt.remaining_time > run.ended_at + DEADLINE_TOLERANCE
     });
-    let beyond = beyond.map(|attempt| (attempt.propagated_deadline, run.ended_at - attempt.at));
-    assert_eq!(beyond, None, "propagated, and left to the process");
+    let beyond = beyond.map(|attempt| (attempt.remaining_time, run.ended_at - attempt.received_at));
+    assert_eq!(
+        beyond, None,
+        "time propagated, and time until the process ended"
+    );
 }
 
-/// A client has sent half a request when the process refuses requests, and the system interrupts or cuts short the
-/// write of the response. Closed without a response, the client can't know that its request was not executed. It must
-/// get a complete 503.
+/// A client has sent half a request when the process starts to refuse requests, and the system interrupts or shortens
+/// the write of the response. If the connection is closed without a response, the client cannot know that its request
+/// was not executed. The client must get a complete 503.
 #[test]
-fn requests_that_arrive_in_part_are_refused_at_the_end_though_writes_fail() {
+fn partial_requests_get_503_at_shutdown_even_if_writes_fail() {
     for faults in ["send_eintr=500", "send_short=900"] {
         let endpoint = start_server(|_| Reply::StaySilent(channel().0));
         let mut config = config_with_silent_discovery(&[endpoint]);
--- a/tests/gateway/startup.rs
+++ b/tests/gateway/startup.rs
@@ -1,4 +1,4 @@
-//! What happens while the program starts.
+//! Signals and errors during the start of the program.
 
 use crate::stand_ins::*;
 use std::fs::OpenOptions;
@@ -8,9 +8,9 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// SIGHUP or SIGTERM arrives while the process still reads its configuration. Without a handler the one would end it
-/// and the other end it with an error. SIGHUP must not end it, and SIGTERM must end it with success. The
-/// configuration is a pipe, at which the process waits until the test writes it.
+/// SIGHUP or SIGTERM arrives while the process still reads its configuration. Without a handler, SIGHUP would end the
+/// process, and SIGTERM would end it with an error. SIGHUP must not end the process, and SIGTERM must end it with
+/// success. The configuration file is a named pipe, on which the process waits until the test writes the configuration.
 #[test]
 fn signals_during_the_start_are_handled() {
     for (number, signal) in ["-HUP", "-TERM"].into_iter().enumerate() {
@@ -26,7 +26,7 @@
             .unwrap()
             .success());
         let mut child = spawn_program_at(&path, 256, Stdio::piped(), &[]);
-        // Opened once the program has opened it.
+        // Opening the pipe blocks until the program has opened it.
         let mut pipe = OpenOptions::new().write(true).open(&path).unwrap();
         std::fs::remove_file(&path).unwrap();
         std::fs::write(&path, config.to_string()).unwrap();
@@ -49,25 +49,28 @@
     }
 }
 
-/// After a restart the former process still has the address for a moment. A process that gives up at once has to be
-/// started again by hand. It must wait for the address, and serve then.
+/// After a restart, the former process may still use the address for a short time. A process that gives up at once
+/// would have to be started again manually. The process must wait for the address and then serve.
 #[test]
-fn an_address_in_use_for_a_moment_is_waited_for() {
+fn startup_waits_for_an_address_that_is_briefly_in_use() {
     let (endpoint, _) = healthy_endpoint();
     let former = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut config = config_with_silent_discovery(&[endpoint]);
     config["listen"] = former.local_addr().unwrap().to_string().into();
     let (mut child, path) = spawn_program(&config);
     sleep(Duration::from_millis(500));
-    assert!(child.try_wait().unwrap().is_none(), "it has given up");
+    assert!(
+        child.try_wait().unwrap().is_none(),
+        "the program has given up"
+    );
     drop(former);
     let gateway = Gateway::read_log((child, path));
     gateway.wait_until_ready();
     assert_eq!(gateway.get(1, 1).status(), 200);
 }
 
-/// The address stays in use, and the operators give up with SIGTERM. A process that only waits would run on until
-/// SIGKILL. It must exit with success at once.
+/// The address stays in use, and SIGTERM arrives during the wait for it. A process that ignores the signal while it
+/// waits would run until SIGKILL. The process must exit with success at once.
 #[test]
 fn sigterm_ends_the_wait_for_the_address() {
     let former = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/tests/gateway/system_faults.rs
+++ b/tests/gateway/system_faults.rs
@@ -1,4 +1,4 @@
-//! System calls that fail for a moment, in the ways that Linux documents.
+//! Temporary failures of system calls, with errors that Linux documents.
 
 use crate::stand_ins::*;
 use std::io::Write;
@@ -8,10 +8,11 @@
 use std::thread::sleep;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// At the end of the listener, accepting fails: a connection was aborted, or descriptors are short. A listener that
-/// is closed then resets the clients in its queue with their requests. They must be accepted and served.
+/// Accepting fails shortly before the listener closes: a connection was aborted, or no descriptor is available. If the
+/// listener were closed then, clients in its queue would be reset and lose their requests. The clients must be accepted
+/// and served.
 #[test]
-fn a_failure_to_accept_at_the_end_of_the_listener_loses_no_client() {
+fn accept_errors_before_the_listener_closes_lose_no_client() {
     for faults in [
         "accept_abort=500",
         "accept_full=500",
@@ -25,33 +26,34 @@
         while unready.status() == 200 {
             unready = gateway.exchange("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
         }
-        // Suspended beyond the end of the accept period, the program finds waiting clients when that has passed.
+        // The process stalls beyond the end of the accept period, and finds waiting clients afterwards.
         gateway.signal("-STOP");
-        let mut opens: Vec<_> = (0..40).map(|_| gateway.connect()).collect();
-        for (customer, open) in opens.iter_mut().enumerate() {
-            open.get_mut()
+        let mut clients: Vec<_> = (0..40).map(|_| gateway.connect()).collect();
+        for (customer, client) in clients.iter_mut().enumerate() {
+            client
+                .get_mut()
                 .write_all(get_request(customer as u64, 1, 3000).as_bytes())
                 .unwrap();
         }
         sleep(Duration::from_millis(800));
         gateway.signal("-CONT");
-        let statuses: Vec<_> = opens
+        let statuses: Vec<_> = clients
             .iter_mut()
-            .map(|open| read_message(open).map(|answer| answer.status()))
+            .map(|client| read_message(client).map(|answer| answer.status()))
             .collect();
         assert_eq!(statuses, [Some(200); 40], "{faults}");
         assert!(gateway.child.wait().unwrap().success());
     }
 }
 
-/// Failures after which no more requests are made.
+/// Number of failures after which a test sends no more requests.
 const MAX_FAILURES: usize = 5;
 
-/// The listener can't accept for a second, and a client's request waits in its queue. Counted from the moment of
-/// accepting, its remaining time would be too long, and the endpoint would work for a client that has left. The wait
-/// must be taken off the propagated deadline.
+/// The listener cannot accept for a second, and a client's request waits in its queue. If the remaining time counted
+/// from the accept, it would be too long, and the endpoint would work for a client that has given up. The wait must be
+/// subtracted from the propagated remaining time.
 #[test]
-fn the_wait_for_a_failing_listener_is_taken_off_the_propagated_deadline() {
+fn the_wait_for_a_failing_listener_is_subtracted_from_the_propagated_time() {
     let (endpoint, received) = healthy_endpoint();
     let switch = std::env::temp_dir().join(format!("quota-gateway-{}-accept", std::process::id()));
     let mut environment = fault_environment("accept_switch=1");
@@ -61,7 +63,7 @@
     config["settings"]["categories"][0]["aim-ms"] = 4000.into();
     let gateway = Gateway::with_environment(&config, &environment);
     std::fs::write(&switch, "").unwrap();
-    // The first error begins the wait: it is that of a client which comes before.
+    // The wait counts from the first accept error, which an earlier client causes.
     let _early = gateway.connect();
     let mut client = gateway.connect();
     client
@@ -70,7 +72,7 @@
         .unwrap();
     sleep(Duration::from_secs(1));
     std::fs::remove_file(&switch).unwrap();
-    assert_eq!(read_message(&mut client).expect("an answer").status(), 200);
+    assert_eq!(read_message(&mut client).expect("a response").status(), 200);
     let remaining_ms: u64 = received.lock().unwrap()[0].headers["x-remaining-ms"]
         .parse()
         .unwrap();
@@ -80,7 +82,8 @@
     );
 }
 
-/// Makes requests of 300 customers on ten connections; returns the statuses of the answers that are not 200.
+/// Sends requests of 300 customers on ten connections. Returns the statuses other than 200; `None` for a missing
+/// response. Stops after [`MAX_FAILURES`].
 fn unsuccessful_statuses(gateway: &Gateway) -> Vec<Option<u16>> {
     let mut clients: Vec<_> = (0..10).map(|_| gateway.connect()).collect();
     let mut failures = Vec::new();
@@ -109,38 +112,38 @@
     failures
 }
 
-/// Signals interrupt system calls on sockets. Taken for an error, an interruption would end a connection with its
-/// request. The calls must be repeated, and all requests succeed.
+/// Signals interrupt system calls on sockets. If an interruption were treated as an error, a connection would close and
+/// its request would be lost. The calls must be repeated, and all requests must succeed.
 #[test]
-fn interrupted_transfers_lose_nothing() {
+fn interrupted_transfers_lose_no_request() {
     let (endpoint, _) = healthy_endpoint();
     let config = config_with_silent_discovery(&[endpoint]);
     let gateway = Gateway::with_faults(&config, "recv_eintr=50,send_eintr=50,epoll_eintr=50");
     assert_eq!(unsuccessful_statuses(&gateway), []);
 }
 
-/// The system lacks memory or buffers for a moment, and calls on sockets fail. Taken for a broken connection, that
-/// would fail its request. The calls must be repeated, and all requests succeed.
+/// Calls on sockets fail because the system is temporarily short of memory or buffers. If such a failure were treated
+/// as a broken connection, its request would fail. The calls must be repeated, and all requests must succeed.
 #[test]
-fn transfers_that_lack_memory_for_a_moment_lose_nothing() {
+fn a_temporary_shortage_of_memory_loses_no_request() {
     let (endpoint, _) = healthy_endpoint();
     let config = config_with_silent_discovery(&[endpoint]);
     let gateway = Gateway::with_faults(&config, "recv_nomem=50,send_nobufs=50");
     assert_eq!(unsuccessful_statuses(&gateway), []);
 }
 
-/// A read or write transfers less than the socket could. The runtime takes that for an empty or a full socket and
-/// waits for a notice that never comes. All requests must succeed without one.
+/// A read or write transfers fewer bytes than the socket could. The runtime then treats the socket as empty or full and
+/// waits for a readiness event that never occurs. All requests must succeed without such an event.
 #[test]
-fn transfers_that_are_cut_short_lose_nothing() {
+fn partial_transfers_lose_no_request() {
     let (endpoint, _) = healthy_endpoint();
     let config = config_with_silent_discovery(&[endpoint]);
     let gateway = Gateway::with_faults(&config, "recv_short=300,send_short=300");
     assert_eq!(unsuccessful_statuses(&gateway), []);
 }
 
-/// Reading the pipe that signals a SIGHUP is interrupted by the next signal. The runtime's own signal handling panics
-/// at that, and the process ends. Each signal must be carried out.
+/// Reading the pipe that reports a SIGHUP is interrupted by the next signal. The signal handling of the runtime panics
+/// in this case, which ends the process. Each SIGHUP must reload the configuration.
 #[test]
 fn interrupted_reads_of_signals_do_not_end_the_program() {
     let (endpoint, _) = healthy_endpoint();
@@ -154,10 +157,10 @@
     assert!(gateway.child.wait().unwrap().success());
 }
 
-/// Opening the configuration fails for a moment at SIGHUP. A process that keeps the old configuration would soon call
-/// addresses that nobody serves. It must read the file again a little later.
+/// Opening the configuration file fails temporarily at SIGHUP. A process that keeps the old configuration could call
+/// addresses that are no longer served. The process must read the file again shortly after.
 #[test]
-fn a_configuration_that_cannot_be_read_for_a_moment_is_read_later() {
+fn a_configuration_that_is_temporarily_unreadable_is_read_again() {
     let (endpoint, _) = healthy_endpoint();
     let config = config_with_silent_discovery(&[endpoint]);
     let gateway = Gateway::with_faults(&config, "open_fail=600");
@@ -168,10 +171,11 @@
     }
 }
 
-/// Requests in flight at once in the test of an endpoint that has just started.
+/// Number of concurrent requests in the test of an endpoint that has just started.
 const CONCURRENT_REQUESTS: u64 = 40;
 
-/// An endpoint that serves each request for a while, and the number of those that it got.
+/// Starts an endpoint that takes 300 ms for each request. Returns its address and the number of requests received so
+/// far.
 fn slow_endpoint() -> (SocketAddr, Arc<AtomicUsize>) {
     let count = Arc::new(AtomicUsize::new(0));
     let seen = count.clone();
@@ -183,11 +187,11 @@
     (addr, count)
 }
 
-/// The gateway's wall clock is wrong by an hour, and a new endpoint is listed. By that clock it seems to have run for
-/// long, or not to have started yet; sent a full share of requests, it would be overloaded. It must be warmed up all
-/// the same.
+/// The gateway's wall clock is wrong by an hour, and a new endpoint is listed. By that clock, the endpoint seems to
+/// have started long ago or not yet. With a full share of requests, a new endpoint would be overloaded. The endpoint
+/// must be warmed up regardless of the clock.
 #[test]
-fn an_endpoint_that_has_just_started_is_warmed_up_whatever_the_wall_clock_says() {
+fn an_endpoint_that_has_just_started_is_warmed_up_regardless_of_the_wall_clock() {
     for faults in ["seed=1", "wall_clock_s=3600", "wall_clock_s=-3600"] {
         let (warm, _) = slow_endpoint();
         let (cold, got_cold) = slow_endpoint();
@@ -213,7 +217,7 @@
                 .unwrap();
         }
         for client in &mut clients {
-            read_message(client).expect("an answer");
+            read_message(client).expect("a response");
         }
         let sent = got_cold.load(Ordering::SeqCst);
         assert!(
