--- a/tests/gateway/coinciding_events.rs
+++ b/tests/gateway/coinciding_events.rs
@@ -57,7 +57,7 @@
 /// list must apply at once.
 #[test]
 fn a_complete_list_applies_even_if_its_watch_is_rejected() {
-    let (one, got_one) = healthy_endpoint();
+    let (one, received_by_one) = healthy_endpoint();
     let (two, _) = healthy_endpoint();
     let first = Discovery::new();
     let mut config = config(&[one, two], start_counter(Arc::default()), first.addr);
@@ -68,26 +68,26 @@
     ]);
     let list = serde_json::json!({"version": 9, "full": true, "servers": servers}).to_string();
     let (listed_to, listed) = channel();
-    let crowded = start_server(move |call| {
+    let overloaded = start_server(move |call| {
         if call.line.contains("stream=1") {
             return Reply::Send(response(503, "", ""));
         }
         let _ = listed_to.send(());
         Reply::Send(response(200, "", &list))
     });
-    config["discovery"] = crowded.to_string().into();
+    config["discovery"] = overloaded.to_string().into();
     assert!(!gateway.reload(&config.to_string()).contains("stands"));
     for _ in 0..3 {
         listed
             .recv_timeout(TEST_TIMEOUT)
             .expect("the list is requested");
     }
-    let before = got_one.lock().unwrap().len();
+    let before = received_by_one.lock().unwrap().len();
     for customer in 0..10 {
         assert_eq!(gateway.get(customer, 1).status(), 200);
     }
     assert_eq!(
-        got_one.lock().unwrap().len(),
+        received_by_one.lock().unwrap().len(),
         before,
         "sent to a draining endpoint"
     );
@@ -101,14 +101,14 @@
     let (started_sender, started) = channel();
     let (release, wait) = channel::<()>();
     let wait = Mutex::new(wait);
-    let breaks = start_server(move |_| {
+    let failing = start_server(move |_| {
         let _ = started_sender.send(());
         let _ = wait.lock().unwrap().recv();
         Reply::SendAndClose(String::new())
     });
-    let late = StalledEndpoint::new();
+    let late_endpoint = StalledEndpoint::new();
     let discovery = Discovery::new();
-    let mut config = config(&[breaks], start_counter(Arc::default()), discovery.addr);
+    let mut config = config(&[failing], start_counter(Arc::default()), discovery.addr);
     config["settings"]["limits"]["connect-timeout-ms"] = 20_000.into();
     config["settings"]["categories"][1]["aim-ms"] = 3900.into();
     let gateway = Gateway::new(&config);
@@ -119,33 +119,33 @@
     client.get_mut().write_all(request.as_bytes()).unwrap();
     started.recv_timeout(TEST_TIMEOUT).unwrap();
     // The idempotency window is 2.5 s.
-    let first_began = Instant::now();
+    let first_attempt_at = Instant::now();
     let servers = serde_json::json!([
         invalid_entry(),
-        list_entry(0, breaks, "Terminating"),
-        list_entry(1, late.addr, "Ready")
+        list_entry(0, failing, "Terminating"),
+        list_entry(1, late_endpoint.addr, "Ready")
     ]);
     push_update(
         &mut watch,
         &serde_json::json!({"version": 8, "full": false, "servers": servers}).to_string(),
     );
     gateway.wait_until_list_is_applied();
-    sleep(Duration::from_secs(2).saturating_sub(first_began.elapsed()));
+    sleep(Duration::from_secs(2).saturating_sub(first_attempt_at.elapsed()));
     release.send(()).unwrap();
-    late.wait_for_pending(1);
-    sleep(Duration::from_millis(2600).saturating_sub(first_began.elapsed()));
-    let mut repeated = Vec::new();
-    let mut connection = BufReader::new(late.accept_next());
+    late_endpoint.wait_for_pending(1);
+    sleep(Duration::from_millis(2600).saturating_sub(first_attempt_at.elapsed()));
+    let mut received = Vec::new();
+    let mut connection = BufReader::new(late_endpoint.accept_next());
     assert_eq!(read_message(&mut client).expect("a response").status(), 502);
     connection
         .get_mut()
         .set_read_timeout(Some(Duration::from_millis(200)))
         .unwrap();
-    let _ = connection.read_to_end(&mut repeated);
+    let _ = connection.read_to_end(&mut received);
     assert!(
-        repeated.is_empty(),
+        received.is_empty(),
         "the request was sent again: {}",
-        String::from_utf8_lossy(&repeated)
+        String::from_utf8_lossy(&received)
     );
 }
 
@@ -168,7 +168,7 @@
         (true, 1_000_000),
         (false, 2_000_000),
     ];
-    for (case, (is_reused, sent_ahead)) in (0..).zip(cases) {
+    for (case, (is_reused, pipelined_bytes)) in (0..).zip(cases) {
         sleep(Duration::from_millis(50));
         let mut client = gateway.connect();
         if is_reused {
@@ -185,7 +185,10 @@
             .get_mut()
             .write_all(get_request(30 + case, 1, 3000).as_bytes())
             .unwrap();
-        client.get_mut().write_all(&vec![b'x'; sent_ahead]).unwrap();
+        client
+            .get_mut()
+            .write_all(&vec![b'x'; pipelined_bytes])
+            .unwrap();
         drop(client);
         sleep(Duration::from_millis(150));
         gateway.signal("-CONT");
@@ -199,7 +202,7 @@
         assert_eq!(
             sent,
             [format!("{case:016x}")],
-            "reused: {is_reused}, {sent_ahead} bytes sent ahead"
+            "reused: {is_reused}, {pipelined_bytes} bytes after the request"
         );
     }
 }
@@ -226,7 +229,7 @@
     let gateway = Gateway::new(&config);
     assert_eq!(gateway.get(90, 1).status(), 200);
     // The read-ahead budget is 1 MiB per client and 4 MiB in total.
-    let _greedy: Vec<_> = (1..=5)
+    let _other_clients: Vec<_> = (1..=5)
         .map(|number| {
             let mut client = gateway.connect();
             client
--- a/tests/gateway/discovery.rs
+++ b/tests/gateway/discovery.rs
@@ -252,7 +252,7 @@
         config["settings"]["tiers-of-service"][0]["store-size"] = 1000.0.into();
         let gateway = Gateway::new(&config);
         let mut idle: Vec<_> = (0..100).map(|_| gateway.connect()).collect();
-        let served = |idle: &mut Vec<_>, customer| {
+        let request_until_served = |idle: &mut Vec<_>, customer| {
             let start = Instant::now();
             loop {
                 let mut client = gateway.connect();
@@ -269,7 +269,7 @@
                 std::thread::sleep(Duration::from_millis(5));
             }
         };
-        (0..50).for_each(|customer| served(&mut idle, customer));
+        (0..50).for_each(|customer| request_until_served(&mut idle, customer));
         let discovery = Discovery::at(addr);
         let (line, mut watch) = discovery
             .calls
@@ -284,7 +284,7 @@
         push_update(&mut watch, &update(8, &servers).to_string());
         gateway.wait_until_list_is_applied();
         let before = received_by_one.lock().unwrap().len();
-        (50..100).for_each(|customer| served(&mut idle, customer));
+        (50..100).for_each(|customer| request_until_served(&mut idle, customer));
         assert_eq!(
             received_by_one.lock().unwrap().len(),
             before,
--- a/tests/gateway/peers.rs
+++ b/tests/gateway/peers.rs
@@ -11,15 +11,15 @@
 fn gossip_from_unknown_addresses_and_oversized_messages_are_dropped() {
     let (endpoint, _) = healthy_endpoint();
     let peer = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let at = {
+    let gossip_addr = {
         // A free port: the socket is closed again at the end of this block.
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         socket.local_addr().unwrap()
     };
     let mut config = config_with_silent_discovery(&[endpoint]);
     config["settings"]["balancers"] = 2.into();
-    config["peer_listen"] = at.to_string().into();
-    config["peers"] = serde_json::json!([at, peer.local_addr().unwrap()]);
+    config["peer_listen"] = gossip_addr.to_string().into();
+    config["peers"] = serde_json::json!([gossip_addr, peer.local_addr().unwrap()]);
     config["peers_all"] = peer.local_addr().unwrap().to_string().into();
     let gateway = Gateway::new(&config);
     // The message says that the shared counter was short of capacity, and that the customer used four units at the
@@ -34,10 +34,10 @@
         .concat()
     };
     let unknown_sender = UdpSocket::bind("127.0.0.1:0").unwrap();
-    unknown_sender.send_to(&message(1), at).unwrap();
-    peer.send_to(&[message(2), vec![0; 300]].concat(), at)
+    unknown_sender.send_to(&message(1), gossip_addr).unwrap();
+    peer.send_to(&[message(2), vec![0; 300]].concat(), gossip_addr)
         .unwrap();
-    peer.send_to(&message(3), at).unwrap();
+    peer.send_to(&message(3), gossip_addr).unwrap();
     // A shortage of the counter makes the gateway gossip as well, so a message from the gateway shows that the peer's
     // message was handled.
     let start = Instant::now();
--- a/tests/gateway/races.rs
+++ b/tests/gateway/races.rs
@@ -97,26 +97,26 @@
         kept.push(client);
     };
     let many = |bytes: usize| get_request(1, 1, 3000).repeat(bytes / get_request(1, 1, 3000).len());
-    let ahead = [
+    let pipelined = [
         get_request(1, 1, 3000),
         get_request(1, 1, 3000).repeat(200),
         "noise".to_owned(),
         many(300_000),
     ];
-    let leave: [(&str, &mut dyn FnMut(TcpStream)); 8] = [
+    let cases: [(&str, &mut dyn FnMut(TcpStream)); 8] = [
         ("", &mut { close }),
         ("", &mut { reset }),
         ("", &mut half_close),
-        (&ahead[0], &mut { close }),
-        (&ahead[1], &mut { reset }),
-        (&ahead[2], &mut { close }),
-        (&ahead[3], &mut { close }),
-        (&ahead[3], &mut { reset }),
+        (&pipelined[0], &mut { close }),
+        (&pipelined[1], &mut { reset }),
+        (&pipelined[2], &mut { close }),
+        (&pipelined[3], &mut { close }),
+        (&pipelined[3], &mut { reset }),
     ];
-    for (number, (ahead, leave)) in leave.into_iter().enumerate() {
+    for (number, (pipelined, disconnect)) in cases.into_iter().enumerate() {
         let mut client = TcpStream::connect(gateway.addr).unwrap();
         client
-            .write_all((post_request("once", "", "x") + ahead).as_bytes())
+            .write_all((post_request("once", "", "x") + pipelined).as_bytes())
             .unwrap();
         stalled.wait_for_pending(1);
         // Waits until the pipelined bytes have arrived, because the end of the stream follows them.
@@ -130,7 +130,7 @@
             std::thread::yield_now();
         }
         let start = Instant::now();
-        leave(client);
+        disconnect(client);
         stalled.wait_for_pending(0);
         assert!(
             start.elapsed() < Duration::from_millis(1500),
--- a/tests/gateway/system_faults.rs
+++ b/tests/gateway/system_faults.rs
@@ -194,7 +194,7 @@
 fn an_endpoint_that_has_just_started_is_warmed_up_regardless_of_the_wall_clock() {
     for faults in ["seed=1", "wall_clock_s=3600", "wall_clock_s=-3600"] {
         let (warm, _) = slow_endpoint();
-        let (cold, got_cold) = slow_endpoint();
+        let (cold, cold_requests) = slow_endpoint();
         let discovery = Discovery::new();
         let config = config(&[warm], start_counter(Arc::default()), discovery.addr);
         let gateway = Gateway::with_faults(&config, faults);
@@ -219,7 +219,7 @@
         for client in &mut clients {
             read_message(client).expect("a response");
         }
-        let sent = got_cold.load(Ordering::SeqCst);
+        let sent = cold_requests.load(Ordering::SeqCst);
         assert!(
             sent <= 5,
             "{faults}: {sent} of {CONCURRENT_REQUESTS} requests sent to an endpoint that has just started"
