--- a/stand-ins/src/endpoint_list.rs
+++ b/stand-ins/src/endpoint_list.rs
@@ -97,7 +97,8 @@
         self.add_initial(entry);
     }
 
-    /// Sets the state of the entry at `index`, in the order of addition, and increments the version.
+    /// Sets the state of the entry with this index, counted from 0 in the order of addition, and increments the
+    /// version.
     ///
     /// # Panics
     ///
--- a/stand-ins/src/message.rs
+++ b/stand-ins/src/message.rs
@@ -1,4 +1,4 @@
-//! Minimal HTTP/1.1 messages for test servers and clients, without chunked bodies and folded headers.
+//! Minimal HTTP/1.1 messages for test servers and clients, without support for chunked bodies and folded headers.
 
 use std::collections::HashMap;
 use std::num::ParseIntError;
