--- a/soak/src/endpoint.rs
+++ b/soak/src/endpoint.rs
@@ -152,7 +152,7 @@
             .attempt_received(ObservedAttempt {
                 transaction,
                 endpoint: self.number,
-                began_at: self.connection.began_at(),
+                began_at: self.connection.first_byte_at(),
                 propagated_deadline: Duration::from_millis(propagated_ms),
                 drain_notified_at,
                 started_at: endpoint
