--- a/emulator/src/real/clients.rs
+++ b/emulator/src/real/clients.rs
@@ -136,7 +136,7 @@
         let response = connection.receive().await?.ok_or_else(|| {
             io::Error::other("the gateway closed the connection without a response")
         })?;
-        if !response.closes() {
+        if !response.closes_connection() {
             self.connection = Some(connection);
         }
         Ok(response.status())
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -1,12 +1,12 @@
-//! The gateway on loopback sockets, against stand-ins for endpoints, the counter and discovery.
+//! Integration tests: the real program on loopback sockets, with stand-ins for endpoints, the counter and discovery.
 // Tests fail by panicking.
 #![allow(clippy::unwrap_used)]
 
 mod attempts;
 mod client_timing;
 mod clients;
+mod coinciding_events;
 mod counter;
-mod crossings;
 mod discovery;
 mod log_output;
 mod peers;
