--- a/emulator/src/simulation/mod.rs
+++ b/emulator/src/simulation/mod.rs
@@ -162,8 +162,8 @@
         let mut progress = Progress::new();
         while let Some(event) = self.queue.pop() {
             let now = self.queue.now();
-            // After the last arrival, the simulation continues until all open requests have ended, at the latest until the
-            // last deadline.
+            // After the last arrival, the simulation continues until all open requests have ended or their deadlines
+            // have passed.
             if now > self.ends_at && (self.open_requests.is_empty() || now > last_response_by) {
                 break;
             }
