--- a/emulator/src/clients.rs
+++ b/emulator/src/clients.rs
@@ -2,7 +2,7 @@
 //! and disconnects.
 
 use crate::experiment::{Experiment, ExperimentError};
-use crate::{micros, seeded_rng, Micros};
+use crate::{ms_to_micros, seeded_rng, Micros};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, Zipf};
@@ -82,7 +82,7 @@
 
     /// Draws the time until the next client's first request.
     pub(crate) fn next_arrival_in(&mut self) -> Micros {
-        micros(self.arrival_gap_ms.sample(&mut self.rng))
+        ms_to_micros(self.arrival_gap_ms.sample(&mut self.rng))
     }
 
     /// Draws the next client's first request.
@@ -145,7 +145,7 @@
             retry: request.retry + 1,
             ..request.clone()
         };
-        Some((retry, micros(retry_after_ms.max(own_delay_ms))))
+        Some((retry, ms_to_micros(retry_after_ms.max(own_delay_ms))))
     }
 
     /// Draws the delay after which a client disconnects; `None` if it waits for its response until the deadline.
--- a/emulator/src/counter.rs
+++ b/emulator/src/counter.rs
@@ -1,7 +1,7 @@
 //! Model of the shared counter: totals by key, on shards that serve one call at a time.
 
 use crate::experiment::CounterModel;
-use crate::{micros, Micros};
+use crate::{ms_to_micros, Micros};
 use rustc_hash::FxHashMap;
 
 /// Interval at which a shard drops expired keys.
@@ -39,13 +39,13 @@
 
 impl Counter {
     pub(crate) fn new(model: &CounterModel) -> Self {
-        let service_time = micros(1000.0 / model.calls_per_s).max(1);
+        let service_time = ms_to_micros(1000.0 / model.calls_per_s).max(1);
         Counter {
             shards: (0..model.shards).map(|_| Shard::default()).collect(),
             service_time,
             max_wait: service_time * Micros::from(model.max_queue),
             zone: model.zone,
-            timeout: micros(model.timeout_ms),
+            timeout: ms_to_micros(model.timeout_ms),
             down: false,
         }
     }
--- a/emulator/src/discovery.rs
+++ b/emulator/src/discovery.rs
@@ -2,7 +2,7 @@
 //! them.
 
 use crate::experiment::DiscoveryModel;
-use crate::{micros, Micros};
+use crate::{ms_to_micros, Micros};
 use quota_gateway::{Endpoint, EndpointState};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -85,5 +85,5 @@
 }
 
 fn range([shortest_ms, longest_ms]: [f64; 2]) -> RangeInclusive<Micros> {
-    micros(shortest_ms)..=micros(longest_ms)
+    ms_to_micros(shortest_ms)..=ms_to_micros(longest_ms)
 }
--- a/emulator/src/endpoint.rs
+++ b/emulator/src/endpoint.rs
@@ -2,7 +2,7 @@
 //! start, draining, and failure by overload in slow start.
 
 use crate::experiment::{Experiment, ExperimentError};
-use crate::{micros, seeded_rng, Micros};
+use crate::{ms_to_micros, seeded_rng, Micros};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, LogNormal};
 use std::collections::VecDeque;
@@ -71,13 +71,13 @@
             slots: endpoints.slots,
             max_queue: endpoints.max_queue as usize,
             max_connections: endpoints.max_connections,
-            handshake: micros(endpoints.handshake_ms),
+            handshake: ms_to_micros(endpoints.handshake_ms),
             service_time_ms,
             mean_service_ms: endpoints.service_ms,
             slow_start_min_capacity: rules.slow_start_min_capacity,
-            slow_start: micros(rules.slow_start_ms),
+            slow_start: ms_to_micros(rules.slow_start_ms),
             overload_multiple: rules.overload_multiple,
-            overload_window: micros(rules.overload_window_ms),
+            overload_window: ms_to_micros(rules.overload_window_ms),
         })
     }
 
@@ -192,7 +192,7 @@
     fn service_time(&mut self, parameters: &EndpointParameters, now: Micros) -> Micros {
         let sample_ms = parameters.service_time_ms.sample(&mut self.rng);
         let capacity = parameters.capacity(self.started_at, now);
-        micros(sample_ms / capacity).max(1)
+        ms_to_micros(sample_ms / capacity).max(1)
     }
 
     /// Frees the slot of a completed request. Returns the next attempt from the queue, if any, and its service time.
--- a/emulator/src/experiment/validation.rs
+++ b/emulator/src/experiment/validation.rs
@@ -24,8 +24,8 @@
 
 /// Checks all values. Returns the first one that is out of range as the error.
 pub(super) fn check(experiment: &Experiment) -> CheckResult {
-    within("seconds", experiment.seconds, MIN_POSITIVE, DAY_S)?;
-    within(
+    check_range("seconds", experiment.seconds, MIN_POSITIVE, DAY_S)?;
+    check_range(
         "measure_from_s",
         experiment.measure_from_s,
         0.0,
@@ -47,7 +47,7 @@
     Ok(())
 }
 
-fn within(field: &str, value: f64, min: f64, max: f64) -> CheckResult {
+fn check_range(field: &str, value: f64, min: f64, max: f64) -> CheckResult {
     if (min..=max).contains(&value) {
         return Ok(());
     }
@@ -60,31 +60,31 @@
 }
 
 fn check_topology(topology: &Topology) -> CheckResult {
-    within(
+    check_range(
         "topology.regions",
         topology.regions.into(),
         1.0,
         MAX_REGIONS,
     )?;
-    within(
+    check_range(
         "topology.zones_per_region",
         topology.zones_per_region.into(),
         1.0,
         MAX_REGIONS,
     )?;
-    within(
+    check_range(
         "topology.same_zone_ms",
         topology.same_zone_ms,
         0.0,
         MAX_DELAY_MS,
     )?;
-    within(
+    check_range(
         "topology.same_region_ms",
         topology.same_region_ms,
         0.0,
         MAX_DELAY_MS,
     )?;
-    within(
+    check_range(
         "topology.cross_region_ms",
         topology.cross_region_ms,
         0.0,
@@ -93,15 +93,15 @@
 }
 
 fn check_gateways(gateways: &GatewayModel) -> CheckResult {
-    within("gateways.count", gateways.count.into(), 1.0, MAX_GATEWAYS)?;
-    within("gateways.hot_share", gateways.hot_share, 0.0, 1.0)?;
-    within(
+    check_range("gateways.count", gateways.count.into(), 1.0, MAX_GATEWAYS)?;
+    check_range("gateways.hot_share", gateways.hot_share, 0.0, 1.0)?;
+    check_range(
         "gateways.hot_multiplier",
         gateways.hot_multiplier,
         1.0,
         100.0,
     )?;
-    within(
+    check_range(
         "gateways.max_connections",
         gateways.max_connections.into(),
         1.0,
@@ -110,28 +110,28 @@
 }
 
 fn check_endpoints(endpoints: &EndpointModel) -> CheckResult {
-    within(
+    check_range(
         "endpoints.count",
         endpoints.count.into(),
         1.0,
         MAX_ENDPOINTS,
     )?;
-    within("endpoints.slots", endpoints.slots.into(), 1.0, 10_000.0)?;
-    within(
+    check_range("endpoints.slots", endpoints.slots.into(), 1.0, 10_000.0)?;
+    check_range(
         "endpoints.service_ms",
         endpoints.service_ms,
         MIN_POSITIVE,
         DAY_MS,
     )?;
-    within("endpoints.service_sigma", endpoints.service_sigma, 0.0, 3.0)?;
-    within("endpoints.max_queue", endpoints.max_queue.into(), 0.0, 1e6)?;
-    within(
+    check_range("endpoints.service_sigma", endpoints.service_sigma, 0.0, 3.0)?;
+    check_range("endpoints.max_queue", endpoints.max_queue.into(), 0.0, 1e6)?;
+    check_range(
         "endpoints.max_connections",
         endpoints.max_connections.into(),
         1.0,
         MAX_CONNECTIONS,
     )?;
-    within(
+    check_range(
         "endpoints.handshake_ms",
         endpoints.handshake_ms,
         0.0,
@@ -140,21 +140,21 @@
 }
 
 fn check_counter(counter: &CounterModel, topology: &Topology) -> CheckResult {
-    within("counter.shards", counter.shards.into(), 1.0, 1024.0)?;
-    within(
+    check_range("counter.shards", counter.shards.into(), 1.0, 1024.0)?;
+    check_range(
         "counter.calls_per_s",
         counter.calls_per_s,
         MIN_POSITIVE,
         1e9,
     )?;
-    within("counter.max_queue", counter.max_queue.into(), 0.0, 1e7)?;
-    within(
+    check_range("counter.max_queue", counter.max_queue.into(), 0.0, 1e7)?;
+    check_range(
         "counter.timeout_ms",
         counter.timeout_ms,
         MIN_POSITIVE,
         DAY_MS,
     )?;
-    within(
+    check_range(
         "counter.zone",
         counter.zone.into(),
         0.0,
@@ -171,43 +171,43 @@
 }
 
 fn check_interval(field: &str, [shortest, longest]: [f64; 2]) -> CheckResult {
-    within(field, shortest, 0.0, longest.min(DAY_MS))?;
-    within(field, longest, shortest, DAY_MS)
+    check_range(field, shortest, 0.0, longest.min(DAY_MS))?;
+    check_range(field, longest, shortest, DAY_MS)
 }
 
 fn check_load(load: &LoadModel, gateways: &GatewayModel) -> CheckResult {
-    within(
+    check_range(
         "load.requests_per_s",
         load.requests_per_s,
         MIN_POSITIVE,
         1e7,
     )?;
-    within("load.customers", load.customers as f64, 1.0, MAX_CUSTOMERS)?;
-    within("load.zipf_exponent", load.zipf_exponent, 0.0, 5.0)?;
-    within(
+    check_range("load.customers", load.customers as f64, 1.0, MAX_CUSTOMERS)?;
+    check_range("load.zipf_exponent", load.zipf_exponent, 0.0, 5.0)?;
+    check_range(
         "load.gateway_set_size",
         load.gateway_set_size.into(),
         1.0,
         gateways.count.into(),
     )?;
-    within("load.retry_share", load.retry_share, 0.0, 1.0)?;
-    within("load.retry_delay_ms", load.retry_delay_ms, 0.0, DAY_MS)?;
-    within("load.disconnect_share", load.disconnect_share, 0.0, 1.0)
+    check_range("load.retry_share", load.retry_share, 0.0, 1.0)?;
+    check_range("load.retry_delay_ms", load.retry_delay_ms, 0.0, DAY_MS)?;
+    check_range("load.disconnect_share", load.disconnect_share, 0.0, 1.0)
 }
 
 fn check_classes_and_plans(experiment: &Experiment) -> CheckResult {
     check_length("classes", experiment.classes.len())?;
     check_length("plans", experiment.plans.len())?;
     for (index, class) in experiment.classes.iter().enumerate() {
-        within(
+        check_range(
             &format!("classes[{index}].share"),
             class.share,
             0.0,
             MAX_SHARE,
         )?;
         let objective = format!("classes[{index}].latency_objective_ms");
-        within(&objective, class.latency_objective_ms, MIN_POSITIVE, DAY_MS)?;
-        within(
+        check_range(&objective, class.latency_objective_ms, MIN_POSITIVE, DAY_MS)?;
+        check_range(
             &format!("classes[{index}].deadline_ms"),
             class.deadline_ms,
             MIN_POSITIVE,
@@ -215,9 +215,9 @@
         )?;
     }
     for (index, plan) in experiment.plans.iter().enumerate() {
-        within(&format!("plans[{index}].share"), plan.share, 0.0, MAX_SHARE)?;
-        within(&format!("plans[{index}].rate"), plan.rate, 0.0, 1e9)?;
-        within(
+        check_range(&format!("plans[{index}].share"), plan.share, 0.0, MAX_SHARE)?;
+        check_range(&format!("plans[{index}].rate"), plan.rate, 0.0, 1e9)?;
+        check_range(
             &format!("plans[{index}].burst"),
             plan.burst,
             MIN_POSITIVE,
@@ -252,36 +252,36 @@
 }
 
 fn check_rules(rules: &RulesModel) -> CheckResult {
-    within("rules.max_attempts", rules.max_attempts.into(), 1.0, 100.0)?;
-    within(
+    check_range("rules.max_attempts", rules.max_attempts.into(), 1.0, 100.0)?;
+    check_range(
         "rules.slow_start_min_capacity",
         rules.slow_start_min_capacity,
         0.01,
         1.0,
     )?;
-    within(
+    check_range(
         "rules.overload_multiple",
         rules.overload_multiple,
         0.01,
         1000.0,
     )?;
-    within("rules.handshake_price", rules.handshake_price, 0.0, 1000.0)?;
-    within("rules.slow_start_ms", rules.slow_start_ms, 0.0, DAY_MS)?;
-    within("rules.drain_grace_ms", rules.drain_grace_ms, 0.0, DAY_MS)?;
-    within(
+    check_range("rules.handshake_price", rules.handshake_price, 0.0, 1000.0)?;
+    check_range("rules.slow_start_ms", rules.slow_start_ms, 0.0, DAY_MS)?;
+    check_range("rules.drain_grace_ms", rules.drain_grace_ms, 0.0, DAY_MS)?;
+    check_range(
         "rules.overload_window_ms",
         rules.overload_window_ms,
         0.0,
         DAY_MS,
     )?;
-    within(
+    check_range(
         "rules.connect_timeout_ms",
         rules.connect_timeout_ms,
         0.0,
         DAY_MS,
     )?;
-    within("rules.idle_timeout_ms", rules.idle_timeout_ms, 0.0, DAY_MS)?;
-    within(
+    check_range("rules.idle_timeout_ms", rules.idle_timeout_ms, 0.0, DAY_MS)?;
+    check_range(
         "rules.idempotency_window_ms",
         rules.idempotency_window_ms,
         0.0,
@@ -290,13 +290,13 @@
 }
 
 fn check_fault(index: usize, fault: &Fault, topology: &Topology) -> CheckResult {
-    within(
+    check_range(
         &format!("faults[{index}].start_s"),
         fault.start_s(),
         0.0,
         DAY_S,
     )?;
-    within(
+    check_range(
         &format!("faults[{index}].duration_s"),
         fault.duration_s(),
         MIN_POSITIVE,
@@ -305,7 +305,7 @@
     match *fault {
         Fault::ZoneOutage { zone, .. } => {
             let last_zone = f64::from(topology.zones() - 1);
-            within(
+            check_range(
                 &format!("faults[{index}].zone"),
                 zone.into(),
                 0.0,
@@ -314,7 +314,7 @@
         }
         Fault::RegionPartition { region, .. } => {
             let last_region = f64::from(topology.regions - 1);
-            within(
+            check_range(
                 &format!("faults[{index}].region"),
                 region.into(),
                 0.0,
@@ -322,7 +322,7 @@
             )
         }
         Fault::EndpointRollout { share, .. } => {
-            within(&format!("faults[{index}].share"), share, 0.0, 1.0)
+            check_range(&format!("faults[{index}].share"), share, 0.0, 1.0)
         }
         Fault::DiscoveryOutage { .. }
         | Fault::CounterOutage { .. }
--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -33,7 +33,7 @@
 const KIND_BYTES: usize = 16;
 
 /// Converts milliseconds to microseconds of the event clock. The value is limited to 0 to `MAX_MS`.
-pub(crate) fn micros(ms: f64) -> Micros {
+pub(crate) fn ms_to_micros(ms: f64) -> Micros {
     (ms.clamp(0.0, MAX_MS) * 1000.0).round() as Micros
 }
 
--- a/emulator/src/network.rs
+++ b/emulator/src/network.rs
@@ -1,7 +1,7 @@
 //! Model of the network between zones and regions: one-way delays and network partitions.
 
 use crate::experiment::Topology;
-use crate::{micros, Micros};
+use crate::{ms_to_micros, Micros};
 
 pub(crate) struct Network {
     zones_per_region: u32,
@@ -16,9 +16,9 @@
     pub(crate) fn new(topology: &Topology) -> Self {
         Network {
             zones_per_region: topology.zones_per_region,
-            same_zone: micros(topology.same_zone_ms),
-            same_region: micros(topology.same_region_ms),
-            cross_region: micros(topology.cross_region_ms),
+            same_zone: ms_to_micros(topology.same_zone_ms),
+            same_region: ms_to_micros(topology.same_region_ms),
+            cross_region: ms_to_micros(topology.cross_region_ms),
             partitioned: vec![false; topology.regions as usize],
         }
     }
--- a/emulator/src/real/arguments.rs
+++ b/emulator/src/real/arguments.rs
@@ -38,11 +38,11 @@
 impl RealRun {
     /// Checks that the arguments are within their limits and that the program exists.
     pub(super) fn check(&self) -> Result<(), RealRunError> {
-        within("--gateways", self.gateways, MAX_GATEWAYS)?;
-        within("--endpoints", self.endpoints, MAX_ENDPOINTS)?;
-        within("--requests-per-s", self.requests_per_s, MAX_REQUESTS_PER_S)?;
-        within("--seconds", self.seconds, MAX_SECONDS)?;
-        within("--service-ms", self.service_ms, MAX_SERVICE_MS)?;
+        check_range("--gateways", self.gateways, MAX_GATEWAYS)?;
+        check_range("--endpoints", self.endpoints, MAX_ENDPOINTS)?;
+        check_range("--requests-per-s", self.requests_per_s, MAX_REQUESTS_PER_S)?;
+        check_range("--seconds", self.seconds, MAX_SECONDS)?;
+        check_range("--service-ms", self.service_ms, MAX_SERVICE_MS)?;
         if !self.program.is_file() {
             return Err(RealRunError::NoProgram {
                 program: self.program.clone(),
@@ -62,7 +62,7 @@
     }
 }
 
-fn within(argument: &'static str, value: u32, max: u32) -> Result<(), RealRunError> {
+fn check_range(argument: &'static str, value: u32, max: u32) -> Result<(), RealRunError> {
     if (1..=max).contains(&value) {
         return Ok(());
     }
--- a/emulator/src/scaling/mod.rs
+++ b/emulator/src/scaling/mod.rs
@@ -27,7 +27,7 @@
     // Memory is measured before anything is freed, and all gateways are kept until its last measurement: reused memory
     // would not count as growth.
     let mut kept = Vec::new();
-    let memory = over_sizes(|endpoints| memory_kb(endpoints, &mut kept));
+    let memory = at_each_size(|endpoints| memory_kb(endpoints, &mut kept));
     drop(kept);
     vec![
         ScalingLine::fit("memory of the library", "KB", "endpoints", memory),
@@ -35,36 +35,36 @@
             "a request through the library, with its outcome",
             "us",
             "endpoints",
-            over_sizes(|endpoints| request_us(endpoints, rounds)),
+            at_each_size(|endpoints| request_us(endpoints, rounds)),
         ),
         ScalingLine::fit(
             "a complete list taken anew by the library",
             "us",
             "endpoints",
-            over_sizes(|endpoints| complete_list_us(endpoints, rounds / ROUNDS_PER_LIST)),
+            at_each_size(|endpoints| complete_list_us(endpoints, rounds / ROUNDS_PER_LIST)),
         ),
         ScalingLine::fit(
             "a change of one entry taken by the library",
             "us",
             "endpoints",
-            over_sizes(|endpoints| change_us(endpoints, rounds)),
+            at_each_size(|endpoints| change_us(endpoints, rounds)),
         ),
         ScalingLine::fit(
             "a complete list on the wire",
             "KB",
             "endpoints",
-            over_sizes(list_size_kb),
+            at_each_size(list_size_kb),
         ),
         ScalingLine::fit(
             "endpoints used in 2,000 requests",
             "endpoints",
             "endpoints",
-            over_sizes(endpoints_used),
+            at_each_size(endpoints_used),
         ),
     ]
 }
 
-fn over_sizes(mut measure: impl FnMut(u32) -> f64) -> Vec<Point> {
+fn at_each_size(mut measure: impl FnMut(u32) -> f64) -> Vec<Point> {
     let point = |endpoints| Point {
         size: f64::from(endpoints),
         value: measure(endpoints),
--- a/emulator/src/simulation/actions.rs
+++ b/emulator/src/simulation/actions.rs
@@ -3,7 +3,7 @@
 use super::event::{Event, GatewayProcess};
 use super::requests::UnsuccessfulResponse;
 use super::Simulation;
-use crate::micros;
+use crate::ms_to_micros;
 use quota_gateway::{Action, Event as GatewayEvent, Outcome};
 use std::collections::VecDeque;
 
@@ -43,8 +43,10 @@
             Action::Fail { id } => self.respond_unsuccessfully(id, UnsuccessfulResponse::Failed),
             Action::SetTimer { token, after_ms } => {
                 let process = self.gateways[gateway as usize].process;
-                self.queue
-                    .schedule_in(micros(after_ms), Event::GatewayTimer { process, token });
+                self.queue.schedule_in(
+                    ms_to_micros(after_ms),
+                    Event::GatewayTimer { process, token },
+                );
             }
             Action::AddToCounter {
                 key,
--- a/emulator/src/simulation/attempts.rs
+++ b/emulator/src/simulation/attempts.rs
@@ -5,7 +5,7 @@
 use super::requests::FirstExecution;
 use super::Simulation;
 use crate::endpoint::{Arrival, EndpointStatus};
-use crate::{micros, Micros};
+use crate::{ms_to_micros, Micros};
 use quota_gateway::{AttemptEnd, Event as GatewayEvent, Outcome};
 
 /// An attempt whose end the gateway awaits, or that its endpoint has not completed.
@@ -67,7 +67,7 @@
                 actual_units,
             },
         );
-        let times_out_at = (self.queue.now() + micros(timeout_ms)).min(deadline);
+        let times_out_at = (self.queue.now() + ms_to_micros(timeout_ms)).min(deadline);
         self.queue.schedule(
             times_out_at,
             Event::AttemptEnds {
@@ -90,7 +90,7 @@
             // Opening a new connection fails after the connect timeout. On an open connection no response arrives until
             // the attempt times out.
             if connection.is_new {
-                let connect_timeout = micros(self.experiment.rules.connect_timeout_ms);
+                let connect_timeout = ms_to_micros(self.experiment.rules.connect_timeout_ms);
                 let outcome = Outcome::ConnectFailed;
                 self.queue
                     .schedule_in(connect_timeout, Event::AttemptEnds { attempt, outcome });
--- a/emulator/src/simulation/connections.rs
+++ b/emulator/src/simulation/connections.rs
@@ -2,7 +2,7 @@
 
 use super::event::Event;
 use super::{Simulation, IDLE_CHECK_INTERVAL};
-use crate::{micros, Micros};
+use crate::{ms_to_micros, Micros};
 use quota_gateway::Outcome;
 
 /// Connection that an attempt uses.
@@ -39,7 +39,7 @@
     /// Idle time after which a gateway closes a connection: half of the idle timeout of the rules, as in the gateway's
     /// program. Later the endpoint may be about to close the connection.
     fn max_idle_time(&self) -> Micros {
-        micros(self.experiment.rules.idle_timeout_ms / 2.0)
+        ms_to_micros(self.experiment.rules.idle_timeout_ms / 2.0)
     }
 
     /// Returns the connection of an ended attempt to the idle ones after a response; closes it otherwise.
--- a/emulator/src/simulation/counter_calls.rs
+++ b/emulator/src/simulation/counter_calls.rs
@@ -2,7 +2,7 @@
 
 use super::event::{Event, GatewayProcess};
 use super::Simulation;
-use crate::{micros, Micros};
+use crate::{ms_to_micros, Micros};
 use quota_gateway::{Event as GatewayEvent, Outcome};
 
 /// A call whose reply the gateway awaits.
@@ -34,7 +34,7 @@
             self.recorder.report.counter.calls += 1;
         }
         if let Some(delay) = self.network.delay(gateway_zone, counter_zone) {
-            let ttl = micros(ttl_ms);
+            let ttl = ms_to_micros(ttl_ms);
             self.queue
                 .schedule_in(delay, Event::CounterCallArrives { call, amount, ttl });
         }
--- a/emulator/src/simulation/faults.rs
+++ b/emulator/src/simulation/faults.rs
@@ -4,7 +4,7 @@
 use super::Simulation;
 use crate::endpoint::{EmulatedEndpoint, EndpointStatus};
 use crate::experiment::Fault;
-use crate::{micros, Micros};
+use crate::{ms_to_micros, Micros};
 
 /// Time that a gateway in shutdown has to complete its requests.
 const GATEWAY_SHUTDOWN: Micros = 3_200_000;
@@ -81,7 +81,7 @@
     fn schedule_gateway_rollout(&mut self, duration_s: f64) {
         let count = self.gateways.len() as u64;
         for index in 0..count {
-            let delay = micros(duration_s * 1000.0) * index / count;
+            let delay = ms_to_micros(duration_s * 1000.0) * index / count;
             self.queue.schedule_in(
                 delay,
                 Event::GatewayShutsDown {
@@ -120,7 +120,7 @@
     fn schedule_endpoint_rollout(&mut self, duration_s: f64, share: f64) {
         let step_share = share / f64::from(ENDPOINT_ROLLOUT_STEPS);
         for step in 0..ENDPOINT_ROLLOUT_STEPS {
-            let delay = micros(duration_s * 1000.0) * Micros::from(step)
+            let delay = ms_to_micros(duration_s * 1000.0) * Micros::from(step)
                 / Micros::from(ENDPOINT_ROLLOUT_STEPS);
             self.queue
                 .schedule_in(delay, Event::EndpointsReplaced { share: step_share });
--- a/emulator/src/simulation/mod.rs
+++ b/emulator/src/simulation/mod.rs
@@ -20,7 +20,7 @@
 use crate::experiment::{Experiment, ExperimentError};
 use crate::network::Network;
 use crate::report::Report;
-use crate::{micros, seeded_rng, Micros};
+use crate::{ms_to_micros, seeded_rng, Micros};
 use attempts::Attempt;
 use counter_calls::CounterCall;
 use event::{Event, GatewayProcess};
@@ -97,7 +97,7 @@
             experiment,
             seed,
             settings: experiment.settings(),
-            ends_at: micros(experiment.seconds * 1000.0),
+            ends_at: ms_to_micros(experiment.seconds * 1000.0),
             queue: EventQueue::default(),
             gateways: Vec::new(),
             gateway_starts: 0,
@@ -130,8 +130,8 @@
                 .schedule(at, Event::IdleConnectionCheck { gateway: index });
         }
         for (fault, model) in self.experiment.faults.iter().enumerate() {
-            let starts_at = micros(model.start_s() * 1000.0);
-            let ends_at = micros((model.start_s() + model.duration_s()) * 1000.0);
+            let starts_at = ms_to_micros(model.start_s() * 1000.0);
+            let ends_at = ms_to_micros((model.start_s() + model.duration_s()) * 1000.0);
             self.queue.schedule(starts_at, Event::FaultStarts { fault });
             self.queue.schedule(ends_at, Event::FaultEnds { fault });
         }
@@ -157,7 +157,7 @@
             .classes
             .iter()
             .map(|class| class.deadline_ms);
-        let longest_deadline = micros(deadlines_ms.fold(0.0, f64::max));
+        let longest_deadline = ms_to_micros(deadlines_ms.fold(0.0, f64::max));
         let last_response_by = self.ends_at + longest_deadline + 2 * RESPONSE_SLACK;
         let mut progress = Progress::new();
         while let Some(event) = self.queue.pop() {
--- a/emulator/src/simulation/recorder.rs
+++ b/emulator/src/simulation/recorder.rs
@@ -4,7 +4,7 @@
 use crate::endpoint::{EmulatedEndpoint, EndpointStatus};
 use crate::experiment::Experiment;
 use crate::report::{Distribution, Report, Window};
-use crate::{micros, Micros};
+use crate::{ms_to_micros, Micros};
 use hdrhistogram::Histogram;
 
 /// Length of a time window of the report.
@@ -32,7 +32,7 @@
         Recorder {
             report,
             latency: latency_histogram(),
-            measure_from: micros(experiment.measure_from_s * 1000.0),
+            measure_from: ms_to_micros(experiment.measure_from_s * 1000.0),
         }
     }
 
--- a/emulator/src/simulation/requests.rs
+++ b/emulator/src/simulation/requests.rs
@@ -3,7 +3,7 @@
 use super::event::{Event, GatewayProcess};
 use super::{Simulation, RESPONSE_SLACK};
 use crate::clients::ClientRequest;
-use crate::{micros, Micros};
+use crate::{ms_to_micros, Micros};
 use quota_gateway::{Event as GatewayEvent, Request};
 
 /// A request that awaits its final response or has attempts in flight.
@@ -62,7 +62,7 @@
         };
         let id = self.queue.next_id();
         let deadline_ms = self.experiment.classes[client_request.class as usize].deadline_ms;
-        let deadline = micros(deadline_ms);
+        let deadline = ms_to_micros(deadline_ms);
         self.queue.schedule_in(
             deadline + RESPONSE_SLACK,
             Event::DeadlinePasses { request: id },
@@ -161,8 +161,8 @@
         open.answered = true;
         let latency = now - open.arrived_at;
         let class = &self.experiment.classes[open.client_request.class as usize];
-        let on_time = latency <= micros(class.latency_objective_ms);
-        let after_deadline = latency > micros(class.deadline_ms) + RESPONSE_SLACK;
+        let on_time = latency <= ms_to_micros(class.latency_objective_ms);
+        let after_deadline = latency > ms_to_micros(class.deadline_ms) + RESPONSE_SLACK;
         self.record_success(latency, on_time);
         if after_deadline {
             let violations = &mut self.recorder.report.violations;
@@ -267,6 +267,6 @@
 
     pub(super) fn deadline_of(&self, open: &OpenRequest) -> Micros {
         let class = &self.experiment.classes[open.client_request.class as usize];
-        open.arrived_at + micros(class.deadline_ms)
+        open.arrived_at + ms_to_micros(class.deadline_ms)
     }
 }
--- a/emulator/src/simulation/rule_checks.rs
+++ b/emulator/src/simulation/rule_checks.rs
@@ -4,7 +4,7 @@
 use super::requests::OpenRequest;
 use super::Simulation;
 use crate::experiment::IdempotencyModel;
-use crate::{micros, Micros};
+use crate::{ms_to_micros, Micros};
 
 /// Time after a client's disconnect within which attempts may still be sent.
 const DISCONNECT_GRACE: Micros = 100_000;
@@ -48,7 +48,8 @@
         let Some(first) = open.first_execution else {
             return false;
         };
-        let key_expires_at = first.sent_at + micros(self.experiment.rules.idempotency_window_ms);
+        let key_expires_at =
+            first.sent_at + ms_to_micros(self.experiment.rules.idempotency_window_ms);
         let key_expired = self.queue.now() > key_expires_at;
         match idempotency {
             IdempotencyModel::KeyPerZone => {
@@ -68,7 +69,7 @@
         else {
             return;
         };
-        if now <= notified_at + micros(self.experiment.rules.drain_grace_ms) {
+        if now <= notified_at + ms_to_micros(self.experiment.rules.drain_grace_ms) {
             return;
         }
         let late_ms = (now - notified_at) / 1000;
