--- a/src/bin/quota-gateway/lifecycle/mod.rs
+++ b/src/bin/quota-gateway/lifecycle/mod.rs
@@ -110,7 +110,7 @@
     }
 
     /// Waits until this phase or a later one is entered.
-    pub async fn reached(&self, phase: Phase) {
+    pub async fn wait_for_phase(&self, phase: Phase) {
         // Waiting fails only without a sender, and `self` holds one.
         let _ = self.subscribe().wait_for(|current| *current >= phase).await;
     }
--- a/src/bin/quota-gateway/server/body.rs
+++ b/src/bin/quota-gateway/server/body.rs
@@ -35,7 +35,7 @@
             // The body is polled first, so that a request whose body has arrived is served rather than refused.
             biased;
             body = read_body(body, deadline) => body.map(Some),
-            () = self.lifecycle.reached(Phase::Refusing) => Ok(None),
+            () = self.lifecycle.wait_for_phase(Phase::Refusing) => Ok(None),
         }
     }
 }
