--- a/src/bin/quota-gateway/server/slots.rs
+++ b/src/bin/quota-gateway/server/slots.rs
@@ -37,7 +37,7 @@
     }
 
     /// Waits until all connections are closed.
-    pub async fn all_free(&self) {
+    pub async fn wait_until_all_free(&self) {
         let _ = self.semaphore.acquire_many(self.total).await;
     }
 }
--- a/src/bin/quota-gateway/shutdown.rs
+++ b/src/bin/quota-gateway/shutdown.rs
@@ -84,7 +84,7 @@
         let drained = async {
             self.acceptor.ended().await;
             tokio::select! {
-                () = self.client_slots.all_free() => {}
+                () = self.client_slots.wait_until_all_free() => {}
                 () = until_idle(&self.server, timeline.idle_exit_from) => {}
             }
         };
@@ -109,7 +109,7 @@
     /// may still be in the listener's queue although all slots are free.
     async fn all_connections_ended(&mut self) {
         self.acceptor.ended().await;
-        self.client_slots.all_free().await;
+        self.client_slots.wait_until_all_free().await;
     }
 
     fn report_unanswered(&self) {
