--- a/src/bin/quota-gateway/server/accept.rs
+++ b/src/bin/quota-gateway/server/accept.rs
@@ -47,7 +47,7 @@
     }
 
     /// Waits until the task has ended.
-    pub async fn ended(&mut self) {
+    pub async fn wait_until_ended(&mut self) {
         if let Some(task) = &mut self.task {
             let _ = task.await;
             self.task = None;
--- a/src/bin/quota-gateway/shutdown.rs
+++ b/src/bin/quota-gateway/shutdown.rs
@@ -82,7 +82,7 @@
     /// connections may still be in the listener's queue even if all slots are free and no client is busy.
     async fn wait_for_open_requests(&mut self, timeline: &Timeline) {
         let drained = async {
-            self.acceptor.ended().await;
+            self.acceptor.wait_until_ended().await;
             tokio::select! {
                 () = self.client_slots.wait_until_all_free() => {}
                 () = until_idle(&self.server, timeline.idle_exit_from) => {}
@@ -108,7 +108,7 @@
     /// Returns when the last connection has closed. Waits for the acceptor first: while the acceptor runs, a connection
     /// may still be in the listener's queue although all slots are free.
     async fn all_connections_ended(&mut self) {
-        self.acceptor.ended().await;
+        self.acceptor.wait_until_ended().await;
         self.client_slots.wait_until_all_free().await;
     }
 
