--- a/src/bin/quota-gateway/driver/actions.rs
+++ b/src/bin/quota-gateway/driver/actions.rs
@@ -13,13 +13,13 @@
 use tokio::time::{sleep, Instant};
 
 impl Driver {
-    /// Passes an event to the library and carries out the actions that it returns, then handles the events that these
-    /// actions return at once.
+    /// Passes an event to the library and carries out the actions that the library returns. An action that fails at
+    /// once yields another event, which is then handled in the same way.
     pub(super) fn dispatch(self: &Rc<Self>, event: Event) {
         let mut events = VecDeque::from([event]);
         let mut actions = self.actions.take();
         while let Some(event) = events.pop_front() {
-            self.decisions
+            self.library
                 .borrow_mut()
                 .handle(self.clock.now_ms(), event, &mut actions);
             for action in actions.drain(..) {
@@ -120,7 +120,8 @@
         });
     }
 
-    /// Queues an increment of the shared counter. If the queue is full, returns the event that rejects the call.
+    /// Queues an increment of the shared counter. If the queue is full, returns the event that reports the call
+    /// as rejected.
     fn add_to_counter(&self, key: u64, amount: f64, ttl_ms: f64) -> Option<Event> {
         let counter = self.counter.as_ref()?;
         if counter.call(IncrementCall {
--- a/src/bin/quota-gateway/driver/attempts.rs
+++ b/src/bin/quota-gateway/driver/attempts.rs
@@ -177,7 +177,7 @@
         })
     }
 
-    fn refusal(&self) -> Option<Outcome> {
+    fn check_before_write(&self) -> Option<Outcome> {
         let refusal = enforce_before_write(&self.state_before_write()).err()?;
         let label = AttemptRefusal::from(refusal);
         self.sender.metrics.attempt_refusals.increment(label);
--- a/src/bin/quota-gateway/driver/endpoint_ids.rs
+++ b/src/bin/quota-gateway/driver/endpoint_ids.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 /// Time for which the id of a removed endpoint is kept. It exceeds the time for which the library remembers a removed
-/// endpoint, `FORGET_REMOVED_MS` (60 s) of `policy::load_balancer`.
+/// endpoint after its last success, `FORGET_AFTER_LAST_SUCCESS_MS` (60 s) of `policy::load_balancer`.
 pub const REMOVED_ID_RETENTION: Duration = Duration::from_secs(90);
 
 /// Maps endpoint names to ids. No id is assigned twice. The id of a removed endpoint is kept while the library may
@@ -34,13 +34,14 @@
 }
 
 impl EndpointIds {
-    /// Returns the id of a listed endpoint and its start time in Unix milliseconds. `estimate` is called if the listed
-    /// start is later than the one recorded for this name.
-    pub fn get_or_assign(
+    /// Records an entry of the endpoint list. Returns the endpoint's id, which is assigned if the name is new, and its
+    /// start time in Unix milliseconds. `removed` is true if the entry reports the endpoint's removal. `estimate` is
+    /// called if the listed start time is later than the one recorded for this name.
+    pub fn record_entry(
         &mut self,
         name: String,
         removed: bool,
-        listed_ms: f64,
+        listed_start_ms: f64,
         estimate: impl FnOnce() -> f64,
     ) -> (EndpointId, f64) {
         let removed_at = removed.then(Instant::now);
@@ -52,17 +53,17 @@
                 removed_at,
             }
         });
-        if listed_ms > assigned.start.listed_ms {
+        if listed_start_ms > assigned.start.listed_ms {
             assigned.start = StartTime {
-                listed_ms,
+                listed_ms: listed_start_ms,
                 estimated_ms: estimate(),
             };
         }
         assigned.removed_at = removed_at;
-        let started_ms = if listed_ms > 0.0 {
+        let started_ms = if listed_start_ms > 0.0 {
             assigned.start.estimated_ms
         } else {
-            listed_ms
+            listed_start_ms
         };
         (assigned.id, started_ms)
     }
--- a/src/bin/quota-gateway/driver/endpoints.rs
+++ b/src/bin/quota-gateway/driver/endpoints.rs
@@ -128,7 +128,7 @@
         let is_removed = state == EndpointState::Removed;
         let (id, started_at) =
             self.ids
-                .get_or_assign(entry.id, is_removed, entry.started_ms, estimate);
+                .record_entry(entry.id, is_removed, entry.started_ms, estimate);
         self.record_state(id, state, started_at);
         match entry.addr {
             Some(addr) if !is_removed => {
--- a/src/bin/quota-gateway/driver/events.rs
+++ b/src/bin/quota-gateway/driver/events.rs
@@ -1,5 +1,5 @@
-//! Converts what happens outside the decision library to its events: requests, ends of attempts, counter replies,
-//! gossip messages and endpoint lists.
+//! Passes input to the decision library as events: requests, ends of attempts, counter replies, gossip messages and
+//! endpoint lists.
 
 use super::attempts::{AttemptReport, AttemptReportHandler};
 use super::messages::{ForwardedRequest, IncomingRequest, StartedRequest};
--- a/src/bin/quota-gateway/driver/messages.rs
+++ b/src/bin/quota-gateway/driver/messages.rs
@@ -29,7 +29,7 @@
     pub is_retry: bool,
     /// Time from `received_at` until the client's deadline, in ms.
     pub remaining_ms: f64,
-    /// Time at which the request's head was complete.
+    /// Time at which the request's head had arrived. A pipelined head may have arrived long before it is handled.
     pub received_at: Instant,
 }
 
--- a/src/bin/quota-gateway/driver/mod.rs
+++ b/src/bin/quota-gateway/driver/mod.rs
@@ -1,8 +1,8 @@
-//! Drives the decision library: converts what happens to events of the library and carries out the library's actions.
-//! Only the driver gives a request its final response, and it does so once.
+//! Drives the decision library: passes input to the library as events, and carries out the actions that the library
+//! returns. Only the driver gives a request its final response, and it does so once.
 //!
-//! Calls go in one direction only: `events` calls `actions`, which calls `attempts` and the modules below it. Attempts
-//! report to a trait that `attempts` defines and `events` implements.
+//! Calls go in one direction only: `events` calls `actions`, which calls `attempts` and the modules listed below it.
+//! Attempts report to a trait that `attempts` defines and `events` implements.
 //!
 //! - `events`: input from the server, attempts, the counter, other gateways and discovery
 //! - `actions`: the event loop of the library, and the actions that the library requests
@@ -73,7 +73,8 @@
 /// across an `await`.
 pub struct Driver {
     clock: Clock,
-    decisions: RefCell<Gateway>,
+    /// The decision library and its state.
+    library: RefCell<Gateway>,
     /// Buffer for the library's actions, reused to save allocations; empty between two events.
     actions: RefCell<Vec<Action>>,
     registry: Rc<RefCell<RequestRegistry>>,
@@ -109,7 +110,7 @@
         // Request ids start from the clock, so that no request gets an id that was in use before a restart.
         let first_id = (clock.now_ms() as u64) << REQUEST_ID_SHIFT;
         let rule_checker = Rc::new(RuleChecker::new(&settings.rules, metrics.clone()));
-        let decisions = Gateway::new(settings, seed, clock.now_ms());
+        let library = Gateway::new(settings, seed, clock.now_ms());
         let registry = Rc::new(RefCell::new(RequestRegistry::new(
             first_id, limits, max_units,
         )));
@@ -126,7 +127,7 @@
         });
         Rc::new(Driver {
             clock,
-            decisions: RefCell::new(decisions),
+            library: RefCell::new(library),
             actions: RefCell::default(),
             registry,
             endpoints,
--- a/src/bin/quota-gateway/driver/registry.rs
+++ b/src/bin/quota-gateway/driver/registry.rs
@@ -1,4 +1,4 @@
-//! The registry of open requests and their attempts. Only the registry knows who waits for a final response.
+//! The registry of open requests and their attempts. Only the registry holds the channels for final responses.
 
 use super::enforcement::{enforce_before_start, AttemptLimits, AttemptToStart, StartRefusal};
 use super::messages::FinalResponse;
--- a/src/bin/quota-gateway/driver/rule_checks.rs
+++ b/src/bin/quota-gateway/driver/rule_checks.rs
@@ -88,7 +88,8 @@
     /// Returns the rules that an attempt broke when it was written. `is_within_share` is true if its endpoint has got
     /// no more attempts than slow start allows.
     fn broken_rules(&self, attempt: &WrittenAttempt<'_>, is_within_share: bool) -> Vec<Rule> {
-        let since = |at: Option<Instant>| at.map_or(Duration::ZERO, |at| attempt.written_at - at);
+        let time_since =
+            |at: Option<Instant>| at.map_or(Duration::ZERO, |at| attempt.written_at - at);
         let record = attempt.record;
         let time_left = record
             .client_deadline
@@ -96,11 +97,11 @@
         let checks = [
             (
                 Rule::SendForClosedRequest,
-                since(record.ended_at) > CLOSED_REQUEST_GRACE,
+                time_since(record.ended_at) > CLOSED_REQUEST_GRACE,
             ),
             (
                 Rule::SendToDraining,
-                since(attempt.not_ready_since) > self.drain_grace + SOCKET_TOLERANCE,
+                time_since(attempt.not_ready_since) > self.drain_grace + SOCKET_TOLERANCE,
             ),
             (
                 Rule::RemainingTime,
@@ -108,7 +109,7 @@
             ),
             (
                 Rule::SendWhileRefusing,
-                since(attempt.refusing_since) > STALL_TOLERANCE,
+                time_since(attempt.refusing_since) > STALL_TOLERANCE,
             ),
             (
                 Rule::UnsafeRetry,
--- a/src/bin/quota-gateway/driver/rule_checks/tests.rs
+++ b/src/bin/quota-gateway/driver/rule_checks/tests.rs
@@ -83,13 +83,13 @@
     case.not_ready_since = Some(case.now - ms(2051));
     case.propagated_remaining = SECOND + ms(151);
     case.start_deadline = case.now - ms(151);
-    let all = [
+    let expected = [
         Rule::SendForClosedRequest,
         Rule::SendToDraining,
         Rule::RemainingTime,
         Rule::UnsafeRetry,
     ];
-    assert_eq!(case.broken_rules(), all);
+    assert_eq!(case.broken_rules(), expected);
     let mut case = Case::new();
     case.refusing_since = Some(case.now - ms(150));
     assert_eq!(case.broken_rules(), []);
--- a/src/bin/quota-gateway/driver/slow_start_check/tests.rs
+++ b/src/bin/quota-gateway/driver/slow_start_check/tests.rs
@@ -40,15 +40,10 @@
 fn attempts_older_than_the_window_do_not_count() {
     let mut check = check();
     let start = Instant::now();
-    for second in 0..100 {
+    for step in 0..100 {
         assert!(
-            check.record(
-                2,
-                Some(0.0),
-                10,
-                start + Duration::from_millis(300 * second)
-            ),
-            "{second}"
+            check.record(2, Some(0.0), 10, start + Duration::from_millis(300 * step)),
+            "{step}"
         );
     }
 }
--- a/src/bin/quota-gateway/upstream/attempt.rs
+++ b/src/bin/quota-gateway/upstream/attempt.rs
@@ -33,9 +33,9 @@
 }
 
 impl ConnectionPool {
-    /// Sends one request and waits for its response. The connection is closed before this returns, unless the response
-    /// is complete and the connection can be reused. Dropping the future closes the connection as well. The request may
-    /// be refused right before its first byte (`OutgoingRequest::refusal`).
+    /// Sends one request and waits for its response. The connection is kept for reuse if the response is complete and
+    /// allows it, or if the request was refused right before its first byte (`OutgoingRequest::check_before_write`).
+    /// Otherwise the connection is closed before this returns. Dropping the future closes the connection as well.
     pub async fn attempt(
         &self,
         target: Target,
@@ -88,7 +88,7 @@
                     self.put_back(target, connection);
                     return Err(outcome);
                 }
-                // A connection that broke while idle says nothing about its endpoint, so another one is tried.
+                // A connection that broke while idle says nothing about its endpoint, so another connection is tried.
                 Ok(Err(_)) if is_reused => {}
                 Ok(Err(_)) => return Err(Outcome::ConnectFailed),
                 Err(_) => return Err(Outcome::NotSent),
--- a/src/bin/quota-gateway/upstream/connection.rs
+++ b/src/bin/quota-gateway/upstream/connection.rs
@@ -98,7 +98,7 @@
                         return Err(ErrorKind::ConnectionReset.into());
                     }
                 }
-                if let Some(outcome) = request.refusal() {
+                if let Some(outcome) = request.check_before_write() {
                     return Ok(WriteResult::Refused(outcome));
                 }
                 message = request.encode();
--- a/src/bin/quota-gateway/upstream/connection/tests.rs
+++ b/src/bin/quota-gateway/upstream/connection/tests.rs
@@ -24,7 +24,7 @@
         }))
     }
 
-    fn refusal(&self) -> Option<Outcome> {
+    fn check_before_write(&self) -> Option<Outcome> {
         None
     }
 
@@ -33,8 +33,9 @@
     }
 }
 
-/// An endpoint closes an idle connection while a request is being prepared for it. The request would end as a reset and
-/// might have been executed, so that one that is not idempotent would fail. Nothing must be written.
+/// An endpoint closes an idle connection while a request is being prepared for it. If the request were written on that
+/// connection, its attempt would end as a reset and might have been executed, so a request that is not idempotent would
+/// fail. Nothing must be written.
 #[tokio::test]
 async fn nothing_is_written_on_a_connection_closed_during_preparation() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/src/bin/quota-gateway/upstream/pool.rs
+++ b/src/bin/quota-gateway/upstream/pool.rs
@@ -49,27 +49,28 @@
     }
 }
 
-/// The idle connections to all endpoints, and their current addresses.
+/// The idle connections and the current addresses of all listed endpoints.
 pub struct ConnectionPool {
     /// The listed endpoints, each with its current address and idle connections.
     endpoints: RefCell<HashMap<EndpointId, EndpointConnections>>,
     open: OpenConnections,
     max_open: usize,
     connect_timeout: Duration,
-    idle_timeout: Duration,
+    /// Idle time after which a connection is no longer reused.
+    usable_idle_time: Duration,
 }
 
 impl ConnectionPool {
-    /// Creates an empty pool with at most `max_open` connections, each established within `connect_ms`. `idle_ms` is
-    /// the idle time after which endpoints close a connection; a connection that was idle for `USABLE_IDLE_SHARE` of it
-    /// is not reused.
-    pub fn new(max_open: usize, connect_ms: f64, idle_ms: f64) -> Self {
+    /// Creates an empty pool with at most `max_open` connections, each established within `connect_timeout_ms`.
+    /// `idle_timeout_ms` is the idle time after which endpoints close a connection; a connection that was idle for
+    /// `USABLE_IDLE_SHARE` of it is not reused.
+    pub fn new(max_open: usize, connect_timeout_ms: f64, idle_timeout_ms: f64) -> Self {
         ConnectionPool {
             endpoints: RefCell::default(),
             open: OpenConnections::default(),
             max_open,
-            connect_timeout: Duration::from_secs_f64(connect_ms / 1000.0),
-            idle_timeout: Duration::from_secs_f64(idle_ms * USABLE_IDLE_SHARE / 1000.0),
+            connect_timeout: Duration::from_secs_f64(connect_timeout_ms / 1000.0),
+            usable_idle_time: Duration::from_secs_f64(idle_timeout_ms * USABLE_IDLE_SHARE / 1000.0),
         }
     }
 
@@ -160,7 +161,7 @@
     }
 
     fn is_reusable(&self, connection: &Connection) -> bool {
-        connection.idle_since.elapsed() < self.idle_timeout && connection.is_usable()
+        connection.idle_since.elapsed() < self.usable_idle_time && connection.is_usable()
     }
 
     fn close_longest_idle(&self) {
