--- a/src/bin/quota-gateway/config/file.rs
+++ b/src/bin/quota-gateway/config/file.rs
@@ -44,16 +44,16 @@
     /// Names of endpoint kinds; elsewhere a kind is an index into this list.
     pub kinds: Vec<String>,
     /// Request classes.
-    pub categories: Vec<Named>,
+    pub categories: Vec<ClassOrPlan>,
     /// Customer plans.
-    pub tiers_of_service: Vec<Named>,
+    pub tiers_of_service: Vec<ClassOrPlan>,
     pub domain: GossipLimits,
     pub limits: ConnectionLimits,
 }
 
 /// A class or plan. The decision library identifies it by index only.
 #[derive(Deserialize)]
-pub struct Named {
+pub struct ClassOrPlan {
     /// Name of the class or plan in requests.
     pub name: String,
 }
--- a/src/bin/quota-gateway/config/mod.rs
+++ b/src/bin/quota-gateway/config/mod.rs
@@ -12,7 +12,7 @@
 use crate::discovery::list::EndpointList;
 use crate::retry::retry;
 use error::FieldProblem;
-use file::{LibraryFile, Named, ProgramFile};
+use file::{LibraryFile, ClassOrPlan, ProgramFile};
 use quota_gateway::Settings;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -20,8 +20,8 @@
 
 /// Environment variable with the path of the configuration file.
 const CONFIG_VARIABLE: &str = "RELAY_CONFIG";
-/// Time for which reading the file is retried. After SIGHUP the previous addresses work for another 1.5 s, and the
-/// gateway counts as notified of changes at the new discovery service 4 s later.
+/// Time for which reading the file is retried. After SIGHUP the previous addresses work for another 1.5 s. The gateway
+/// counts as notified of changes at the new discovery service 4 s after SIGHUP.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A checked configuration.
@@ -120,6 +120,6 @@
     })
 }
 
-fn names(entries: Vec<Named>) -> Vec<String> {
+fn names(entries: Vec<ClassOrPlan>) -> Vec<String> {
     entries.into_iter().map(|entry| entry.name).collect()
 }
--- a/src/bin/quota-gateway/lifecycle/timeline.rs
+++ b/src/bin/quota-gateway/lifecycle/timeline.rs
@@ -17,7 +17,8 @@
 /// Time by which the termination grace period exceeds the longest request deadline.
 const GRACE_MARGIN: Duration = Duration::from_millis(700);
 /// Time planned for one stall of the process, at any point of the shutdown. With this margin the process ends before
-/// SIGKILL, unless one of the delays that the plan leaves out (see the module) is added to a stall of this length.
+/// SIGKILL, unless one of the delays that the plan leaves out (see the head of this module) is added to a stall of this
+/// length.
 const MAX_STALL: Duration = Duration::from_millis(150);
 /// Time from the last check of the connections until the process has exited: tasks are dropped and the log is flushed.
 const EXIT_TIME: Duration = Duration::from_millis(70);
--- a/src/bin/quota-gateway/shutdown.rs
+++ b/src/bin/quota-gateway/shutdown.rs
@@ -85,7 +85,7 @@
             self.acceptor.wait_until_ended().await;
             tokio::select! {
                 () = self.client_slots.wait_until_all_free() => {}
-                () = until_idle(&self.server, timeline.idle_exit_from) => {}
+                () = wait_until_idle(&self.server, timeline.idle_exit_from) => {}
             }
         };
         let _ = timeout_at(timeline.refusing_at, drained).await;
@@ -97,17 +97,17 @@
     /// arrived during the stall would be dropped unread. An additional `LAST_READ_TIME` lets the connections read and
     /// refuse them.
     async fn wait_for_connections(&mut self) {
-        if timeout(CLOSING_TIME, self.all_connections_ended())
+        if timeout(CLOSING_TIME, self.wait_until_all_connections_ended())
             .await
             .is_err()
         {
-            let _ = timeout(LAST_READ_TIME, self.all_connections_ended()).await;
+            let _ = timeout(LAST_READ_TIME, self.wait_until_all_connections_ended()).await;
         }
     }
 
     /// Returns when the last connection has closed. Waits for the acceptor first: while the acceptor runs, a connection
     /// may still be in the listener's queue although all slots are free.
-    async fn all_connections_ended(&mut self) {
+    async fn wait_until_all_connections_ended(&mut self) {
         self.acceptor.wait_until_ended().await;
         self.client_slots.wait_until_all_free().await;
     }
@@ -127,7 +127,7 @@
 /// Guards against an exit right after a stall: requests that arrived during the stall are unread in the sockets, so
 /// their clients do not count as busy yet, and the requests would be lost. Between two checks the connections read what
 /// has arrived, so the second check finds these clients busy.
-async fn until_idle(server: &Server, not_before: Instant) {
+async fn wait_until_idle(server: &Server, not_before: Instant) {
     sleep_until(not_before).await;
     let mut idle_checks = 0;
     while idle_checks < IDLE_CHECKS {
--- a/src/bin/quota-gateway/signals.rs
+++ b/src/bin/quota-gateway/signals.rs
@@ -38,6 +38,10 @@
 impl Signals {
     /// Registers the handlers. A signal that arrives earlier ends the process by the system's default action, so the
     /// program calls this first.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the system refuses a handler or a pipe.
     pub fn register() -> io::Result<Self> {
         Ok(Signals {
             terminate: RegisteredSignal::new(SIGTERM)?,
@@ -63,6 +67,10 @@
     }
 
     /// Converts to a stream on which a task of the runtime waits for the signal.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the runtime can't watch the pipe.
     pub fn listen(self) -> io::Result<SignalStream> {
         Ok(SignalStream {
             received: self.received,
--- a/src/bin/quota-gateway/signals/tests.rs
+++ b/src/bin/quota-gateway/signals/tests.rs
@@ -11,8 +11,8 @@
 const MAX_DELAY: Duration = Duration::from_millis(100);
 
 /// The byte that wakes the task is lost, as a write to the pipe may fail. If the signal were not noticed, the process
-/// would run until SIGKILL, which follows a deadline and 0.7 s after SIGTERM. The signal must still be noticed, with
-/// time left for the shutdown.
+/// would run until SIGKILL, which follows 0.7 s plus the longest request deadline after SIGTERM. The signal must still
+/// be noticed, with time left for the shutdown.
 #[tokio::test(start_paused = true)]
 async fn a_signal_whose_byte_was_lost_is_noticed_in_time() {
     for set_after in [0, 3, 60, 130, 470] {
--- a/src/bin/quota-gateway/startup.rs
+++ b/src/bin/quota-gateway/startup.rs
@@ -175,8 +175,7 @@
     }
 }
 
-/// The division of the process's file descriptors: three fifths of those not reserved for clients, the rest for
-/// endpoints.
+/// The division of the file descriptors that are not reserved: three fifths are for clients, the rest for endpoints.
 struct DescriptorBudget {
     clients: u32,
     endpoints: usize,
