--- a/soak/src/clients/shutdown.rs
+++ b/soak/src/clients/shutdown.rs
@@ -151,7 +151,7 @@
     /// Waits for a response. Returns false if no further response can follow on the connection.
     async fn receive(&self, connection: &mut Connection, request: &Request) -> bool {
         match receive(&self.context, connection, request).await {
-            Outcome::Response(response) => return !response.closes(),
+            Outcome::Response(response) => return !response.closes_connection(),
             Outcome::Closed(close) => self.check_closed(request, close),
             Outcome::TimedOut => self.report_lost(request, "no response in time"),
         }
