--- a/src/bin/quota-gateway/config/mod.rs
+++ b/src/bin/quota-gateway/config/mod.rs
@@ -12,7 +12,7 @@
 use crate::discovery::list::EndpointList;
 use crate::retry::retry;
 use error::FieldProblem;
-use file::{LibraryFile, ClassOrPlan, ProgramFile};
+use file::{ClassOrPlan, LibraryFile, ProgramFile};
 use quota_gateway::Settings;
 use serde::Deserialize;
 use std::net::SocketAddr;
