--- a/emulator/src/network.rs
+++ b/emulator/src/network.rs
@@ -1,14 +1,14 @@
-//! The network between zones and regions: delays, and regions that are partitioned off.
+//! Model of the network between zones and regions: one-way delays and network partitions.
 
 use crate::experiment::Topology;
-use crate::{micros, Micros};
+use crate::{ms_to_micros, Micros};
 
 pub(crate) struct Network {
     zones_per_region: u32,
     same_zone: Micros,
     same_region: Micros,
     cross_region: Micros,
-    /// For each region, whether it is cut off from the others.
+    /// For each region, whether a partition separates the region from the others.
     partitioned: Vec<bool>,
 }
 
@@ -16,9 +16,9 @@
     pub(crate) fn new(topology: &Topology) -> Self {
         Network {
             zones_per_region: topology.zones_per_region,
-            same_zone: micros(topology.same_zone_ms),
-            same_region: micros(topology.same_region_ms),
-            cross_region: micros(topology.cross_region_ms),
+            same_zone: ms_to_micros(topology.same_zone_ms),
+            same_region: ms_to_micros(topology.same_region_ms),
+            cross_region: ms_to_micros(topology.cross_region_ms),
             partitioned: vec![false; topology.regions as usize],
         }
     }
@@ -27,7 +27,7 @@
         self.partitioned[region as usize] = partitioned;
     }
 
-    /// One-way delay between two zones; `None` if no bytes pass between them.
+    /// One-way delay between two zones; `None` if a partition separates them.
     pub(crate) fn delay(&self, from_zone: u32, to_zone: u32) -> Option<Micros> {
         if from_zone == to_zone {
             return Some(self.same_zone);
--- a/emulator/src/real/clients.rs
+++ b/emulator/src/real/clients.rs
@@ -1,4 +1,4 @@
-//! The load of a run: clients that make requests at even times.
+//! Clients of a run, which make requests at a constant rate.
 
 use ::stand_ins::connection::Connection;
 use std::io;
@@ -8,37 +8,38 @@
 use tokio::task::JoinSet;
 use tokio::time::{interval, sleep, Instant};
 
-/// Clients of each gateway; each has one request in flight at a time.
+/// Number of clients of each gateway. A client has at most one request in flight.
 const CLIENTS_PER_GATEWAY: u32 = 8;
-/// Customers that one client's requests belong to, and the distance between those of two clients.
+/// Number of customers whose requests one client makes.
 const CUSTOMERS_PER_CLIENT: u64 = 61;
+/// Distance between the first customer ids of consecutive clients.
 const CUSTOMER_STRIDE: u64 = 1009;
 const STATUS_OK: u16 = 200;
 
-/// What clients got.
+/// Responses that the clients received.
 #[derive(Default)]
-pub(super) struct ResponseFigures {
+pub(super) struct ResponseStats {
     pub(super) served: u64,
-    /// Rejected, failed or not answered.
-    pub(super) other: u64,
-    /// Times of the served ones.
+    /// Requests that were rejected, failed or not answered.
+    pub(super) not_served: u64,
+    /// Response times of the served requests.
     pub(super) latencies_ms: Vec<f64>,
 }
 
-impl ResponseFigures {
-    fn add(&mut self, more: ResponseFigures) {
+impl ResponseStats {
+    fn add(&mut self, more: ResponseStats) {
         self.served += more.served;
-        self.other += more.other;
+        self.not_served += more.not_served;
         self.latencies_ms.extend(more.latencies_ms);
     }
 }
 
-/// Makes requests at all gateways for some time, at each `requests_per_s`.
+/// Makes `requests_per_s` requests per second to each gateway for the given duration.
 pub(super) async fn run_clients(
     gateways: &[SocketAddr],
     requests_per_s: u32,
     duration: Duration,
-) -> ResponseFigures {
+) -> ResponseStats {
     let interval =
         Duration::from_secs_f64(f64::from(CLIENTS_PER_GATEWAY) / f64::from(requests_per_s));
     let mut clients = JoinSet::new();
@@ -57,11 +58,11 @@
             number += 1;
         }
     }
-    let mut figures = ResponseFigures::default();
+    let mut stats = ResponseStats::default();
     while let Some(ended) = clients.join_next().await {
-        figures.add(ended.unwrap_or_default());
+        stats.add(ended.unwrap_or_default());
     }
-    figures
+    stats
 }
 
 struct Client {
@@ -73,45 +74,45 @@
 }
 
 impl Client {
-    /// Makes requests at even times; those that fell due while one took follow at once.
-    async fn run(self) -> ResponseFigures {
+    /// Makes requests at a constant interval. Requests that became due during a slow one follow immediately.
+    async fn run(self) -> ResponseStats {
         sleep(self.start_delay).await;
         let count = (self.duration.as_secs_f64() / self.interval.as_secs_f64()).floor() as u64;
         let mut due = interval(self.interval);
         let mut connection = ClientConnection::new(self.gateway);
-        let mut figures = ResponseFigures::default();
-        for turn in 0..count {
+        let mut stats = ResponseStats::default();
+        for index in 0..count {
             due.tick().await;
             let started_at = Instant::now();
-            match self.request(&mut connection, turn).await {
+            match self.request(&mut connection, index).await {
                 Ok(STATUS_OK) => {
-                    figures.served += 1;
-                    figures
+                    stats.served += 1;
+                    stats
                         .latencies_ms
                         .push(started_at.elapsed().as_secs_f64() * 1000.0);
                 }
-                _ => figures.other += 1,
+                _ => stats.not_served += 1,
             }
         }
-        figures
+        stats
     }
 
-    async fn request(&self, connection: &mut ClientConnection, turn: u64) -> io::Result<u16> {
-        let customer = self.number * CUSTOMER_STRIDE + turn % CUSTOMERS_PER_CLIENT;
-        let transaction = self.number << 32 | turn;
+    async fn request(&self, connection: &mut ClientConnection, index: u64) -> io::Result<u16> {
+        let customer = self.number * CUSTOMER_STRIDE + index % CUSTOMERS_PER_CLIENT;
+        let transaction = self.number << 32 | index;
         let request = format!(
             "GET /look?account={customer:016x} HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: {transaction:016x}\r\n\
              X-Lane: look\r\nX-Plan: plus\r\nX-Remaining-Ms: 2500\r\nX-Quota: units=1,spread=1,first=0\r\n\r\n"
         );
         match connection.request(&request).await {
             Ok(status) => Ok(status),
-            // The gateway may have closed the connection meanwhile: once more on a new one.
+            // The gateway may have closed the idle connection; the request is repeated once on a new one.
             Err(_) => connection.request(&request).await,
         }
     }
 }
 
-/// A client's connection to a gateway, opened when it is needed.
+/// A client's connection to a gateway, opened by the first request.
 pub(super) struct ClientConnection {
     gateway: SocketAddr,
     connection: Option<Connection>,
@@ -125,17 +126,16 @@
         }
     }
 
-    /// Makes a request and returns the response's status. After an error the next request opens a new connection.
+    /// Makes a request and returns the status of the response. After an error the next request opens a new connection.
     pub(super) async fn request(&mut self, request: &str) -> io::Result<u16> {
         let mut connection = match self.connection.take() {
             Some(connection) => connection,
             None => Connection::new(TcpStream::connect(self.gateway).await?),
         };
         connection.send(request.as_bytes()).await?;
-        let response = connection
-            .receive()
-            .await?
-            .ok_or_else(|| io::Error::other("closed"))?;
+        let response = connection.receive().await?.ok_or_else(|| {
+            io::Error::other("the gateway closed the connection without a response")
+        })?;
         if !response.closes_connection() {
             self.connection = Some(connection);
         }
--- a/emulator/src/real/mod.rs
+++ b/emulator/src/real/mod.rs
@@ -1,5 +1,5 @@
-//! Runs of the gateway's program: stand-ins on loopback for all that it talks to, a load of clients, and what the
-//! system reports of its processes.
+//! Runs of the gateway's program on loopback, with stand-ins for the surrounding services and emulated clients. A run
+//! measures the CPU time, memory and traffic of the gateways.
 
 mod arguments;
 mod clients;
@@ -12,4 +12,4 @@
 
 pub use arguments::RealRun;
 pub use error::RealRunError;
-pub use figures::RealRunFigures;
+pub use figures::RealRunReport;
--- a/emulator/src/simulation/actions.rs
+++ b/emulator/src/simulation/actions.rs
@@ -1,14 +1,15 @@
-//! Notifies gateways of events and carries out what they decide.
+//! Passes events to the gateways' library instances and executes the actions that these return.
 
 use super::event::{Event, GatewayProcess};
-use super::requests::Refusal;
+use super::requests::UnsuccessfulResponse;
 use super::Simulation;
-use crate::micros;
+use crate::ms_to_micros;
 use quota_gateway::{Action, Event as GatewayEvent, Outcome};
 use std::collections::VecDeque;
 
 impl Simulation<'_> {
-    /// Hands an event to a gateway and carries out its actions, and so on with the events that these lead to at once.
+    /// Passes an event to a gateway and executes its actions, then does the same with the events that these actions
+    /// cause immediately.
     pub(super) fn notify_gateway(&mut self, gateway: u32, event: GatewayEvent) {
         let now_ms = self.gateway_clock_ms();
         let mut events = VecDeque::from([event]);
@@ -18,15 +19,15 @@
                 .library
                 .handle(now_ms, event, &mut actions);
             for action in actions.drain(..) {
-                events.extend(self.carry_out(gateway, &action));
+                events.extend(self.execute_action(gateway, &action));
             }
         }
     }
 
-    /// Carries out an action. Returns an event that follows from it at once.
-    fn carry_out(&mut self, gateway: u32, action: &Action) -> Option<GatewayEvent> {
+    /// Executes an action. Returns the event that the action causes immediately, if any.
+    fn execute_action(&mut self, gateway: u32, action: &Action) -> Option<GatewayEvent> {
         match *action {
-            // Attempts are sent at once here.
+            // The simulated gateway sends each attempt without delay.
             Action::SendAttempt {
                 id,
                 endpoint,
@@ -37,20 +38,22 @@
             }
             Action::CancelAttempt { id, attempt } => self.cancel_attempt(id, attempt),
             Action::Reject { id, retry_after_ms } => {
-                self.refuse(id, Refusal::Rejected { retry_after_ms });
+                self.respond_unsuccessfully(id, UnsuccessfulResponse::Rejected { retry_after_ms });
             }
-            Action::Fail { id } => self.refuse(id, Refusal::Failed),
+            Action::Fail { id } => self.respond_unsuccessfully(id, UnsuccessfulResponse::Failed),
             Action::SetTimer { token, after_ms } => {
                 let process = self.gateways[gateway as usize].process;
-                self.queue
-                    .schedule_in(micros(after_ms), Event::GatewayTimer { process, token });
+                self.queue.schedule_in(
+                    ms_to_micros(after_ms),
+                    Event::GatewayTimer { process, token },
+                );
             }
             Action::AddToCounter {
                 key,
                 amount,
                 ttl_ms,
             } => self.call_counter(gateway, key, amount, ttl_ms),
-            // Changes of the list are pushed in any case; gossip is not permitted here.
+            // Agents push changes of the endpoint list without being asked. Gossip is disabled in the settings.
             Action::WatchEndpoints | Action::Gossip { .. } => {}
         }
         None
@@ -72,7 +75,7 @@
         );
     }
 
-    /// A timer has run out; those of former processes are void.
+    /// Notifies the gateway that a timer has fired. Timers of earlier processes are ignored.
     pub(super) fn gateway_timer(&mut self, process: GatewayProcess, token: u64) {
         if self.is_running(process) {
             self.notify_gateway(process.index, GatewayEvent::TimerFired { token });
--- a/emulator/src/simulation/counter_calls.rs
+++ b/emulator/src/simulation/counter_calls.rs
@@ -2,10 +2,10 @@
 
 use super::event::{Event, GatewayProcess};
 use super::Simulation;
-use crate::{micros, Micros};
+use crate::{ms_to_micros, Micros};
 use quota_gateway::{Event as GatewayEvent, Outcome};
 
-/// A call that its gateway still awaits.
+/// A call whose reply the gateway awaits.
 pub(super) struct CounterCall {
     process: GatewayProcess,
     key: u64,
@@ -13,7 +13,7 @@
 }
 
 impl Simulation<'_> {
-    /// A gateway calls the counter.
+    /// Sends a call from a gateway to the counter and schedules its timeout.
     pub(super) fn call_counter(&mut self, gateway: u32, key: u64, amount: f64, ttl_ms: f64) {
         let Some(counter) = &self.counter else { return };
         let counter_zone = counter.zone;
@@ -34,19 +34,19 @@
             self.recorder.report.counter.calls += 1;
         }
         if let Some(delay) = self.network.delay(gateway_zone, counter_zone) {
-            let ttl = micros(ttl_ms);
+            let ttl = ms_to_micros(ttl_ms);
             self.queue
                 .schedule_in(delay, Event::CounterCallArrives { call, amount, ttl });
         }
-        let given_up = Event::CounterCallEnds {
+        let timed_out = Event::CounterCallEnds {
             call,
             outcome: Outcome::Timeout,
             total: 0.0,
         };
-        self.queue.schedule_in(timeout, given_up);
+        self.queue.schedule_in(timeout, timed_out);
     }
 
-    /// A call has arrived at the counter.
+    /// Handles the arrival of a call at the counter and schedules the reply.
     pub(super) fn counter_call_arrives(&mut self, call: u64, amount: f64, ttl: Micros) {
         let now = self.queue.now();
         let Some(CounterCall { process, key, .. }) = self.counter_calls.get(&call) else {
@@ -76,10 +76,10 @@
             outcome: Outcome::Success,
             total: served.total,
         };
-        self.queue.schedule(served.at + delay, reply);
+        self.queue.schedule(served.completed_at + delay, reply);
     }
 
-    /// A call has ended for its gateway.
+    /// Ends a call for its gateway, by a reply or a timeout. Later ends of the same call are ignored.
     pub(super) fn counter_call_ends(&mut self, call: u64, outcome: Outcome, total: f64) {
         let Some(CounterCall {
             process,
@@ -90,10 +90,10 @@
             return;
         };
         if self.is_measuring() {
-            let figures = &mut self.recorder.report.counter;
+            let stats = &mut self.recorder.report.counter;
             match outcome {
-                Outcome::Timeout => figures.timed_out += 1,
-                Outcome::Rejected => figures.rejected += 1,
+                Outcome::Timeout => stats.timed_out += 1,
+                Outcome::Rejected => stats.rejected += 1,
                 _ => {}
             }
         }
--- a/emulator/src/simulation/faults.rs
+++ b/emulator/src/simulation/faults.rs
@@ -1,18 +1,18 @@
-//! Faults: outages, partitions, and rollouts of gateways and endpoints.
+//! Injection of faults: outages, partitions, and rollouts of gateways and endpoints.
 
 use super::event::{Event, GatewayProcess};
 use super::Simulation;
 use crate::endpoint::{EmulatedEndpoint, EndpointStatus};
 use crate::experiment::Fault;
-use crate::{micros, Micros};
+use crate::{ms_to_micros, Micros};
 
-/// How long a gateway that shuts down completes its requests.
+/// Time that a gateway in shutdown has to complete its requests.
 const GATEWAY_SHUTDOWN: Micros = 3_200_000;
-/// Time from the end of a gateway's process to the start of its next one.
+/// Time from the end of a gateway's process to the start of the gateway's next one.
 const GATEWAY_START_DELAY: Micros = 300_000;
-/// Steps in which a rollout replaces endpoints.
+/// Number of steps in which a rollout replaces endpoints.
 const ENDPOINT_ROLLOUT_STEPS: u32 = 10;
-/// How long a draining endpoint lives on.
+/// Time from the start of an endpoint's draining to its stop.
 const ENDPOINT_DRAIN_TIME: Micros = 6_000_000;
 
 impl Simulation<'_> {
@@ -43,7 +43,7 @@
                     counter.clear();
                 }
             }
-            // Rollouts end with their last step.
+            // Each step of a rollout is a scheduled event; nothing remains to be undone.
             Fault::GatewayRollout { .. } | Fault::EndpointRollout { .. } => {}
         }
     }
@@ -52,12 +52,12 @@
         for index in 0..self.endpoints.len() {
             let endpoint = &mut self.endpoints[index];
             let is_up = matches!(
-                endpoint.state,
+                endpoint.status,
                 EndpointStatus::Running | EndpointStatus::Draining
             );
             if endpoint.zone == zone && is_up {
-                endpoint.stop(EndpointStatus::Unreachable);
-                self.detect_endpoint_status_later(index as u32);
+                endpoint.reset(EndpointStatus::Unreachable);
+                self.schedule_endpoint_status_detection(index as u32);
             }
         }
     }
@@ -65,7 +65,7 @@
     fn end_zone_outage(&mut self, zone: u32) {
         for index in 0..self.endpoints.len() {
             let endpoint = &mut self.endpoints[index];
-            if endpoint.zone == zone && endpoint.state == EndpointStatus::Unreachable {
+            if endpoint.zone == zone && endpoint.status == EndpointStatus::Unreachable {
                 endpoint.restart(self.queue.now());
                 self.endpoint_status_detected(index as u32);
             }
@@ -81,7 +81,7 @@
     fn schedule_gateway_rollout(&mut self, duration_s: f64) {
         let count = self.gateways.len() as u64;
         for index in 0..count {
-            let delay = micros(duration_s * 1000.0) * index / count;
+            let delay = ms_to_micros(duration_s * 1000.0) * index / count;
             self.queue.schedule_in(
                 delay,
                 Event::GatewayShutsDown {
@@ -91,7 +91,8 @@
         }
     }
 
-    /// The gateway gets no new requests; its next process starts once this one has ended.
+    /// Begins the graceful shutdown of a gateway: no new requests are routed to it. The gateway's next process starts
+    /// after the current one has ended.
     pub(super) fn shut_down_gateway(&mut self, index: u32) {
         self.gateways[index as usize].accepts_requests = false;
         let starts_in = GATEWAY_SHUTDOWN + GATEWAY_START_DELAY;
@@ -99,10 +100,10 @@
             .schedule_in(starts_in, Event::GatewayStarts { gateway: index });
     }
 
-    /// The former process ends with what it has not answered, and a new one takes its place.
+    /// Ends the gateway's process, which loses its open requests and connections, and starts the next one.
     pub(super) fn restart_gateway(&mut self, index: u32) {
         let process = self.gateways[index as usize].process;
-        self.lose_open_requests(process);
+        self.discard_open_requests(process);
         for (endpoint, open) in self.gateways[index as usize].connections.open_by_endpoint() {
             self.endpoints[endpoint as usize].connections -= open;
         }
@@ -111,7 +112,7 @@
             incarnation: process.incarnation + 1,
         };
         let mut gateway = self.start_gateway(next);
-        gateway.figures = std::mem::take(&mut self.gateways[index as usize].figures);
+        gateway.stats = std::mem::take(&mut self.gateways[index as usize].stats);
         self.gateways[index as usize] = gateway;
         self.deliver_complete_list(index);
     }
@@ -119,26 +120,27 @@
     fn schedule_endpoint_rollout(&mut self, duration_s: f64, share: f64) {
         let step_share = share / f64::from(ENDPOINT_ROLLOUT_STEPS);
         for step in 0..ENDPOINT_ROLLOUT_STEPS {
-            let delay = micros(duration_s * 1000.0) * Micros::from(step)
+            let delay = ms_to_micros(duration_s * 1000.0) * Micros::from(step)
                 / Micros::from(ENDPOINT_ROLLOUT_STEPS);
             self.queue
                 .schedule_in(delay, Event::EndpointsReplaced { share: step_share });
         }
     }
 
-    /// A share of the endpoints begin to drain, and as many new ones start.
+    /// Drains a share of the endpoints and starts the same number of new ones. Only endpoints that have run since the
+    /// start of the experiment are replaced.
     pub(super) fn replace_endpoints(&mut self, share: f64) {
         let count = (f64::from(self.experiment.endpoints.count) * share).round() as usize;
-        let is_old = |endpoint: &EmulatedEndpoint| {
-            endpoint.state == EndpointStatus::Running && endpoint.started_at.is_none()
+        let is_initial = |endpoint: &EmulatedEndpoint| {
+            endpoint.status == EndpointStatus::Running && endpoint.started_at.is_none()
         };
         let replaced: Vec<usize> = (0..self.endpoints.len())
-            .filter(|index| is_old(&self.endpoints[*index]))
+            .filter(|index| is_initial(&self.endpoints[*index]))
             .take(count)
             .collect();
         for index in replaced {
             let endpoint = index as u32;
-            self.endpoints[index].state = EndpointStatus::Draining;
+            self.endpoints[index].status = EndpointStatus::Draining;
             self.queue
                 .schedule_in(ENDPOINT_DRAIN_TIME, Event::EndpointStops { endpoint });
             self.endpoint_status_detected(endpoint);
@@ -158,9 +160,9 @@
         self.endpoint_status_detected(index as u32);
     }
 
-    /// An endpoint that has drained stops.
+    /// Stops an endpoint that has drained.
     pub(super) fn stop_drained_endpoint(&mut self, index: u32) {
-        self.endpoints[index as usize].stop(EndpointStatus::Stopped);
+        self.endpoints[index as usize].reset(EndpointStatus::Stopped);
         self.endpoint_status_detected(index);
     }
 }
--- a/emulator/src/simulation/mod.rs
+++ b/emulator/src/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! The simulation: real instances of the decision library, and emulated surroundings, on one event clock.
+//! Discrete-event simulation of instances of the decision library in an emulated environment.
 
 mod actions;
 mod attempts;
@@ -20,7 +20,7 @@
 use crate::experiment::{Experiment, ExperimentError};
 use crate::network::Network;
 use crate::report::Report;
-use crate::{micros, stream, Micros};
+use crate::{ms_to_micros, seeded_rng, Micros};
 use attempts::Attempt;
 use counter_calls::CounterCall;
 use event::{Event, GatewayProcess};
@@ -33,39 +33,39 @@
 use rustc_hash::FxHashMap;
 use std::time::{Duration, Instant};
 
-/// The gateways' clocks show this when an experiment begins, in ms: a counter's windows are named by it.
+/// Time of the gateways' clocks at the start of an experiment, in ms. The keys of the counter's windows derive from it.
 const CLOCK_START_MS: f64 = 1e6;
-/// How long after the deadline a final response still counts as timely.
+/// Time after the deadline within which a final response still counts as in time.
 const RESPONSE_SLACK: Micros = 50_000;
-/// Gateways look for idle connections this often, as the program does.
+/// Interval at which a gateway closes idle connections, as in the gateway's program.
 const IDLE_CHECK_INTERVAL: Micros = 1_000_000;
-/// How often progress is logged, in real time.
+/// Interval of the progress log, in real time.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(5);
-/// The real clock is looked at once in this many events.
+/// Number of events between two reads of the real clock.
 const EVENTS_PER_CLOCK_CHECK: u64 = 4096;
 
-/// Plays an experiment.
+/// Runs an experiment and returns its report.
 ///
 /// # Errors
 ///
-/// Fails if a random distribution can't be made of the experiment's figures.
+/// Fails if the experiment's values are not valid parameters of a random distribution.
 pub fn run(experiment: &Experiment, seed: u64) -> Result<Report, ExperimentError> {
     let mut simulation = Simulation::new(experiment, seed)?;
     simulation.schedule_start();
-    simulation.play();
+    simulation.process_events();
     Ok(simulation.into_report())
 }
 
 struct Simulation<'a> {
     experiment: &'a Experiment,
     seed: u64,
-    /// Settings that all gateways share.
+    /// Settings shared by all gateways.
     settings: Settings,
-    /// No client makes a request from then on.
+    /// Time from which on no client makes a request.
     ends_at: Micros,
     queue: EventQueue,
     gateways: Vec<EmulatedGateway>,
-    /// Processes of gateways started so far: each has a random stream of its own.
+    /// Number of gateway processes started so far. It numbers the random stream of each process.
     gateway_starts: u64,
     endpoints: Vec<EmulatedEndpoint>,
     endpoint_parameters: EndpointParameters,
@@ -88,12 +88,16 @@
         let list = (0..endpoint_count)
             .map(|index| endpoint_list::list_entry(index, index % zones, EndpointState::Ready, 0.0))
             .collect();
-        let discovery = Discovery::new(&experiment.discovery, list, stream(seed, "discovery", 0));
+        let discovery = Discovery::new(
+            &experiment.discovery,
+            list,
+            seeded_rng(seed, "discovery", 0),
+        );
         Ok(Simulation {
             experiment,
             seed,
             settings: experiment.settings(),
-            ends_at: micros(experiment.seconds * 1000.0),
+            ends_at: ms_to_micros(experiment.seconds * 1000.0),
             queue: EventQueue::default(),
             gateways: Vec::new(),
             gateway_starts: 0,
@@ -120,14 +124,14 @@
             });
             self.gateways.push(gateway);
             self.deliver_complete_list(index);
-            // The checks of all gateways are not due at once.
+            // The checks of the gateways are staggered over the interval.
             let at = IDLE_CHECK_INTERVAL * Micros::from(index) / Micros::from(gateway_count);
             self.queue
                 .schedule(at, Event::IdleConnectionCheck { gateway: index });
         }
         for (fault, model) in self.experiment.faults.iter().enumerate() {
-            let starts_at = micros(model.start_s() * 1000.0);
-            let ends_at = micros((model.start_s() + model.duration_s()) * 1000.0);
+            let starts_at = ms_to_micros(model.start_s() * 1000.0);
+            let ends_at = ms_to_micros((model.start_s() + model.duration_s()) * 1000.0);
             self.queue.schedule(starts_at, Event::FaultStarts { fault });
             self.queue.schedule(ends_at, Event::FaultEnds { fault });
         }
@@ -142,23 +146,24 @@
             ..self.settings.clone()
         };
         self.gateway_starts += 1;
-        let seed = stream(self.seed, "gateway", self.gateway_starts).random();
+        let seed = seeded_rng(self.seed, "gateway", self.gateway_starts).random();
         let library = Gateway::new(settings, seed, self.gateway_clock_ms());
         EmulatedGateway::new(library, process, zone)
     }
 
-    fn play(&mut self) {
+    fn process_events(&mut self) {
         let deadlines_ms = self
             .experiment
             .classes
             .iter()
             .map(|class| class.deadline_ms);
-        let longest_deadline = micros(deadlines_ms.fold(0.0, f64::max));
+        let longest_deadline = ms_to_micros(deadlines_ms.fold(0.0, f64::max));
         let last_response_by = self.ends_at + longest_deadline + 2 * RESPONSE_SLACK;
         let mut progress = Progress::new();
         while let Some(event) = self.queue.pop() {
             let now = self.queue.now();
-            // After the last arrival, all open requests still get their responses.
+            // After the last arrival, the simulation continues until all open requests have ended or their deadlines
+            // have passed.
             if now > self.ends_at && (self.open_requests.is_empty() || now > last_response_by) {
                 break;
             }
@@ -203,12 +208,12 @@
         }
     }
 
-    /// The clock that gateways see, in ms.
+    /// Current time of the gateways' clocks, in ms.
     fn gateway_clock_ms(&self) -> f64 {
         CLOCK_START_MS + self.queue.now() as f64 / 1000.0
     }
 
-    /// Whether this process is still the gateway's present one.
+    /// Whether this process is the gateway's current one.
     fn is_running(&self, process: GatewayProcess) -> bool {
         self.gateways[process.index as usize].process == process
     }
@@ -224,7 +229,7 @@
     }
 }
 
-/// Logs how far a long experiment has come.
+/// Logs the progress of a long experiment.
 struct Progress {
     started_at: Instant,
     logged_at: Instant,
@@ -251,6 +256,11 @@
         self.logged_at = Instant::now();
         let emulated_s = now as f64 / 1e6;
         let real_s = self.started_at.elapsed().as_secs_f64();
-        tracing::info!(emulated_s, real_s, events = self.events, "under way");
+        tracing::info!(
+            emulated_s,
+            real_s,
+            events = self.events,
+            "simulation in progress"
+        );
     }
 }
--- a/emulator/src/simulation/recorder.rs
+++ b/emulator/src/simulation/recorder.rs
@@ -1,17 +1,17 @@
-//! Collects the figures of the report while an experiment is played.
+//! Collects the values of the report during the simulation.
 
 use super::gateway::EmulatedGateway;
 use crate::endpoint::{EmulatedEndpoint, EndpointStatus};
 use crate::experiment::Experiment;
 use crate::report::{Distribution, Report, Window};
-use crate::{micros, Micros};
+use crate::{ms_to_micros, Micros};
 use hdrhistogram::Histogram;
 
-/// Length of a window of the report.
+/// Length of a time window of the report.
 const WINDOW: Micros = 5_000_000;
-/// Largest latency that is recorded; larger ones count as this.
+/// Largest latency that is recorded; larger ones are recorded as this value.
 const MAX_LATENCY: Micros = 3_600_000_000;
-/// Significant digits of latencies.
+/// Significant decimal digits of the recorded latencies.
 const LATENCY_DIGITS: u8 = 3;
 
 pub(super) struct Recorder {
@@ -32,7 +32,7 @@
         Recorder {
             report,
             latency: latency_histogram(),
-            measure_from: micros(experiment.measure_from_s * 1000.0),
+            measure_from: ms_to_micros(experiment.measure_from_s * 1000.0),
         }
     }
 
@@ -40,7 +40,7 @@
         now >= self.measure_from
     }
 
-    /// The report's window at this time.
+    /// The report's time window at `now`. Missing windows up to then are added.
     pub(super) fn window(&mut self, now: Micros) -> &mut Window {
         let windows = &mut self.report.windows;
         let index = (now / WINDOW) as usize;
@@ -58,7 +58,7 @@
         self.latency.saturating_record(latency.max(1));
     }
 
-    /// Adds what is known at the end only.
+    /// Adds the values that are known only at the end, and returns the report.
     pub(super) fn finish(
         mut self,
         gateways: &[EmulatedGateway],
@@ -75,43 +75,42 @@
     }
 
     fn finish_gateways(&mut self, gateways: &[EmulatedGateway]) {
-        let over_gateways = |figure: fn(&EmulatedGateway) -> f64| {
-            Distribution::of(gateways.iter().map(figure).collect())
+        let over_gateways = |value: fn(&EmulatedGateway) -> f64| {
+            Distribution::of(gateways.iter().map(value).collect())
         };
-        let figures = &mut self.report.gateways;
-        figures.requests = over_gateways(|gateway| gateway.figures.requests as f64);
-        figures.endpoints_used =
-            over_gateways(|gateway| gateway.figures.attempts_by_endpoint.len() as f64);
-        figures.max_connections =
-            over_gateways(|gateway| f64::from(gateway.figures.max_connections));
-        figures.customers = over_gateways(|gateway| gateway.library.customer_count() as f64);
+        let stats = &mut self.report.gateways;
+        stats.requests = over_gateways(|gateway| gateway.stats.requests as f64);
+        stats.endpoints_used =
+            over_gateways(|gateway| gateway.stats.attempts_by_endpoint.len() as f64);
+        stats.max_connections = over_gateways(|gateway| f64::from(gateway.stats.max_connections));
+        stats.customers = over_gateways(|gateway| gateway.library.customer_count() as f64);
     }
 
     fn finish_endpoints(&mut self, gateways: &[EmulatedGateway], endpoints: &[EmulatedEndpoint]) {
         let mut gateways_by_endpoint = vec![0u32; endpoints.len()];
         for gateway in gateways {
-            for endpoint in gateway.figures.attempts_by_endpoint.keys() {
+            for endpoint in gateway.stats.attempts_by_endpoint.keys() {
                 gateways_by_endpoint[*endpoint as usize] += 1;
             }
         }
         let running: Vec<usize> = (0..endpoints.len())
-            .filter(|index| endpoints[*index].state == EndpointStatus::Running)
+            .filter(|index| endpoints[*index].status == EndpointStatus::Running)
             .collect();
-        let over_running = |figure: &dyn Fn(usize) -> f64| {
-            Distribution::of(running.iter().map(|index| figure(*index)).collect())
+        let over_running = |value: &dyn Fn(usize) -> f64| {
+            Distribution::of(running.iter().map(|index| value(*index)).collect())
         };
-        let figures = &mut self.report.endpoints;
-        figures.requests = over_running(&|index| endpoints[index].requests as f64);
-        figures.idle = running
+        let stats = &mut self.report.endpoints;
+        stats.requests = over_running(&|index| endpoints[index].requests as f64);
+        stats.idle = running
             .iter()
             .filter(|index| endpoints[**index].requests == 0)
             .count() as u64;
-        figures.gateways = over_running(&|index| f64::from(gateways_by_endpoint[index]));
-        figures.connections = over_running(&|index| f64::from(endpoints[index].connections));
+        stats.gateways = over_running(&|index| f64::from(gateways_by_endpoint[index]));
+        stats.connections = over_running(&|index| f64::from(endpoints[index].connections));
     }
 }
 
 fn latency_histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, MAX_LATENCY, LATENCY_DIGITS)
-        .expect("the bounds are constants in order")
+        .expect("the histogram's bounds are valid constants")
 }
--- a/emulator/src/simulation/requests.rs
+++ b/emulator/src/simulation/requests.rs
@@ -1,38 +1,39 @@
-//! Clients' requests: from their arrival at a gateway to their final response.
+//! Clients' requests, from the arrival at a gateway to the final response.
 
 use super::event::{Event, GatewayProcess};
 use super::{Simulation, RESPONSE_SLACK};
 use crate::clients::ClientRequest;
-use crate::{micros, Micros};
+use crate::{ms_to_micros, Micros};
 use quota_gateway::{Event as GatewayEvent, Request};
 
-/// A request that still wants a final response, or has attempts in flight.
+/// A request that awaits its final response or has attempts in flight.
 pub(super) struct OpenRequest {
     pub(super) process: GatewayProcess,
     pub(super) client_request: ClientRequest,
     arrived_at: Micros,
-    /// Whether it has its final response, or wants none any more.
+    /// Whether the request has its final response or needs none any more, because its client has disconnected or the
+    /// deadline has passed.
     pub(super) answered: bool,
     pub(super) disconnected_at: Option<Micros>,
-    /// Its attempts so far, in the order of sending.
+    /// Ids of the request's attempts, in the order of sending.
     pub(super) attempts: Vec<u64>,
     pub(super) in_flight: u8,
     pub(super) first_execution: Option<FirstExecution>,
 }
 
-/// The first attempt that may have been executed.
+/// The first attempt of a request that may have been executed.
 #[derive(Clone, Copy)]
 pub(super) struct FirstExecution {
     pub(super) sent_at: Micros,
     pub(super) zone: u32,
 }
 
-/// A gateway's final response without success.
+/// A gateway's final response to a request that was not served.
 #[derive(Clone, Copy)]
-pub(super) enum Refusal {
-    /// Rejected; the advice when to try again is 0 if there is none.
+pub(super) enum UnsuccessfulResponse {
+    /// The request was rejected. `retry_after_ms` is the advised delay before a retry; 0 if none is advised.
     Rejected { retry_after_ms: f64 },
-    /// Failed.
+    /// The request failed.
     Failed,
 }
 
@@ -61,12 +62,12 @@
         };
         let id = self.queue.next_id();
         let deadline_ms = self.experiment.classes[client_request.class as usize].deadline_ms;
-        let deadline = micros(deadline_ms);
+        let deadline = ms_to_micros(deadline_ms);
         self.queue.schedule_in(
             deadline + RESPONSE_SLACK,
             Event::DeadlinePasses { request: id },
         );
-        if let Some(delay) = self.clients.disconnects_after(deadline) {
+        if let Some(delay) = self.clients.draw_disconnect_delay(deadline) {
             self.queue
                 .schedule_in(delay, Event::ClientDisconnects { request: id });
         }
@@ -100,12 +101,12 @@
         if !self.is_measuring() {
             return;
         }
-        let figures = &mut self.recorder.report.requests;
-        figures.total += 1;
+        let stats = &mut self.recorder.report.requests;
+        stats.total += 1;
         if client_request.retry == 0 {
-            figures.initial += 1;
+            stats.initial += 1;
         }
-        self.gateways[gateway].figures.requests += 1;
+        self.gateways[gateway].stats.requests += 1;
     }
 
     pub(super) fn client_disconnects(&mut self, id: u64) {
@@ -128,7 +129,7 @@
         self.drop_if_ended(id);
     }
 
-    /// The time is up within which the request must have its final response.
+    /// Records a violation if the request has no final response yet, and closes the request.
     pub(super) fn deadline_passes(&mut self, id: u64) {
         let Some(open) = self.open_requests.get_mut(&id) else {
             return;
@@ -142,11 +143,13 @@
         let at_s = self.queue.now() as f64 / 1e6;
         let violations = &mut self.recorder.report.violations;
         violations.unanswered += 1;
-        violations.describe(|| format!("lost: gateway {gateway}, class {class}, at {at_s:.3} s"));
+        violations.describe_first(|| {
+            format!("lost: no response from gateway {gateway}, class {class}, by {at_s:.3} s")
+        });
         self.drop_if_ended(id);
     }
 
-    /// An attempt was successful; its response is the final one unless the request has one already.
+    /// Answers the request with the response of a successful attempt, unless the request is already answered.
     pub(super) fn answer_successfully(&mut self, id: u64) {
         let now = self.queue.now();
         let Some(open) = self.open_requests.get_mut(&id) else {
@@ -158,13 +161,14 @@
         open.answered = true;
         let latency = now - open.arrived_at;
         let class = &self.experiment.classes[open.client_request.class as usize];
-        let on_time = latency <= micros(class.latency_objective_ms);
-        let after_deadline = latency > micros(class.deadline_ms) + RESPONSE_SLACK;
+        let on_time = latency <= ms_to_micros(class.latency_objective_ms);
+        let after_deadline = latency > ms_to_micros(class.deadline_ms) + RESPONSE_SLACK;
         self.record_success(latency, on_time);
         if after_deadline {
             let violations = &mut self.recorder.report.violations;
             violations.unanswered += 1;
-            violations.describe(|| format!("lost: served after {latency} us"));
+            violations
+                .describe_first(|| format!("lost: served after {latency} us, past the deadline"));
         }
     }
 
@@ -178,17 +182,17 @@
         if !self.is_measuring() {
             return;
         }
-        let figures = &mut self.recorder.report.requests;
+        let stats = &mut self.recorder.report.requests;
         if on_time {
-            figures.served_on_time += 1;
+            stats.served_on_time += 1;
         } else {
-            figures.served_late += 1;
+            stats.served_late += 1;
         }
         self.recorder.record_latency(latency);
     }
 
-    /// The gateway gives its final response without success.
-    pub(super) fn refuse(&mut self, id: u64, refusal: Refusal) {
+    /// Answers the request without success. The client may retry it.
+    pub(super) fn respond_unsuccessfully(&mut self, id: u64, response: UnsuccessfulResponse) {
         let Some(open) = self.open_requests.get_mut(&id) else {
             return;
         };
@@ -197,10 +201,10 @@
         }
         open.answered = true;
         let client_request = open.client_request.clone();
-        self.record_refusal(refusal);
-        let retry_after_ms = match refusal {
-            Refusal::Rejected { retry_after_ms } => retry_after_ms,
-            Refusal::Failed => 0.0,
+        self.record_unsuccessful_response(response);
+        let retry_after_ms = match response {
+            UnsuccessfulResponse::Rejected { retry_after_ms } => retry_after_ms,
+            UnsuccessfulResponse::Failed => 0.0,
         };
         if let Some((retry, delay)) = self.clients.retry(&client_request, retry_after_ms) {
             self.queue.schedule_in(delay, Event::ClientRetries(retry));
@@ -208,24 +212,24 @@
         self.drop_if_ended(id);
     }
 
-    fn record_refusal(&mut self, refusal: Refusal) {
+    fn record_unsuccessful_response(&mut self, response: UnsuccessfulResponse) {
         let is_measuring = self.is_measuring();
         let window = self.recorder.window(self.queue.now());
-        match refusal {
-            Refusal::Rejected { .. } => window.rejected += 1,
-            Refusal::Failed => window.failed += 1,
+        match response {
+            UnsuccessfulResponse::Rejected { .. } => window.rejected += 1,
+            UnsuccessfulResponse::Failed => window.failed += 1,
         }
         if !is_measuring {
             return;
         }
-        let figures = &mut self.recorder.report.requests;
-        match refusal {
-            Refusal::Rejected { .. } => figures.rejected += 1,
-            Refusal::Failed => figures.failed += 1,
+        let stats = &mut self.recorder.report.requests;
+        match response {
+            UnsuccessfulResponse::Rejected { .. } => stats.rejected += 1,
+            UnsuccessfulResponse::Failed => stats.failed += 1,
         }
     }
 
-    /// Forgets a request that has its final response and no attempt in flight.
+    /// Removes the request if it is answered and has no attempt in flight.
     pub(super) fn drop_if_ended(&mut self, id: u64) {
         if self
             .open_requests
@@ -236,8 +240,8 @@
         }
     }
 
-    /// Requests that end without a response together with the gateway's process.
-    pub(super) fn lose_open_requests(&mut self, process: GatewayProcess) {
+    /// Removes the requests of a process that has ended. Those without a final response count as violations.
+    pub(super) fn discard_open_requests(&mut self, process: GatewayProcess) {
         let of_process = self
             .open_requests
             .iter()
@@ -257,12 +261,12 @@
             report.violations.unanswered += 1;
             report
                 .violations
-                .describe(|| format!("lost: gateway {gateway} ended with request {id} open"));
+                .describe_first(|| format!("lost: gateway {gateway} ended with request {id} open"));
         }
     }
 
     pub(super) fn deadline_of(&self, open: &OpenRequest) -> Micros {
         let class = &self.experiment.classes[open.client_request.class as usize];
-        open.arrived_at + micros(class.deadline_ms)
+        open.arrived_at + ms_to_micros(class.deadline_ms)
     }
 }
