--- a/src/bin/quota-gateway/discovery/mod.rs
+++ b/src/bin/quota-gateway/discovery/mod.rs
@@ -57,7 +57,7 @@
         let current_addr = *addr.borrow_and_update();
         tokio::select! {
             () = client.watch_once(current_addr) => {}
-            Ok(()) = addr.changed() => client.address_changed(),
+            Ok(()) = addr.changed() => client.on_address_changed(),
         }
     }
 }
@@ -88,9 +88,9 @@
         sleep(delay).await;
     }
 
-    fn address_changed(&mut self) {
+    fn on_address_changed(&mut self) {
         // The versions of another discovery service may be numbered differently.
         self.updates.mark_incomplete();
-        self.policy.address_changed();
+        self.policy.on_address_changed();
     }
 }
--- a/src/bin/quota-gateway/discovery/policy.rs
+++ b/src/bin/quota-gateway/discovery/policy.rs
@@ -146,7 +146,7 @@
     }
 
     /// Resets the call schedule after a change of discovery's address.
-    pub fn address_changed(&mut self) {
+    pub fn on_address_changed(&mut self) {
         self.call_schedule.reset();
     }
 
--- a/src/bin/quota-gateway/discovery/updates.rs
+++ b/src/bin/quota-gateway/discovery/updates.rs
@@ -67,7 +67,7 @@
     }
 
     /// Tells the handler that discovery has reported all changes up to now.
-    pub fn synced(&self) {
+    pub fn report_synced(&self) {
         self.handler.discovery_synced();
     }
 
@@ -75,6 +75,6 @@
         self.version.set(list.version);
         self.incomplete.set(false);
         self.handler.clone().endpoint_list_changed(list);
-        self.synced();
+        self.report_synced();
     }
 }
--- a/src/bin/quota-gateway/discovery/watch.rs
+++ b/src/bin/quota-gateway/discovery/watch.rs
@@ -42,7 +42,7 @@
             self.framer.push(&bytes);
             self.handle_frames()?;
             let only_continues_object = was_inside_object && self.framer.inside_object();
-            idle.received(bytes.len(), only_continues_object);
+            idle.on_received(bytes.len(), only_continues_object);
         }
         Ok(())
     }
@@ -50,7 +50,7 @@
     fn handle_frames(&mut self) -> Result<(), DiscoveryError> {
         while let Some(frame) = self.next_frame()? {
             match frame {
-                Frame::LineEnd => self.updates.synced(),
+                Frame::LineEnd => self.updates.report_synced(),
                 Frame::Object(text) => {
                     let list = self.parse(&text)?;
                     self.updates.apply_watched(list)?;
@@ -88,7 +88,7 @@
         }
     }
 
-    fn received(&mut self, bytes: usize, only_continues_object: bool) {
+    fn on_received(&mut self, bytes: usize, only_continues_object: bool) {
         self.unfinished_bytes += bytes;
         if !only_continues_object || self.unfinished_bytes >= KEEPALIVE_BYTES {
             *self = IdleTimer::new();
--- a/src/bin/quota-gateway/http/head.rs
+++ b/src/bin/quota-gateway/http/head.rs
@@ -63,7 +63,7 @@
     for header in response.headers.iter() {
         read_header(header, &mut head, &mut framing)?;
     }
-    let body = framing.body(head.status)?;
+    let body = framing.body_decoder(head.status)?;
     // `close` takes precedence over `keep-alive`, whether both are in one header or in two.
     if framing.close || body.ends_with_connection() {
         head.keep_alive = false;
@@ -135,7 +135,7 @@
         Ok(())
     }
 
-    fn body(&self, status: u16) -> Result<BodyDecoder, MalformedResponse> {
+    fn body_decoder(&self, status: u16) -> Result<BodyDecoder, MalformedResponse> {
         match (status, self.chunked, self.content_length) {
             (100..=199 | 204 | 304, ..) => Ok(BodyDecoder::Complete),
             // The correct one of the two is unknown. With the wrong one, the rest of the body would be read as the next
--- a/src/bin/quota-gateway/server/client_stream.rs
+++ b/src/bin/quota-gateway/server/client_stream.rs
@@ -55,7 +55,7 @@
     /// Bytes that were read while a request was being served and that hyper has not read yet.
     read_ahead: ReadAheadBuffer,
     budget: ReadAheadBudget,
-    next_poll: Pin<Box<Sleep>>,
+    disconnect_poll_timer: Pin<Box<Sleep>>,
     /// Number of bytes after `read_ahead` that were discarded. If there are any, hyper reads the end of the stream in
     /// their place.
     discarded: u64,
@@ -92,8 +92,9 @@
 
     /// Asks the system at the next interval whether the client has closed its side.
     fn poll_peer_closed(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        ready!(self.next_poll.as_mut().poll(cx));
-        self.next_poll.set(sleep(DISCONNECT_POLL_INTERVAL));
+        ready!(self.disconnect_poll_timer.as_mut().poll(cx));
+        self.disconnect_poll_timer
+            .set(sleep(DISCONNECT_POLL_INTERVAL));
         self.ended = self.socket.peer_has_closed();
         Poll::Ready(())
     }
@@ -135,7 +136,7 @@
             client,
             read_ahead: ReadAheadBuffer::new(budget.clone()),
             budget,
-            next_poll: Box::pin(sleep(DISCONNECT_POLL_INTERVAL)),
+            disconnect_poll_timer: Box::pin(sleep(DISCONNECT_POLL_INTERVAL)),
             discarded: 0,
             ended: false,
         };
--- a/src/bin/quota-gateway/server/connection.rs
+++ b/src/bin/quota-gateway/server/connection.rs
@@ -104,8 +104,15 @@
         let reason = loop {
             let current_phase = *phase.borrow_and_update();
             let close_reason = poll_fn(|cx| {
-                let served = connection.poll_without_shutdown(cx).is_ready();
-                poll_close_reason(served, current_phase, stream, client, &mut head_timer, cx)
+                let hyper_ended = connection.poll_without_shutdown(cx).is_ready();
+                poll_close_reason(
+                    hyper_ended,
+                    current_phase,
+                    stream,
+                    client,
+                    &mut head_timer,
+                    cx,
+                )
             });
             let reason = tokio::select! {
                 // The connection is polled first, so that bytes that have arrived are read before it counts as idle.
--- a/src/bin/quota-gateway/server/handler.rs
+++ b/src/bin/quota-gateway/server/handler.rs
@@ -31,10 +31,10 @@
         client_socket: WeakSocket,
     ) -> Response {
         let mut in_progress = RequestInProgress::begin(self, client);
-        let complete_by = client.request_deadline();
+        let body_deadline = client.request_deadline();
         let has_body = !request.body().is_end_stream();
         let mut response = match self
-            .handle(request, client_socket, &mut in_progress, complete_by)
+            .handle(request, client_socket, &mut in_progress, body_deadline)
             .await
         {
             Ok(response) => response,
@@ -57,7 +57,7 @@
         request: Request<Incoming>,
         client_socket: WeakSocket,
         in_progress: &mut RequestInProgress<'_>,
-        complete_by: Instant,
+        body_deadline: Instant,
     ) -> Result<Response, RequestError> {
         // The remaining time counts from the arrival of the request, which may have been pipelined during an earlier
         // one.
@@ -80,8 +80,8 @@
         check_body(class, &body)?;
         in_progress.claim_transaction_id(incoming.transaction_id)?;
         let remaining = Duration::from_secs_f64(incoming.remaining_ms / 1000.0);
-        let complete_by = complete_by.min(received_at + remaining);
-        let Some(body) = self.read_body_unless_refusing(body, complete_by).await? else {
+        let body_deadline = body_deadline.min(received_at + remaining);
+        let Some(body) = self.read_body_unless_refusing(body, body_deadline).await? else {
             return Ok(refuse_incomplete(&incoming, in_progress));
         };
         let forwarded = forwarded_request(class, &parts.uri, &parts.headers, &body);
