--- a/src/bin/quota-gateway/counter/codec.rs
+++ b/src/bin/quota-gateway/counter/codec.rs
@@ -53,8 +53,8 @@
     parts
 }
 
-/// Decodes a response. A response with status 200 but without a finite total is an error response: the amount may or
-/// may not have been added.
+/// Decodes a response. A response that is neither a finite total with status 200 nor a rejection (503, 400 or 404) is
+/// an error response: the amount may or may not have been added.
 pub fn decode(status: u16, body: &[u8]) -> CounterResponse {
     match (status, parse_total(body)) {
         (200, Some(total)) => CounterResponse {
--- a/src/bin/quota-gateway/counter/connection.rs
+++ b/src/bin/quota-gateway/counter/connection.rs
@@ -4,7 +4,7 @@
 //!
 //! - A response is attributed to the wrong call, so that a customer's quota follows another customer's total. Responses
 //!   arrive in the order of the requests. The connection is therefore closed after an invalid response and after bytes
-//!   that do not belong to the response to a request.
+//!   for which no request awaits a response.
 //! - The counter's machine fails and leaves the connection open without responses, so that each call on it times out. A
 //!   connection without a response for two call timeouts is closed, and the next call opens a new one.
 //! - The counter closes an idle connection while a call is being written, and it is unknown whether the amount was
--- a/src/bin/quota-gateway/counter/pending.rs
+++ b/src/bin/quota-gateway/counter/pending.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A request without a response, which may be partly or completely written.
+/// A request without a response. The request may not be written yet, or be written only in part.
 struct PendingRequest {
     call: IncrementCall,
     /// Position in the connection's outgoing bytes at which the request ends.
--- a/src/bin/quota-gateway/discovery/framing.rs
+++ b/src/bin/quota-gateway/discovery/framing.rs
@@ -8,7 +8,7 @@
 #[cfg(test)]
 mod tests;
 
-/// A unit of the stream.
+/// A complete part of the stream.
 #[derive(Debug, PartialEq)]
 pub enum Frame {
     /// An empty line, or the end of a line that held an object.
@@ -32,7 +32,7 @@
     parsed_len: usize,
 }
 
-/// The unit that a scanned byte completes.
+/// The kind of frame that a scanned byte completes.
 enum Boundary {
     Line,
     Object,
--- a/src/bin/quota-gateway/discovery/open/tests.rs
+++ b/src/bin/quota-gateway/discovery/open/tests.rs
@@ -64,7 +64,7 @@
 
 /// Guards the recovery after an outage of a shared discovery service. If all gateways called at once, the service would
 /// be overloaded again; if they waited too long, they would miss changes. Whichever way the calls failed during the
-/// outage, each gateway opens its watch within 6 s of its end, and the calls are spread out.
+/// outage, each gateway opens its watch within 6 s of the end of the outage, and the calls are spread out.
 #[tokio::test(start_paused = true)]
 async fn all_gateways_reopen_their_watches_in_time_after_an_outage_of_a_shared_service() {
     let set = tokio::task::LocalSet::new();
--- a/src/bin/quota-gateway/discovery/policy.rs
+++ b/src/bin/quota-gateway/discovery/policy.rs
@@ -8,8 +8,8 @@
 #[cfg(test)]
 pub mod tests;
 
-/// Time after which the protocol counts the gateway as notified of a change at a reachable discovery service, even if
-/// calls failed before.
+/// Time from a change at a reachable discovery service until the protocol counts the gateway as notified, even if calls
+/// failed before.
 pub const PROPAGATION_LIMIT: Duration = Duration::from_secs(6);
 /// Part of [`PROPAGATION_LIMIT`] that is reserved for the response. An overloaded discovery service rejects calls that
 /// have waited longer in its queue.
--- a/src/bin/quota-gateway/gossip.rs
+++ b/src/bin/quota-gateway/gossip.rs
@@ -85,7 +85,7 @@
             continue;
         };
         // Messages from unknown addresses and messages that are too long do not count towards the rate limit, so that
-        // they cannot use up the share of the gateways.
+        // they do not cause messages of the gateways to be dropped.
         let Some(from) = socket.index(addr) else {
             continue;
         };
--- a/src/bin/quota-gateway/http/head.rs
+++ b/src/bin/quota-gateway/http/head.rs
@@ -19,7 +19,7 @@
     pub keep_alive: bool,
     /// True if the endpoint states that the request was never executed (`X-Turned-Away: 1`).
     pub rejected: bool,
-    /// The units that the request actually used (`X-Units-Charged`), if the header is valid.
+    /// The units that the request actually used (`X-Units-Charged`); `None` if the header is missing or invalid.
     pub units: Option<f64>,
     /// The value of `Content-Type`, unchanged.
     pub content_type: Option<Bytes>,
--- a/src/bin/quota-gateway/http/header_names.rs
+++ b/src/bin/quota-gateway/http/header_names.rs
@@ -1,5 +1,5 @@
-//! Names of the headers in the protocol with clients and endpoints, in the case in which they are written on the wire.
-//! They are read case-insensitively.
+//! Names of the request headers in the protocol with clients and endpoints, in the case in which they are written on
+//! the wire. They are read case-insensitively.
 
 /// Transaction id, which the client chooses.
 pub const TRANSACTION_ID: &str = "X-Txn";
--- a/src/bin/quota-gateway/server/client.rs
+++ b/src/bin/quota-gateway/server/client.rs
@@ -193,8 +193,8 @@
         self.phase.get() == ClientPhase::Serving
     }
 
-    /// True if the client has no open request and no unwritten response. A client without a request is evictable only
-    /// after `new_client_grace`, because its first request may be in transit.
+    /// True if the client has no open request and no unwritten response. A client that has not sent a request yet is
+    /// evictable only after `new_client_grace`, because its first request may be in transit.
     pub fn is_evictable(&self, new_client_grace: Duration) -> bool {
         match self.phase.get() {
             ClientPhase::New => self.connected_at.elapsed() > new_client_grace,
--- a/src/bin/quota-gateway/server/client_stream.rs
+++ b/src/bin/quota-gateway/server/client_stream.rs
@@ -99,7 +99,8 @@
         Poll::Ready(())
     }
 
-    /// Makes one step towards the end of the stream, by the rules in the module documentation.
+    /// Buffers or discards the next bytes, or polls for the end of the stream, by the rules in the module
+    /// documentation.
     fn poll_for_end(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         let is_discarding = self.discarded > 0 || self.read_ahead.is_full();
         if is_discarding && self.discarded < MAX_DISCARDED_BYTES {
--- a/src/bin/quota-gateway/server/connection.rs
+++ b/src/bin/quota-gateway/server/connection.rs
@@ -41,8 +41,8 @@
                 () = &mut connection => return,
                 () = client.evicted() => {}
             }
-            // Guards against closing a connection without a response because its client sent a request while the
-            // process was stalled and is evicted as idle before the request is read. Yielding makes the runtime poll
+            // A client may have sent a request while the process was stalled. If the client were evicted as idle before
+            // the request is read, the connection would be closed without a response. Yielding makes the runtime poll
             // the sockets, and polling the connection reads the bytes that have arrived. Only then is the client's
             // state checked.
             yield_now().await;
--- a/src/bin/quota-gateway/server/connection/close_reason.rs
+++ b/src/bin/quota-gateway/server/connection/close_reason.rs
@@ -15,7 +15,7 @@
     ClientDisconnected,
     /// The client did not send a complete head in time.
     HeadTimeout,
-    /// The process is shutting down, and the client has no request open and awaits no response.
+    /// The process is shutting down, and the client is not busy: no request or response is in progress.
     Drained,
     /// The process is shutting down, and only a part of a request has arrived. The client receives a 503.
     PartialRequest,
--- a/src/bin/quota-gateway/server/handler.rs
+++ b/src/bin/quota-gateway/server/handler.rs
@@ -16,10 +16,10 @@
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// Time after a request's deadline at which the handler ends the request. The decision library normally ends it by the
-/// deadline, but its timer may fire late, for instance after a stall of the process. The value has to be shorter than
-/// `DEADLINE_MARGIN` in `lifecycle::timeline`, so that each request has its response before the shutdown ends the
-/// remaining ones.
+/// Time after a request's deadline at which the handler ends the request. The decision library normally ends the
+/// request by the deadline, but the library's timer may fire late, for instance after a stall of the process, and the
+/// client would have to wait longer. The value has to be shorter than `DEADLINE_MARGIN` in `lifecycle::timeline`, so
+/// that each request has its response before the shutdown ends the remaining ones.
 const DEADLINE_GRACE: Duration = Duration::from_millis(5);
 
 impl Server {
--- a/src/bin/quota-gateway/server/request/fields.rs
+++ b/src/bin/quota-gateway/server/request/fields.rs
@@ -1,7 +1,6 @@
 //! Parses the individual fields of a request's head. A malformed, missing or repeated field is an error.
 
 use super::error::RequestError;
-
 use super::route::ClassRoute;
 use crate::http::header_names;
 use hyper::{HeaderMap, Uri};
