--- a/soak/src/faults/gateway_faults.rs
+++ b/soak/src/faults/gateway_faults.rs
@@ -76,7 +76,7 @@
             gateway.reload(addresses)?;
         }
         if let Some(previous) = previous {
-            previous.retire(PREVIOUS_CLOSE_DELAY).await;
+            previous.shut_down(PREVIOUS_CLOSE_DELAY).await;
         }
         Ok(())
     }
