--- a/src/bin/quota-gateway/server/client.rs
+++ b/src/bin/quota-gateway/server/client.rs
@@ -83,7 +83,7 @@
     }
 
     /// Records that hyper received bytes of a head or a body, which were read from the socket at `read_at`.
-    pub fn bytes_read(&self, bytes: &[u8], read_at: Instant) {
+    pub fn on_bytes_read(&self, bytes: &[u8], read_at: Instant) {
         self.head_ends.scan(bytes);
         let arrived_at = self.first_arrival.take().unwrap_or(read_at);
         self.last_arrival.set(arrived_at);
@@ -113,7 +113,7 @@
 
     /// Records that the head of a request is complete. Its last byte arrived no later than the bytes that were read
     /// last.
-    pub fn head_completed(&self) {
+    pub fn on_head_completed(&self) {
         self.requests.set(self.requests.get() + 1);
         let started_at = self
             .head_started_at
@@ -138,24 +138,24 @@
     }
 
     /// Records that the request is complete. Nothing more is expected from the client before the response.
-    pub fn request_completed(&self) {
+    pub fn on_request_completed(&self) {
         self.phase.set(ClientPhase::Serving);
     }
 
     /// Records that the response was made and is about to be written, or that the client has disconnected.
-    pub fn request_ended(&self) {
+    pub fn on_request_ended(&self) {
         self.phase.set(ClientPhase::Idle);
         self.has_unwritten_response.set(true);
         self.idle_since.set(Instant::now());
     }
 
     /// Records that all responses are completely written to the socket.
-    pub fn responses_written(&self) {
+    pub fn on_responses_written(&self) {
         self.has_unwritten_response.set(false);
     }
 
     /// Records that bytes from the client are no longer read as requests.
-    pub fn connection_ended(&self) {
+    pub fn on_connection_ended(&self) {
         self.phase.set(ClientPhase::Closed);
         self.head_started_at.set(None);
         self.has_unwritten_response.set(false);
--- a/src/bin/quota-gateway/server/client/tests.rs
+++ b/src/bin/quota-gateway/server/client/tests.rs
@@ -17,12 +17,12 @@
         Some(connected_at + Duration::from_millis(2300))
     );
     advance(2 * SECOND).await;
-    client.bytes_read(b"x", Instant::now());
+    client.on_bytes_read(b"x", Instant::now());
     assert_eq!(
         client.head_deadline(),
         Some(connected_at + Duration::from_millis(2800))
     );
-    client.head_completed();
+    client.on_head_completed();
     assert_eq!(client.head_deadline(), None);
     assert_eq!(
         client.request_deadline(),
@@ -35,11 +35,11 @@
 #[tokio::test(start_paused = true)]
 async fn the_time_for_a_later_request_runs_from_its_first_byte() {
     let client = Client::new(None);
-    client.bytes_read(b"x", Instant::now());
-    client.head_completed();
-    client.request_completed();
+    client.on_bytes_read(b"x", Instant::now());
+    client.on_head_completed();
+    client.on_request_completed();
     advance(SECOND).await;
-    client.request_ended();
+    client.on_request_ended();
     let idle_since = Instant::now();
     assert_eq!(
         client.head_deadline(),
@@ -47,15 +47,15 @@
     );
     advance(2 * SECOND).await;
     let started_at = Instant::now();
-    client.bytes_read(b"x", started_at);
+    client.on_bytes_read(b"x", started_at);
     assert!(client.has_partial_head());
     assert_eq!(
         client.head_deadline(),
         Some(started_at + Duration::from_millis(2300))
     );
     advance(SECOND).await;
-    client.bytes_read(b"x", Instant::now());
-    client.head_completed();
+    client.on_bytes_read(b"x", Instant::now());
+    client.on_head_completed();
     assert!(!client.has_partial_head());
     assert_eq!(
         client.request_deadline(),
@@ -70,10 +70,10 @@
     let backlog_since = Instant::now();
     advance(SECOND).await;
     let client = Client::new(Some(backlog_since));
-    client.bytes_read(b"x", Instant::now());
+    client.on_bytes_read(b"x", Instant::now());
     assert_eq!(client.last_arrival(), backlog_since);
     advance(SECOND).await;
-    client.bytes_read(b"x", Instant::now());
+    client.on_bytes_read(b"x", Instant::now());
     assert_eq!(client.last_arrival(), Instant::now());
 }
 
@@ -84,10 +84,10 @@
     let read = |pieces: &[&str]| {
         let client = Client::new(None);
         for piece in pieces {
-            client.bytes_read(piece.as_bytes(), Instant::now());
+            client.on_bytes_read(piece.as_bytes(), Instant::now());
         }
-        client.head_completed();
-        client.request_completed();
+        client.on_head_completed();
+        client.on_request_completed();
         client
     };
     let head = "GET / HTTP/1.1\r\nHost: x\r\n\r\n";
@@ -99,7 +99,7 @@
     client.set_pipelined_bytes(1);
     assert!(client.may_have_pipelined_request());
     client.set_pipelined_bytes(0);
-    client.bytes_read(b"G", Instant::now());
+    client.on_bytes_read(b"G", Instant::now());
     assert!(client.may_have_pipelined_request());
 }
 
@@ -109,18 +109,18 @@
 async fn a_client_is_busy_until_its_response_is_written() {
     let client = Client::new(None);
     assert!(!client.is_busy());
-    client.bytes_read(b"G", Instant::now());
+    client.on_bytes_read(b"G", Instant::now());
     assert!(client.is_busy() && !client.awaits_response());
-    client.head_completed();
+    client.on_head_completed();
     assert!(client.is_busy() && client.awaits_response());
-    client.request_completed();
-    client.request_ended();
+    client.on_request_completed();
+    client.on_request_ended();
     assert!(
         client.is_busy() && client.awaits_response(),
         "the response is not written yet"
     );
     assert!(!client.is_evictable(SECOND));
-    client.responses_written();
+    client.on_responses_written();
     assert!(!client.is_busy() && client.is_evictable(SECOND));
     client.set_pipelined_bytes(1);
     assert!(client.is_busy());
--- a/src/bin/quota-gateway/server/client_stream.rs
+++ b/src/bin/quota-gateway/server/client_stream.rs
@@ -123,7 +123,7 @@
     fn take_read_ahead(&mut self, buf: &mut ReadBuf<'_>) {
         if let Some(arrival) = self.read_ahead.take(buf.remaining()) {
             buf.put_slice(&arrival.bytes);
-            self.client.bytes_read(&arrival.bytes, arrival.at);
+            self.client.on_bytes_read(&arrival.bytes, arrival.at);
             self.client.set_pipelined_bytes(self.read_ahead.len());
         }
     }
@@ -191,7 +191,7 @@
             .inspect_err(|_| state.ended = true)?;
         let bytes = &buf.filled()[before..];
         if !bytes.is_empty() {
-            state.client.bytes_read(bytes, Instant::now());
+            state.client.on_bytes_read(bytes, Instant::now());
         } else if buf.remaining() > 0 {
             state.ended = true;
         }
@@ -224,7 +224,7 @@
         let state = &mut *self.state.borrow_mut();
         ready!(Pin::new(&mut state.socket).poll_flush(cx))?;
         // hyper flushes the stream only once it has nothing left to write.
-        state.client.responses_written();
+        state.client.on_responses_written();
         Poll::Ready(Ok(()))
     }
 
--- a/src/bin/quota-gateway/server/connection.rs
+++ b/src/bin/quota-gateway/server/connection.rs
@@ -81,7 +81,7 @@
                 .write_all(response::incomplete_at_shutdown().as_bytes())
                 .await;
         }
-        client.connection_ended();
+        client.on_connection_ended();
         if reason.may_still_be_sending() {
             linger(stream.socket()).await;
         }
--- a/src/bin/quota-gateway/server/handler.rs
+++ b/src/bin/quota-gateway/server/handler.rs
@@ -108,7 +108,7 @@
             .driver
             .start_request(incoming, forwarded, client_socket);
         in_progress.driver_id = Some(started.id);
-        in_progress.client.request_completed();
+        in_progress.client.on_request_completed();
         let response = timeout_at(started.deadline + DEADLINE_GRACE, started.response).await;
         let Ok(response) = response else {
             return self.driver.expire_request(started.id);
--- a/src/bin/quota-gateway/server/in_progress.rs
+++ b/src/bin/quota-gateway/server/in_progress.rs
@@ -22,7 +22,7 @@
 impl<'a> RequestInProgress<'a> {
     /// Creates the state of a request whose head is complete, and records the head in the client's state.
     pub fn begin(server: &'a Server, client: &'a Client) -> Self {
-        client.head_completed();
+        client.on_head_completed();
         RequestInProgress {
             server,
             client,
@@ -57,7 +57,7 @@
 impl Drop for RequestInProgress<'_> {
     fn drop(&mut self) {
         // Except for the response that is yet to be written, the client's connection is idle again.
-        self.client.request_ended();
+        self.client.on_request_ended();
         // A request without a result was dropped because its connection ended.
         let end = self.end.unwrap_or(RequestEnd::Disconnected);
         self.server.driver.metrics().requests.increment(end);
