--- a/src/bin/quota-gateway/server/client_stream.rs
+++ b/src/bin/quota-gateway/server/client_stream.rs
@@ -55,7 +55,7 @@
     /// Bytes that were read while a request was being served and that hyper has not read yet.
     read_ahead: ReadAheadBuffer,
     budget: ReadAheadBudget,
-    next_poll: Pin<Box<Sleep>>,
+    disconnect_poll_timer: Pin<Box<Sleep>>,
     /// Number of bytes after `read_ahead` that were discarded. If there are any, hyper reads the end of the stream in
     /// their place.
     discarded: u64,
@@ -92,13 +92,15 @@
 
     /// Asks the system at the next interval whether the client has closed its side.
     fn poll_peer_closed(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        ready!(self.next_poll.as_mut().poll(cx));
-        self.next_poll.set(sleep(DISCONNECT_POLL_INTERVAL));
+        ready!(self.disconnect_poll_timer.as_mut().poll(cx));
+        self.disconnect_poll_timer
+            .set(sleep(DISCONNECT_POLL_INTERVAL));
         self.ended = self.socket.peer_has_closed();
         Poll::Ready(())
     }
 
-    /// Makes one step towards the end of the stream, by the rules in the module documentation.
+    /// Buffers or discards the next bytes, or polls for the end of the stream, by the rules in the module
+    /// documentation.
     fn poll_for_end(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         let is_discarding = self.discarded > 0 || self.read_ahead.is_full();
         if is_discarding && self.discarded < MAX_DISCARDED_BYTES {
@@ -121,7 +123,7 @@
     fn take_read_ahead(&mut self, buf: &mut ReadBuf<'_>) {
         if let Some(arrival) = self.read_ahead.take(buf.remaining()) {
             buf.put_slice(&arrival.bytes);
-            self.client.bytes_read(&arrival.bytes, arrival.at);
+            self.client.on_bytes_read(&arrival.bytes, arrival.at);
             self.client.set_pipelined_bytes(self.read_ahead.len());
         }
     }
@@ -135,7 +137,7 @@
             client,
             read_ahead: ReadAheadBuffer::new(budget.clone()),
             budget,
-            next_poll: Box::pin(sleep(DISCONNECT_POLL_INTERVAL)),
+            disconnect_poll_timer: Box::pin(sleep(DISCONNECT_POLL_INTERVAL)),
             discarded: 0,
             ended: false,
         };
@@ -189,7 +191,7 @@
             .inspect_err(|_| state.ended = true)?;
         let bytes = &buf.filled()[before..];
         if !bytes.is_empty() {
-            state.client.bytes_read(bytes, Instant::now());
+            state.client.on_bytes_read(bytes, Instant::now());
         } else if buf.remaining() > 0 {
             state.ended = true;
         }
@@ -222,7 +224,7 @@
         let state = &mut *self.state.borrow_mut();
         ready!(Pin::new(&mut state.socket).poll_flush(cx))?;
         // hyper flushes the stream only once it has nothing left to write.
-        state.client.responses_written();
+        state.client.on_responses_written();
         Poll::Ready(Ok(()))
     }
 
--- a/src/bin/quota-gateway/server/connection.rs
+++ b/src/bin/quota-gateway/server/connection.rs
@@ -41,8 +41,8 @@
                 () = &mut connection => return,
                 () = client.evicted() => {}
             }
-            // Guards against closing a connection without a response because its client sent a request while the
-            // process was stalled and is evicted as idle before the request is read. Yielding makes the runtime poll
+            // A client may have sent a request while the process was stalled. If the client were evicted as idle before
+            // the request is read, the connection would be closed without a response. Yielding makes the runtime poll
             // the sockets, and polling the connection reads the bytes that have arrived. Only then is the client's
             // state checked.
             yield_now().await;
@@ -81,7 +81,7 @@
                 .write_all(response::incomplete_at_shutdown().as_bytes())
                 .await;
         }
-        client.connection_ended();
+        client.on_connection_ended();
         if reason.may_still_be_sending() {
             linger(stream.socket()).await;
         }
@@ -104,8 +104,15 @@
         let reason = loop {
             let current_phase = *phase.borrow_and_update();
             let close_reason = poll_fn(|cx| {
-                let served = connection.poll_without_shutdown(cx).is_ready();
-                poll_close_reason(served, current_phase, stream, client, &mut head_timer, cx)
+                let hyper_ended = connection.poll_without_shutdown(cx).is_ready();
+                poll_close_reason(
+                    hyper_ended,
+                    current_phase,
+                    stream,
+                    client,
+                    &mut head_timer,
+                    cx,
+                )
             });
             let reason = tokio::select! {
                 // The connection is polled first, so that bytes that have arrived are read before it counts as idle.
