--- a/stand-ins/src/blocking/counter.rs
+++ b/stand-ins/src/blocking/counter.rs
@@ -16,14 +16,14 @@
     let totals = Mutex::new(CounterTotals::default());
     start_server(move |request| {
         let call = CounterCall::parse(request.target())
-            .expect("the target of a call has the parameter by");
+            .expect("the target of a counter call has a number in the parameter `by`");
         amounts
             .lock()
-            .expect("no test panics with the lock")
+            .expect("no thread panics while it holds the lock")
             .push(call.amount);
         let total = totals
             .lock()
-            .expect("no test panics with the lock")
+            .expect("no thread panics while it holds the lock")
             .add(&call);
         Reply::Send(response(200, "", &total))
     })
--- a/stand-ins/src/blocking/discovery.rs
+++ b/stand-ins/src/blocking/discovery.rs
@@ -36,12 +36,12 @@
     /// Panics if the address is in use.
     #[must_use]
     pub fn at(addr: SocketAddr) -> Self {
-        let listener = TcpListener::bind(addr).expect("a free address");
-        let addr = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind(addr).expect("the address of discovery is free");
+        let addr = listener.local_addr().expect("the listener has an address");
         let (call_sender, calls) = channel();
         std::thread::spawn(move || {
             for stream in listener.incoming() {
-                receive_call(stream.expect("an accepted connection"), &call_sender);
+                receive_call(stream.expect("a connection can be accepted"), &call_sender);
             }
         });
         Discovery { addr, calls }
@@ -54,9 +54,9 @@
     /// Panics if the connection ends first.
     #[must_use]
     pub fn watch_after_list(stream: TcpStream) -> (String, TcpStream) {
-        let mut from = BufReader::new(stream.try_clone().expect("a second handle"));
-        let request =
-            read_message(&mut from).expect("a watch after the list on the same connection");
+        let mut reader = BufReader::new(stream.try_clone().expect("the stream can be cloned"));
+        let request = read_message(&mut reader)
+            .expect("the gateway opens a watch on the connection of the list");
         (request.line, stream)
     }
 
@@ -69,14 +69,14 @@
     pub fn next_call(&self) -> (String, TcpStream) {
         self.calls
             .recv_timeout(TEST_TIMEOUT)
-            .expect("a call to discovery")
+            .expect("the gateway calls discovery in time")
     }
 }
 
 /// Reads a call and passes it to the test. If the call opens a watch, the head of the response is sent first.
 fn receive_call(mut stream: TcpStream, calls: &Sender<(String, TcpStream)>) {
-    let mut from = BufReader::new(stream.try_clone().expect("a second handle"));
-    let Some(request) = read_message(&mut from) else {
+    let mut reader = BufReader::new(stream.try_clone().expect("the stream can be cloned"));
+    let Some(request) = read_message(&mut reader) else {
         return;
     };
     if request.line.contains("stream=1") {
@@ -112,7 +112,8 @@
         zone: "room-a".to_owned(),
         kind: "std-2c".to_owned(),
         cell: 0,
-        state: serde_json::from_value(state.into()).expect("a known state"),
+        state: serde_json::from_value(state.into())
+            .expect("the state is one of the endpoint list's states"),
         weight: 1.0,
         started_ms: 0,
     };
--- a/stand-ins/src/blocking/endpoint.rs
+++ b/stand-ins/src/blocking/endpoint.rs
@@ -23,7 +23,7 @@
     let addr = start_server(move |request| {
         record
             .lock()
-            .expect("no test panics with the lock")
+            .expect("no thread panics while it holds the lock")
             .push(request.clone());
         Reply::Send(response(200, "X-Units-Charged: 2\r\n", "stock: 12"))
     });
@@ -53,11 +53,12 @@
     #[must_use]
     pub fn new() -> Self {
         let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
+        let socket =
+            Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket can be created");
         socket.bind(&any_port.into()).expect("a free port");
-        socket.listen(0).expect("a listener");
-        let addr = socket.local_addr().expect("an address");
-        let addr = addr.as_socket().expect("an IPv4 address");
+        socket.listen(0).expect("the socket can listen");
+        let addr = socket.local_addr().expect("the socket has an address");
+        let addr = addr.as_socket().expect("the address of the socket is IPv4");
         StalledEndpoint {
             addr,
             socket,
@@ -103,12 +104,15 @@
         drop(
             self.socket
                 .accept()
-                .expect("the connection that fills the queue"),
+                .expect("the connection that fills the queue can be accepted"),
         );
         self.socket
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("an open socket");
-        let (accepted, _) = self.socket.accept().expect("a connection");
+            .expect("the read timeout can be set");
+        let (accepted, _) = self
+            .socket
+            .accept()
+            .expect("a pending connection can be accepted in time");
         accepted.into()
     }
 }
--- a/stand-ins/src/blocking/http.rs
+++ b/stand-ins/src/blocking/http.rs
@@ -9,18 +9,19 @@
 /// # Panics
 ///
 /// Panics if `Content-Length` is not a number.
-pub fn read_message(from: &mut BufReader<TcpStream>) -> Option<Message> {
+pub fn read_message(reader: &mut BufReader<TcpStream>) -> Option<Message> {
     let mut head = Vec::new();
     while !head.ends_with(HEAD_END) {
-        from.read_until(b'\n', &mut head)
+        reader
+            .read_until(b'\n', &mut head)
             .ok()
             .filter(|bytes| *bytes > 0)?;
     }
     let mut message = Message::from_head(&head);
     let length = message
         .content_length()
-        .expect("Content-Length is a number");
+        .expect("the Content-Length of the message is a number");
     message.body.resize(length, 0);
-    from.read_exact(&mut message.body).ok()?;
+    reader.read_exact(&mut message.body).ok()?;
     Some(message)
 }
--- a/stand-ins/src/blocking/server.rs
+++ b/stand-ins/src/blocking/server.rs
@@ -20,7 +20,8 @@
     SendAndClose(String),
     /// Sends the text and resets the connection after a delay in which the peer can read the text.
     SendAndReset(String),
-    /// Sends nothing. Once the peer has closed the connection, sends the time of that on the channel.
+    /// Sends nothing until the peer closes the connection or sends more bytes. Then sends the time on the channel, and
+    /// closes the connection.
     StaySilent(Sender<Instant>),
 }
 
@@ -31,11 +32,11 @@
 /// Panics if no port is free.
 pub fn start_server(handler: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
-    let addr = listener.local_addr().expect("an address");
+    let addr = listener.local_addr().expect("the listener has an address");
     let handler = Arc::new(handler);
     std::thread::spawn(move || {
         for stream in listener.incoming() {
-            let stream = stream.expect("an accepted connection");
+            let stream = stream.expect("a connection can be accepted");
             let handler = handler.clone();
             std::thread::spawn(move || serve(stream, handler.as_ref()));
         }
@@ -45,13 +46,15 @@
 
 /// Serves a connection until the peer or a reply ends it.
 fn serve(mut stream: TcpStream, handler: &impl Fn(&Message) -> Reply) {
-    let mut from = BufReader::new(stream.try_clone().expect("a second handle"));
-    while let Some(message) = read_message(&mut from) {
+    let mut reader = BufReader::new(stream.try_clone().expect("the stream can be cloned"));
+    while let Some(message) = read_message(&mut reader) {
         match handler(&message) {
             Reply::Send(text) => write(&mut stream, &text),
             Reply::SendAndClose(text) => {
                 write(&mut stream, &text);
-                stream.shutdown(Shutdown::Both).expect("an open connection");
+                stream
+                    .shutdown(Shutdown::Both)
+                    .expect("the connection is still open");
                 return;
             }
             Reply::SendAndReset(text) => {
@@ -59,11 +62,11 @@
                 std::thread::sleep(RESET_DELAY);
                 SockRef::from(&stream)
                     .set_linger(Some(Duration::ZERO))
-                    .expect("an open connection");
+                    .expect("the reset at the close can be set");
                 return;
             }
             Reply::StaySilent(closed) => {
-                let _ = from.read(&mut [0]);
+                let _ = reader.read(&mut [0]);
                 // Sending fails once the test has ended.
                 let _ = closed.send(Instant::now());
                 return;
@@ -86,5 +89,5 @@
 #[must_use]
 pub fn unused_address() -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
-    listener.local_addr().expect("an address")
+    listener.local_addr().expect("the listener has an address")
 }
--- a/stand-ins/src/blocking/timeout.rs
+++ b/stand-ins/src/blocking/timeout.rs
@@ -1,4 +1,4 @@
-//! The time-out for waits in tests.
+//! The timeout for waits in tests.
 
 use std::time::Duration;
 
--- a/stand-ins/src/connection.rs
+++ b/stand-ins/src/connection.rs
@@ -65,7 +65,8 @@
         self.first_byte_at
     }
 
-    /// Returns true if the peer's close or reset of the connection has been received.
+    /// Returns true if the peer's close or reset of the connection has been received. A close that follows unread bytes
+    /// is not detected.
     #[must_use]
     pub fn is_closed_by_peer(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
--- a/stand-ins/src/endpoint_list.rs
+++ b/stand-ins/src/endpoint_list.rs
@@ -83,7 +83,7 @@
         self.entries.iter().map(|versioned| &versioned.entry)
     }
 
-    /// Adds an entry without a new version.
+    /// Adds an entry that belongs to the present version.
     pub fn add_initial(&mut self, entry: ListEntry) {
         self.entries.push(VersionedEntry {
             entry,
--- a/stand-ins/src/message.rs
+++ b/stand-ins/src/message.rs
@@ -11,7 +11,7 @@
 pub struct Message {
     /// The request or status line.
     pub line: String,
-    /// The headers by name in lower case. If a name occurs more than once, the first value is kept.
+    /// The headers by name in lower case. If a name occurs more than once, only the first value is kept.
     pub headers: HashMap<String, String>,
     /// Body of the message; empty if it has none.
     pub body: Vec<u8>,
