--- a/tests/shim/syscall_faults.c
+++ b/tests/shim/syscall_faults.c
@@ -10,7 +10,7 @@
  *   recv_nomem      recv fails with ENOMEM
  *   send_nobufs     send and writev fail with ENOBUFS
  *   unix_eintr      recv on a Unix socket fails with EINTR
- *   recv_short      recv returns fewer bytes than are available
+ *   recv_short      recv reads into a part of the buffer, less than 512 bytes long, and may leave bytes unread
  *   send_short      send and writev accept fewer bytes than they are given
  *   accept_abort    accept4 fails with ECONNABORTED and leaves the connection in the queue
  *   accept_full     accept4 fails with ENFILE and leaves the connection in the queue
@@ -38,7 +38,7 @@
 
 static uint64_t random_state;
 
-/* The number for this name in GATEWAY_FAULTS; 0 if the name is missing. */
+/* The number that GATEWAY_FAULTS gives for a name; 0 if the name is missing. */
 static long setting(const char *name) {
     const char *text = getenv("GATEWAY_FAULTS");
     size_t length = strlen(name);
@@ -65,7 +65,7 @@
     return random_state >> 11;
 }
 
-/* Decides at random whether this call fails, with the rate of the named fault. */
+/* Decides at random whether the named fault affects this call, at the rate that GATEWAY_FAULTS gives for it. */
 static int draw_fault(const char *name) {
     long rate = setting(name);
     return rate > 0 && (long)(next_random() % 1000) < rate;
