--- a/tests/gateway/attempts.rs
+++ b/tests/gateway/attempts.rs
@@ -34,7 +34,10 @@
     );
     assert_eq!(received[0].body, b"two pallets");
     let remaining: u64 = received[0].headers["x-remaining-ms"].parse().unwrap();
-    assert!(remaining > 0 && remaining < 3000, "{remaining}");
+    assert!(
+        remaining > 0 && remaining < 3000,
+        "the endpoint gets X-Remaining-Ms: {remaining}, expected 1 to 2999"
+    );
 }
 
 /// An endpoint is down, or rejects requests while it is full. The request was not executed, so even a non-idempotent
@@ -84,9 +87,9 @@
     }
 }
 
-/// An endpoint reads a request and never responds. Unless the connection is closed, the endpoint works for nobody, and
-/// the client must not wait beyond its deadline. The client must get 502 in time, and the connection must be closed.
-/// The request must not be sent again, as it may have been executed.
+/// An endpoint reads a request and never responds. If the gateway kept waiting, the client would wait beyond its
+/// deadline, and the endpoint would go on working for nobody. The client must get 502 in time, and the connection must
+/// be closed. The request must not be sent again, as it may have been executed.
 #[test]
 fn a_timed_out_attempt_closes_its_connection_and_the_client_gets_502_in_time() {
     let (closed_sender, closed) = channel();
@@ -100,7 +103,7 @@
     assert_eq!(response.status(), 502);
     assert!(
         start.elapsed() < Duration::from_millis(1400),
-        "{:?}",
+        "the response took {:?}, expected less than 1.4 s",
         start.elapsed()
     );
     closed
@@ -150,11 +153,12 @@
         assert_eq!(
             gateway.exchange(&post_request("once", "", "x")).status(),
             502,
-            "{invalid}"
+            "{invalid:?}"
         );
         assert!(
             start.elapsed() < Duration::from_secs(1),
-            "the request does not fail at once"
+            "{invalid:?}: the request failed after {:?}, expected less than 1 s",
+            start.elapsed()
         );
     }
 }
--- a/tests/gateway/client_timing.rs
+++ b/tests/gateway/client_timing.rs
@@ -49,14 +49,14 @@
             }
         }
         for _ in 0..2 {
-            read_message(&mut client).expect("a response");
+            read_message(&mut client).expect("the gateway responds");
         }
         let propagated = propagated.lock().unwrap().clone();
         let waited_ms = SERVICE_TIME.as_millis() as u64 - if pieces == 1 { 0 } else { 100 };
-        let left_ms = 1500 - waited_ms;
+        let expected_ms = 1500 - waited_ms;
         assert!(
-            propagated.len() < 2 || propagated[1] <= left_ms + REMAINING_SLACK_MS,
-            "{name}: {propagated:?}, {left_ms} left"
+            propagated.len() < 2 || propagated[1] <= expected_ms + REMAINING_SLACK_MS,
+            "{name}: propagated {propagated:?} ms, expected at most {expected_ms} + {REMAINING_SLACK_MS} for the second"
         );
     }
 }
@@ -83,14 +83,14 @@
         stalled.wait_for_pending(0);
         assert!(
             start.elapsed() < Duration::from_millis(1500),
-            "{megabytes} MB: {:?}",
+            "{megabytes} MiB: the attempt ended after {:?}, expected less than 1.5 s",
             start.elapsed()
         );
     }
 }
 
-/// The process stalls while connections are about to reach their idle time-out, and requests arrive during the stall. A
-/// process that then finds the time-out expired could close connections with unread requests, and their clients would
+/// The process stalls while connections are about to reach their idle timeout, and requests arrive during the stall. A
+/// process that then finds the timeout expired could close connections with unread requests, and their clients would
 /// get no response. Each request must be served, on new connections and on idle ones.
 #[test]
 fn a_request_that_arrives_during_a_stall_over_the_idle_timeout_is_served() {
@@ -104,7 +104,7 @@
             .unwrap();
         assert_eq!(read_message(client).unwrap().status(), 200);
     }
-    // The idle time-out is 2.3 s.
+    // The idle timeout is 2.3 s.
     sleep(Duration::from_millis(2200));
     gateway.signal("-STOP");
     sleep(Duration::from_millis(150));
@@ -122,8 +122,8 @@
     assert_eq!(statuses, [Some(200); 6]);
 }
 
-/// A client sends the first bytes of a request shortly before its connection reaches the idle time-out, and the rest
-/// later. If the idle time-out still applied, the request would be cut off in transmission. The time limit of a request
+/// A client sends the first bytes of a request shortly before its connection reaches the idle timeout, and the rest
+/// later. If the idle timeout still applied, the request would be cut off in transmission. The time limit of a request
 /// must start with its first byte, so that this request is served.
 #[test]
 fn the_time_limit_of_a_request_starts_with_its_first_byte() {
--- a/tests/gateway/clients.rs
+++ b/tests/gateway/clients.rs
@@ -17,11 +17,14 @@
     assert_eq!([statuses[0].status(), statuses[1].status()], [200, 200]);
     assert_eq!(statuses[2].status(), 429);
     let advice: f64 = statuses[2].headers["retry-after"].parse().unwrap();
-    assert!(advice > 0.0 && advice <= 2.0, "{advice}");
+    assert!(
+        advice > 0.0 && advice <= 2.0,
+        "Retry-After is {advice} s, expected more than 0 and at most 2"
+    );
     assert_eq!(received.lock().unwrap().len(), 2);
 }
 
-/// A client disconnects while an endpoint works on its request. If the attempt ran until its time-out, endpoints would
+/// A client disconnects while an endpoint works on its request. If the attempt ran until its timeout, endpoints would
 /// work for clients that have disconnected. The connection to the endpoint must be closed at once.
 #[test]
 fn a_client_disconnect_cancels_its_attempt() {
@@ -45,7 +48,7 @@
         .expect("the attempt is cancelled");
     assert!(
         start.elapsed() < Duration::from_millis(1400),
-        "the attempt ended only at its time-out"
+        "the attempt ended only at its timeout"
     );
 }
 
@@ -178,10 +181,14 @@
     for (number, mut connection) in connections.into_iter().enumerate() {
         let response = read_message(&mut connection).map_or(0, |response| response.status());
         assert_eq!(response, if number == 2 { 408 } else { 0 });
-        assert_eq!(connection.read(&mut [0]).unwrap_or(0), 0, "closed");
+        assert_eq!(
+            connection.read(&mut [0]).unwrap_or(0),
+            0,
+            "expected the close of the connection, got more bytes"
+        );
         assert!(
             start.elapsed() < Duration::from_secs(3),
-            "{:?}",
+            "client {number} was disconnected after {:?}, expected less than 3 s",
             start.elapsed()
         );
     }
@@ -210,8 +217,16 @@
                 .write_all(&vec![b'x'; 100_000])
                 .expect("the gateway reads the rest of the body");
         }
-        assert!([400, 413].contains(&read_message(&mut connection).expect("a response").status()));
-        assert_eq!(connection.read(&mut [0]).unwrap(), 0, "closed");
+        assert!([400, 413].contains(
+            &read_message(&mut connection)
+                .expect("the gateway responds")
+                .status()
+        ));
+        assert_eq!(
+            connection.read(&mut [0]).unwrap(),
+            0,
+            "expected the close of the connection, got more bytes"
+        );
     }
 }
 
@@ -238,16 +253,22 @@
             match read_message(&mut connection).map(|response| response.status()) {
                 Some(200) => break,
                 None | Some(503) => {}
-                Some(other) => panic!("{other}"),
+                Some(other) => panic!("the client got status {other}, expected 200 or 503"),
             }
-            assert!(start.elapsed() < TEST_TIMEOUT, "the client is not served");
+            assert!(
+                start.elapsed() < TEST_TIMEOUT,
+                "customer {customer} is not served within {TEST_TIMEOUT:?}"
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
     let open = std::fs::read_dir(format!("/proc/{}/fd", gateway.child.id()))
         .unwrap()
         .count();
-    assert!(open <= 64, "{open} descriptors");
+    assert!(
+        open <= 64,
+        "{open} descriptors are open, expected at most 64"
+    );
 }
 
 /// A request has both Content-Length and Transfer-Encoding, and its body contains a second request. With the wrong
@@ -257,14 +278,16 @@
 fn a_request_smuggled_in_a_body_is_not_served() {
     let (endpoint, received) = healthy_endpoint();
     let gateway = Gateway::new(&config_with_silent_discovery(&[endpoint]));
-    for (one, two) in [
+    for (first_header, second_header) in [
         ("Content-Length: 4", "Transfer-Encoding: chunked"),
         ("transfer-encoding: chunked", "content-length: 4"),
     ] {
         let hidden = get_request(2, 1, 3000);
         let body = format!("0\r\n\r\n{hidden}");
-        let head =
-            post_request("once", "", "").replace("Content-Length: 0", &format!("{one}\r\n{two}"));
+        let head = post_request("once", "", "").replace(
+            "Content-Length: 0",
+            &format!("{first_header}\r\n{second_header}"),
+        );
         let mut connection = gateway.connect();
         connection
             .get_mut()
@@ -278,7 +301,7 @@
         assert_eq!(
             connection.read(&mut [0]).unwrap(),
             0,
-            "the connection is closed after the response"
+            "expected the close of the connection, got more bytes"
         );
     }
     assert_eq!(received.lock().unwrap().len(), 0);
@@ -316,19 +339,20 @@
 }
 
 /// All slots are taken by clients with open requests, so a new client is rejected. Without a Retry-After the client
-/// would retry at once and add to the load. The 503 must have the header only if the settings permit it, with a value
-/// of at most the configured maximum.
+/// would retry at once and add to the load. Where the settings forbid the header, or limit its value, clients do not
+/// expect another one. The 503 must have the header only if the settings permit it, with a value of at most the
+/// configured maximum.
 #[test]
 fn a_client_without_a_slot_gets_retry_after_where_the_settings_permit_it() {
-    for (permitted, longest_ms, advice) in [
+    for (is_permitted, max_ms, expected) in [
         (true, 2000.0, Some("1.000")),
         (true, 500.0, Some("0.500")),
         (false, 0.0, None),
     ] {
         let mut config = config_with_silent_discovery(&[unused_address()]);
         config["limits"]["sockets"] = 40.into();
-        config["settings"]["limits"]["retry-after"] = permitted.into();
-        config["settings"]["limits"]["max-retry-after-ms"] = longest_ms.into();
+        config["settings"]["limits"]["retry-after"] = is_permitted.into();
+        config["settings"]["limits"]["max-retry-after-ms"] = max_ms.into();
         let gateway = Gateway::new(&config);
         // A client that got status 100 has an open request, and cannot be evicted.
         let head =
@@ -344,7 +368,7 @@
                         .as_bytes(),
                 )
                 .unwrap();
-            let response = read_message(&mut connection).expect("a response");
+            let response = read_message(&mut connection).expect("the gateway responds");
             if response.status() != 100 {
                 break response;
             }
@@ -354,7 +378,7 @@
         assert_eq!(refused.status(), 503);
         assert_eq!(
             refused.headers.get("retry-after").map(String::as_str),
-            advice
+            expected
         );
     }
 }
--- a/tests/gateway/coinciding_events.rs
+++ b/tests/gateway/coinciding_events.rs
@@ -41,14 +41,14 @@
         let request =
             post_request("once", "", "x").replace("Remaining-Ms: 3000", "Remaining-Ms: 800");
         let answer = gateway.exchange(&request);
-        assert_eq!(answer.status(), status, "{name}");
+        assert_eq!(answer.status(), status, "{name}: status of the response");
         assert!(status != 200 || answer.body == body.as_bytes());
         assert!(
             start.elapsed() < Duration::from_millis(1400),
-            "{name}: {:?}",
+            "{name}: the response took {:?}, expected less than 1.4 s",
             start.elapsed()
         );
-        assert_eq!(count.load(Ordering::SeqCst), 1, "{name}");
+        assert_eq!(count.load(Ordering::SeqCst), 1, "{name}: attempts");
     }
 }
 
@@ -67,12 +67,12 @@
         list_entry(1, two, "Ready")
     ]);
     let list = serde_json::json!({"version": 9, "full": true, "servers": servers}).to_string();
-    let (listed_to, listed) = channel();
+    let (list_call_sender, list_calls) = channel();
     let overloaded = start_server(move |call| {
         if call.line.contains("stream=1") {
             return Reply::Send(response(503, "", ""));
         }
-        let _ = listed_to.send(());
+        let _ = list_call_sender.send(());
         Reply::Send(response(200, "", &list))
     });
     config["discovery"] = overloaded.to_string().into();
@@ -80,9 +80,9 @@
         .reload(&config.to_string())
         .contains("reload failed"));
     for _ in 0..3 {
-        listed
+        list_calls
             .recv_timeout(TEST_TIMEOUT)
-            .expect("the list is requested");
+            .expect("the gateway requests the complete list");
     }
     let before = received_by_one.lock().unwrap().len();
     for customer in 0..10 {
@@ -91,7 +91,7 @@
     assert_eq!(
         received_by_one.lock().unwrap().len(),
         before,
-        "sent to a draining endpoint"
+        "requests were sent to a draining endpoint"
     );
 }
 
@@ -138,7 +138,12 @@
     sleep(Duration::from_millis(2600).saturating_sub(first_attempt_at.elapsed()));
     let mut received = Vec::new();
     let mut connection = BufReader::new(late_endpoint.accept_next());
-    assert_eq!(read_message(&mut client).expect("a response").status(), 502);
+    assert_eq!(
+        read_message(&mut client)
+            .expect("the gateway responds")
+            .status(),
+        502
+    );
     connection
         .get_mut()
         .set_read_timeout(Some(Duration::from_millis(200)))
@@ -246,7 +251,8 @@
     while sent.lock().unwrap().len() < 6 {
         assert!(
             start.elapsed() < TEST_TIMEOUT,
-            "the first clients are not served"
+            "the endpoint has got {} requests, expected those of 6 clients",
+            sent.lock().unwrap().len()
         );
         sleep(Duration::from_millis(5));
     }
@@ -268,7 +274,7 @@
     assert_eq!(
         *sent.lock().unwrap(),
         [format!("{:016x}", 31)],
-        "sent for a client that had disconnected"
+        "requests that were sent, expected none of the disconnected client"
     );
 }
 
@@ -313,7 +319,7 @@
     }
 }
 
-/// A client reads its response slowly, while the shutdown closes connections or the idle time-out passes. If the
+/// A client reads its response slowly, while the shutdown closes connections or the idle timeout passes. If the
 /// connection counted as idle as soon as the response is written, the client would get only a part of the body. The
 /// client must get the whole body, and the process must exit with success.
 #[test]
@@ -339,14 +345,14 @@
         if shuts_down {
             gateway.signal("-TERM");
         }
-        // Idle connections close 0.6 s after the signal, or after the idle time-out of 2.3 s. The process may exit 1 s
+        // Idle connections close 0.6 s after the signal, or after the idle timeout of 2.3 s. The process may exit 1 s
         // after the signal.
         sleep(Duration::from_millis(if shuts_down { 1500 } else { 2800 }));
-        let answer = read_message(&mut client).expect("a complete response");
+        let answer = read_message(&mut client).expect("the gateway sends a complete response");
         assert_eq!(
             answer.body.len(),
             body.len(),
-            "during a shutdown: {shuts_down}"
+            "size of the body, during a shutdown: {shuts_down}"
         );
         if shuts_down {
             assert!(gateway.child.wait().unwrap().success());
@@ -395,7 +401,10 @@
         .map(|client| read_message(client).map_or(0, |answer| answer.status()))
         .collect();
     let unanswered = statuses.iter().filter(|status| **status == 0).count();
-    assert_eq!(unanswered, 0, "{statuses:?}");
+    assert_eq!(
+        unanswered, 0,
+        "clients without a response (status 0): {statuses:?}"
+    );
     assert!(statuses.contains(&503), "no client was without a slot");
     assert!(gateway.child.wait().unwrap().success());
 }
--- a/tests/gateway/counter.rs
+++ b/tests/gateway/counter.rs
@@ -26,8 +26,10 @@
     let amounts = amounts.lock().unwrap();
     assert!(!amounts.is_empty());
     assert!(
-        amounts.iter().all(|a| *a >= 0.005 && *a <= 1e9),
-        "{amounts:?}"
+        amounts
+            .iter()
+            .all(|amount| *amount >= 0.005 && *amount <= 1e9),
+        "amounts of calls, expected 0.005 to 1e9: {amounts:?}"
     );
 }
 
--- a/tests/gateway/discovery.rs
+++ b/tests/gateway/discovery.rs
@@ -31,14 +31,17 @@
     let discovery = Discovery::new();
     let gateway = gateway_with(&[one, two], &discovery);
     let (line, mut watch) = discovery.next_call();
-    assert!(line.contains("index=7"), "{line}");
+    assert!(line.contains("index=7"), "expected index=7 in {line}");
     let servers = serde_json::json!([list_entry(0, one, "Terminating")]);
     let change = update(8, &servers);
     push_update(&mut watch, &change.to_string());
     push_update(&mut watch, "{\"version\": 9, \"full\": tr");
     // An event that cannot be parsed is a missed change, so the gateway requests the complete list.
     let (line, _) = discovery.next_call();
-    assert!(!line.contains("stream"), "{line}");
+    assert!(
+        !line.contains("stream"),
+        "expected a call for the complete list: {line}"
+    );
     let before = received_by_one.lock().unwrap().len();
     for customer in 0..10 {
         assert_eq!(gateway.get(customer, 1).status(), 200);
@@ -108,15 +111,15 @@
     gateway.wait_until_list_is_applied();
     assert!(
         discovery.calls.try_recv().is_err(),
-        "the first watch stays open"
+        "discovery was called again, expected the first watch to stay open"
     );
     (0..10).for_each(|customer| assert_eq!(gateway.get(customer, 1).status(), 200));
     assert_eq!(received_by_one.lock().unwrap().len(), 0);
 }
 
 /// A watch stays open but stops sending, perhaps in the middle of an object, as after the loss of the remote machine.
-/// The gateway could wait forever for events, although the protocol counts it as notified after 6 s. The watch must be
-/// reopened within 4 s, from the same version.
+/// The gateway could wait forever for events, although the protocol counts the gateway as notified after 6 s. The watch
+/// must be reopened within 4 s, from the same version.
 #[test]
 fn a_silent_watch_is_reopened_in_time() {
     let (one, _) = healthy_endpoint();
@@ -127,10 +130,10 @@
         let start = Instant::now();
         push_update(&mut watch, last);
         let (line, _) = discovery.next_call();
-        assert!(line.contains("index=7"), "{line}");
+        assert!(line.contains("index=7"), "expected index=7 in {line}");
         assert!(
             start.elapsed() < Duration::from_secs(4),
-            "{:?}",
+            "the watch was reopened after {:?}, expected less than 4 s",
             start.elapsed()
         );
     }
@@ -148,23 +151,27 @@
         Reply::StaySilent(channel().0)
     });
     let _gateway = Gateway::new(&config(&[one], start_counter(Arc::default()), agent));
-    calls.recv_timeout(TEST_TIMEOUT).expect("a call");
+    calls
+        .recv_timeout(TEST_TIMEOUT)
+        .expect("the gateway calls discovery");
     let start = Instant::now();
     for _ in 0..3 {
-        calls.recv_timeout(TEST_TIMEOUT).expect("another call");
+        calls
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("the gateway calls discovery again");
     }
     assert!(
         start.elapsed() < Duration::from_secs(3),
-        "{:?}",
+        "three more calls took {:?}, expected less than 3 s",
         start.elapsed()
     );
 }
 
 /// A complete list with `entries` entries, of which only the endpoint at `ready` accepts requests.
 fn long_list(entries: usize, ready: SocketAddr) -> serde_json::Value {
-    let elsewhere = |number| list_entry(number, unserved_address(number), "Terminating");
+    let draining_entry = |number| list_entry(number, unserved_address(number), "Terminating");
     let servers = (1..entries)
-        .map(elsewhere)
+        .map(draining_entry)
         .chain([list_entry(0, ready, "Ready")]);
     serde_json::json!({"version": 9, "full": true, "servers": servers.collect::<Vec<_>>()})
 }
@@ -174,7 +181,7 @@
 }
 
 /// The configuration has no endpoints, and the watch sends a list of 20,000 entries in one chunk. If the list exceeded
-/// a limit or took longer than the time-out for a silent watch, the gateway would call in a loop and never be ready.
+/// a limit or took longer than the timeout for a silent watch, the gateway would call in a loop and never be ready.
 /// The list must apply at the first call, both on one line and indented.
 #[test]
 fn a_long_list_applies_at_the_first_call_on_one_line_or_indented() {
@@ -191,7 +198,7 @@
         let discovery = Discovery::new();
         let gateway = Gateway::spawn(&config(&[], start_counter(Arc::default()), discovery.addr));
         let (line, mut watch) = discovery.next_call();
-        assert!(line.contains("index=7"), "{line}");
+        assert!(line.contains("index=7"), "expected index=7 in {line}");
         push_update(&mut watch, &text);
         gateway.wait_until_ready();
         assert_eq!(gateway.get(1, 1).status(), 200);
@@ -222,7 +229,7 @@
         if let Ok((line, mut list)) = discovery.calls.recv_timeout(Duration::from_millis(100)) {
             assert!(
                 !line.contains("stream"),
-                "the complete list is requested: {line}"
+                "expected a call for the complete list: {line}"
             );
             let _ = list.write_all(answer.as_bytes());
             calls += 1;
@@ -234,7 +241,10 @@
             200
         );
     }
-    assert!((1..=9).contains(&calls), "{calls} calls");
+    assert!(
+        (1..=9).contains(&calls),
+        "{calls} calls in 4 s, expected 1 to 9"
+    );
 }
 
 /// Idle clients use up the descriptors while discovery refuses connections. When discovery is back, there could be no
@@ -260,12 +270,16 @@
                     .get_mut()
                     .write_all(get_request(customer, 1, 3000).as_bytes())
                     .unwrap();
-                let status = read_message(&mut client).expect("a response").status();
+                let answer = read_message(&mut client).expect("the gateway responds");
+                let status = answer.status();
                 idle.push(client);
                 if status == 200 {
                     return;
                 }
-                assert!(status == 503 && start.elapsed() < TEST_TIMEOUT, "{status}");
+                assert!(
+                    status == 503 && start.elapsed() < TEST_TIMEOUT,
+                    "customer {customer} got status {status}, expected 503 or, in time, 200"
+                );
                 std::thread::sleep(Duration::from_millis(5));
             }
         };
@@ -274,8 +288,8 @@
         let (line, mut watch) = discovery
             .calls
             .recv_timeout(Duration::from_secs(6))
-            .expect("a watch in time");
-        assert!(line.contains("index=7"), "{line}");
+            .expect("the gateway reopens the watch within 6 s");
+        assert!(line.contains("index=7"), "expected index=7 in {line}");
         let servers = serde_json::json!([
             invalid_entry(),
             list_entry(0, one, "Terminating"),
@@ -288,12 +302,15 @@
         assert_eq!(
             received_by_one.lock().unwrap().len(),
             before,
-            "sent to a draining endpoint"
+            "requests were sent to a draining endpoint"
         );
         let open = std::fs::read_dir(format!("/proc/{}/fd", gateway.child.id()))
             .unwrap()
             .count();
-        assert!((40..=64).contains(&open), "{open} descriptors");
+        assert!(
+            (40..=64).contains(&open),
+            "{open} descriptors are open, expected 40 to 64"
+        );
     }
 }
 
@@ -314,7 +331,7 @@
         gateway.wait_until_ready();
         assert!(
             start.elapsed() < Duration::from_secs(10),
-            "{:?}",
+            "the gateway became ready after {:?}, expected less than 10 s",
             start.elapsed()
         );
         assert_eq!(gateway.get(1, 1).status(), 200);
--- a/tests/gateway/races.rs
+++ b/tests/gateway/races.rs
@@ -59,7 +59,7 @@
     late.set_nonblocking(true).unwrap();
     assert!(
         late.read(&mut [0]).map_or(true, |bytes| bytes == 0),
-        "sent to a draining endpoint"
+        "something was sent to a draining endpoint"
     );
 }
 
@@ -71,7 +71,7 @@
     let mut rows = candidates.map(|row| row.split_whitespace().collect::<Vec<_>>());
     let row = rows
         .find(|row| row[1].ends_with(&port))
-        .expect("the client's connection");
+        .expect("/proc/net/tcp lists the client's connection");
     usize::from_str_radix(row[4].split(':').next().unwrap(), 16).unwrap()
 }
 
@@ -96,12 +96,13 @@
         client.shutdown(Shutdown::Write).unwrap();
         kept.push(client);
     };
-    let many = |bytes: usize| get_request(1, 1, 3000).repeat(bytes / get_request(1, 1, 3000).len());
+    let requests_of_size =
+        |bytes: usize| get_request(1, 1, 3000).repeat(bytes / get_request(1, 1, 3000).len());
     let pipelined = [
         get_request(1, 1, 3000),
         get_request(1, 1, 3000).repeat(200),
         "noise".to_owned(),
-        many(300_000),
+        requests_of_size(300_000),
     ];
     let cases: [(&str, &mut dyn FnMut(TcpStream)); 8] = [
         ("", &mut { close }),
@@ -124,7 +125,7 @@
         while unacknowledged_bytes(&client) > 0 {
             assert!(
                 start.elapsed() < TEST_TIMEOUT,
-                "{number}: {} bytes are not acknowledged",
+                "case {number}: {} bytes are not acknowledged",
                 unacknowledged_bytes(&client)
             );
             std::thread::yield_now();
@@ -134,7 +135,7 @@
         stalled.wait_for_pending(0);
         assert!(
             start.elapsed() < Duration::from_millis(1500),
-            "{number}: {:?}",
+            "case {number}: the attempt ended after {:?}, expected less than 1.5 s",
             start.elapsed()
         );
     }
@@ -156,7 +157,9 @@
         .unwrap();
     for customer in 1..=50 {
         assert_eq!(
-            read_message(&mut client).expect("a response").body,
+            read_message(&mut client)
+                .expect("the gateway responds")
+                .body,
             format!("0000{customer:012x}").as_bytes()
         );
     }
@@ -168,9 +171,9 @@
 #[test]
 fn a_client_disconnect_during_the_counter_call_sends_nothing() {
     let (endpoint, received) = healthy_endpoint();
-    let (called, calls) = channel();
+    let (call_sender, calls) = channel();
     let silent = start_server(move |_| {
-        let _ = called.send(());
+        let _ = call_sender.send(());
         Reply::StaySilent(channel().0)
     });
     let discovery = Discovery::new();
@@ -185,10 +188,11 @@
         .unwrap();
     calls
         .recv_timeout(TEST_TIMEOUT)
-        .expect("a call to the counter");
+        .expect("the gateway calls the counter");
     drop(client);
-    let stays = post_request("once", "", "stays").replace("9b1f03aa5c7e2d41", "9b1f03aa5c7e2d42");
-    assert_eq!(gateway.exchange(&stays).status(), 200);
+    let next_request =
+        post_request("once", "", "stays").replace("9b1f03aa5c7e2d41", "9b1f03aa5c7e2d42");
+    assert_eq!(gateway.exchange(&next_request).status(), 200);
     let bodies: Vec<_> = received
         .lock()
         .unwrap()
@@ -211,10 +215,10 @@
     let _client = start_request(&gateway, &stalled);
     std::thread::sleep(Duration::from_millis(800));
     let late = stalled.accept_next();
-    let message = read_message(&mut BufReader::new(late)).expect("a request");
+    let message = read_message(&mut BufReader::new(late)).expect("the endpoint gets a request");
     let remaining_ms: u64 = message.headers["x-remaining-ms"].parse().unwrap();
     assert!(
         remaining_ms <= 2200,
-        "{remaining_ms} ms of 3000 are left after 800"
+        "the attempt states {remaining_ms} ms of 3000 after 800 ms, expected at most 2200"
     );
 }
--- a/tests/gateway/service.rs
+++ b/tests/gateway/service.rs
@@ -13,13 +13,13 @@
 fn an_invalid_configuration_is_reported_in_one_line_that_names_the_field() {
     let mut config = config_with_silent_discovery(&[unused_address()]);
     config["settings"]["rules"]["cold-from"] = "warm".into();
-    assert_reports(&config, "settings.rules.cold-from");
+    assert_startup_error_names(&config, "settings.rules.cold-from");
     let mut config = config_with_silent_discovery(&[unused_address()]);
     config["settings"]["categories"][1]
         .as_object_mut()
         .unwrap()
         .remove("window-ms");
-    assert_reports(&config, "settings.categories[1].window-ms");
+    assert_startup_error_names(&config, "settings.categories[1].window-ms");
     for (list, number, field, value) in [
         ("categories", 0, "give-up-ms", -1.0),
         ("categories", 2, "aim-ms", 1e300),
@@ -27,17 +27,17 @@
     ] {
         let mut config = config_with_silent_discovery(&[unused_address()]);
         config["settings"][list][number][field] = value.into();
-        assert_reports(&config, &format!("settings.{list}[{number}].{field}"));
+        assert_startup_error_names(&config, &format!("settings.{list}[{number}].{field}"));
     }
 }
 
-fn assert_reports(config: &serde_json::Value, field: &str) {
+fn assert_startup_error_names(config: &serde_json::Value, field: &str) {
     let output = spawn_program(config).0.wait_with_output().unwrap();
     let report = String::from_utf8(output.stderr).unwrap();
     assert!(!output.status.success());
     assert!(
         report.contains(field) && report.trim_end().lines().count() == 1,
-        "{report}"
+        "expected one line that names {field}: {report}"
     );
 }
 
@@ -123,21 +123,21 @@
         let (line, mut list) = discovery.next_call();
         assert!(
             !line.contains("stream"),
-            "the complete list is requested: {line}"
+            "expected a call for the complete list: {line}"
         );
         let addr = if round % 2 == 0 { new } else { old };
         let text = serde_json::json!({"version": 1, "full": true, "servers": [list_entry(round, addr, "Ready")]});
         list.write_all(response(200, "", &text.to_string()).as_bytes())
             .unwrap();
         let (line, _watch) = Discovery::watch_after_list(list);
-        assert!(line.contains("index=1"), "{line}");
+        assert!(line.contains("index=1"), "expected index=1 in {line}");
         let before = amounts.lock().unwrap().len();
         let start = Instant::now();
         while amounts.lock().unwrap().len() == before {
             customer += 1;
             assert!(
                 start.elapsed() < TEST_TIMEOUT,
-                "the new counter is never called"
+                "the gateway does not call the new counter within {TEST_TIMEOUT:?}"
             );
             assert_eq!(gateway.get(customer, 1).status(), 200);
         }
@@ -199,14 +199,16 @@
         let start = Instant::now();
         gateway.signal("-TERM");
         assert_eq!(
-            read_message(&mut client).expect("a response").status(),
+            read_message(&mut client)
+                .expect("the gateway responds")
+                .status(),
             if hangs { 502 } else { 200 }
         );
         assert!(gateway.child.wait().unwrap().success());
         // SIGKILL would follow 3.7 s after SIGTERM.
         assert!(
             start.elapsed() < Duration::from_millis(3650),
-            "{:?}",
+            "the program exits {:?} after SIGTERM, expected less than 3.65 s",
             start.elapsed()
         );
     }
@@ -283,14 +285,17 @@
         "gateway_attempts_total{outcome=\"success\"} 1",
         "gateway_accept_errors_total 0",
     ] {
-        assert!(text.lines().any(|other| other == line), "{line}\n{text}");
+        assert!(
+            text.lines().any(|other| other == line),
+            "expected the line {line} in\n{text}"
+        );
     }
     let violations = text
         .lines()
         .filter(|line| line.starts_with("gateway_rule_violations_total"));
     assert!(
         violations.clone().count() == 7 && violations.clone().all(|line| line.ends_with(" 0")),
-        "{text}"
+        "expected 7 rules without violations:\n{text}"
     );
 }
 
--- a/tests/gateway/shutdown.rs
+++ b/tests/gateway/shutdown.rs
@@ -49,8 +49,8 @@
 
 /// The record of the shutdown of a process whose endpoint never responds.
 struct ShutdownRun {
-    terminated_at: Instant,
-    ended_at: Instant,
+    sigterm_sent_at: Instant,
+    exited_at: Instant,
     exited_successfully: bool,
     requests: Vec<RequestResult>,
     attempts: Vec<ReceivedAttempt>,
@@ -128,12 +128,12 @@
     })
 }
 
-/// Shuts a process down while requests arrive until the time of SIGKILL. The process stalls once, `stalled_at` after
-/// SIGTERM, if that is given.
+/// Shuts a process down while requests arrive until the time of SIGKILL. If `stall_after` is given, the process stalls
+/// once, that time after SIGTERM.
 fn terminate_under_requests(
     deadline_ms: u32,
     sending: Sending,
-    stalled_at: Option<Duration>,
+    stall_after: Option<Duration>,
 ) -> ShutdownRun {
     let attempts = Arc::new(Mutex::new(Vec::new()));
     let received = attempts.clone();
@@ -160,7 +160,7 @@
         let texts =
             [number, number + CLIENTS].map(|customer| get_request(customer.into(), 1, deadline_ms));
         let offset = termination_grace * number / CLIENTS;
-        // `first_pieces_from` is PIECE_INTERVAL before `sigterm_at`, and so is each first piece before its second one.
+        // A first piece is sent PIECE_INTERVAL before its second piece, as `first_pieces_from` is before `sigterm_at`.
         start_client(
             gateway.addr,
             sending,
@@ -171,16 +171,16 @@
     };
     let clients: Vec<_> = (1..=CLIENTS).map(client).collect();
     sleep(sigterm_at.saturating_duration_since(Instant::now()));
-    let terminated_at = Instant::now();
+    let sigterm_sent_at = Instant::now();
     gateway.signal("-TERM");
-    if let Some(stalled_at) = stalled_at {
-        sleep(stalled_at.saturating_sub(terminated_at.elapsed()));
+    if let Some(stall_after) = stall_after {
+        sleep(stall_after.saturating_sub(sigterm_sent_at.elapsed()));
         gateway.signal("-STOP");
         sleep(STALL_DURATION);
         gateway.signal("-CONT");
     }
     let exited_successfully = gateway.child.wait().unwrap().success();
-    let ended_at = Instant::now();
+    let exited_at = Instant::now();
     let requests = clients
         .into_iter()
         .flat_map(|client| client.join().unwrap())
@@ -188,8 +188,8 @@
     let attempts = std::mem::take(&mut *attempts.lock().unwrap());
     let log = gateway.log.try_iter().collect::<Vec<_>>().join("\n");
     ShutdownRun {
-        terminated_at,
-        ended_at,
+        sigterm_sent_at,
+        exited_at,
         exited_successfully,
         requests,
         attempts,
@@ -201,9 +201,9 @@
 fn shutdown_fault(
     deadline_ms: u32,
     sending: Sending,
-    stalled_at: Option<Duration>,
+    stall_after: Option<Duration>,
 ) -> Option<String> {
-    let run = terminate_under_requests(deadline_ms, sending, stalled_at);
+    let run = terminate_under_requests(deadline_ms, sending, stall_after);
     let lost = run.lost_requests();
     let answered = run
         .requests
@@ -214,10 +214,10 @@
     if is_successful && lost.is_empty() && answered > 0 {
         return None;
     }
-    let ended_after = run.ended_at - run.terminated_at;
+    let exited_after = run.exited_at - run.sigterm_sent_at;
     Some(format!(
-        "{deadline_ms} ms, {sending:?}, stalled at {stalled_at:?}: ended after {ended_after:?}, successful: {is_successful}, \
-         {answered} of {} answered, {} lost: {lost:?}",
+        "{deadline_ms} ms, {sending:?}, stall after {stall_after:?}: exited after {exited_after:?}, \
+         successful: {is_successful}, {answered} of {} answered, {} lost: {lost:?}",
         run.requests.len(),
         lost.len()
     ))
@@ -256,17 +256,18 @@
 #[test]
 fn deadlines_propagated_during_the_shutdown_end_with_the_process() {
     let run = terminate_under_requests(1000, Sending::Complete, None);
-    let mut late = run
+    let mut attempts_after_sigterm = run
         .attempts
         .iter()
-        .filter(|attempt| attempt.received_at > run.terminated_at);
-    let beyond = late.find(|attempt| {
-        attempt.received_at + attempt.remaining_time > run.ended_at + DEADLINE_TOLERANCE
+        .filter(|attempt| attempt.received_at > run.sigterm_sent_at);
+    let overrun = attempts_after_sigterm.find(|attempt| {
+        attempt.received_at + attempt.remaining_time > run.exited_at + DEADLINE_TOLERANCE
     });
-    let beyond = beyond.map(|attempt| (attempt.remaining_time, run.ended_at - attempt.received_at));
+    let overrun =
+        overrun.map(|attempt| (attempt.remaining_time, run.exited_at - attempt.received_at));
     assert_eq!(
-        beyond, None,
-        "time propagated, and time until the process ended"
+        overrun, None,
+        "time propagated, and time until the process exited, of an attempt"
     );
 }
 
--- a/tests/gateway/stand_ins/config.rs
+++ b/tests/gateway/stand_ins/config.rs
@@ -14,7 +14,7 @@
     let servers: Vec<_> = endpoints
         .iter()
         .enumerate()
-        .map(|(i, a)| list_entry(i, *a, "Ready"))
+        .map(|(number, addr)| list_entry(number, *addr, "Ready"))
         .collect();
     let class = |name: &str, effect: &str| {
         serde_json::json!({"name": name, "aim-ms": 1500.0, "give-up-ms": 4000.0, "value": 1.0, "late-worth": 0.0,
@@ -53,7 +53,7 @@
     )
 }
 
-/// An invalid entry of an endpoint list. A list that has one can be waited for with
+/// An invalid entry of an endpoint list. Tests add it to a list whose application they wait for: see
 /// [`Gateway::wait_until_list_is_applied`](super::Gateway::wait_until_list_is_applied).
 pub fn invalid_entry() -> serde_json::Value {
     serde_json::json!({"id": 7})
--- a/tests/gateway/stand_ins/faults.rs
+++ b/tests/gateway/stand_ins/faults.rs
@@ -26,7 +26,13 @@
             .args(["-shared", "-fPIC", "-O1", "-o"])
             .arg(&library)
             .args([source, "-ldl"]);
-        assert!(compiler.status().expect("a C compiler").success());
+        let status = compiler
+            .status()
+            .expect("the C compiler `cc` can be started");
+        assert!(
+            status.success(),
+            "the fault library does not compile: {status}"
+        );
         library
     })
 }
--- a/tests/gateway/stand_ins/gateway.rs
+++ b/tests/gateway/stand_ins/gateway.rs
@@ -82,7 +82,8 @@
 
     /// Starts the program with additional environment variables, and waits until it is ready.
     pub fn with_environment(config: &serde_json::Value, environment: &[(&str, String)]) -> Self {
-        let gateway = Gateway::read_log(spawn_program_with(config, Stdio::piped(), environment));
+        let gateway =
+            Gateway::from_process(spawn_program_with(config, Stdio::piped(), environment));
         gateway.wait_until_ready();
         gateway
     }
@@ -104,7 +105,7 @@
         while TcpStream::connect(addr).is_err() {
             assert!(
                 start.elapsed() < TEST_TIMEOUT,
-                "the gateway does not listen"
+                "the gateway does not listen on {addr} within {TEST_TIMEOUT:?}"
             );
             std::thread::sleep(Duration::from_millis(10));
         }
@@ -114,21 +115,23 @@
 
     /// Starts the program and waits until it listens. It may not be ready yet.
     pub fn spawn(config: &serde_json::Value) -> Self {
-        Gateway::read_log(spawn_program(config))
+        Gateway::from_process(spawn_program(config))
     }
 
-    /// Reads the log of a started program from its pipe, and waits until the program listens.
-    pub fn read_log((mut child, path): (Child, PathBuf)) -> Self {
+    /// Takes over a started program with a piped log, and waits until the program listens.
+    pub fn from_process((mut child, path): (Child, PathBuf)) -> Self {
         let stderr = BufReader::new(child.stderr.take().unwrap());
-        let (to, log) = channel();
+        let (line_sender, log) = channel();
         std::thread::spawn(move || {
             stderr
                 .lines()
                 .map_while(Result::ok)
-                .try_for_each(|l| to.send(l))
+                .try_for_each(|line| line_sender.send(line))
         });
         let addr = loop {
-            let line = log.recv_timeout(TEST_TIMEOUT).expect("the gateway starts");
+            let line = log
+                .recv_timeout(TEST_TIMEOUT)
+                .expect("the gateway logs the address on which it listens");
             if let Some((_, addr)) = line.split_once("listening on ") {
                 break addr.parse().unwrap();
             }
@@ -151,7 +154,7 @@
         {
             assert!(
                 start.elapsed() < TEST_TIMEOUT,
-                "the gateway does not become ready"
+                "the gateway does not become ready within {TEST_TIMEOUT:?}"
             );
             std::thread::sleep(Duration::from_millis(20));
         }
@@ -168,7 +171,7 @@
     pub fn exchange(&self, text: &str) -> Message {
         let mut connection = self.connect();
         connection.get_mut().write_all(text.as_bytes()).unwrap();
-        read_message(&mut connection).expect("a response")
+        read_message(&mut connection).expect("the gateway responds")
     }
 
     /// Sends a request of the class `look` on a new connection and returns the response.
@@ -181,8 +184,8 @@
         std::fs::write(&self.config_path, config).unwrap();
         self.signal("-HUP");
         std::iter::from_fn(|| self.log.recv_timeout(TEST_TIMEOUT).ok())
-            .find(|l| l.contains("SIGHUP"))
-            .expect("a log line about SIGHUP")
+            .find(|line| line.contains("SIGHUP"))
+            .expect("the gateway logs a line about SIGHUP")
     }
 
     /// Waits until the gateway has applied a list with an [`invalid_entry`](super::invalid_entry). The gateway applies
@@ -202,7 +205,7 @@
                 return;
             }
         }
-        panic!("the gateway has not logged: {text}");
+        panic!("the gateway has not logged within {TEST_TIMEOUT:?}: {text}");
     }
 
     /// Sends a signal to the gateway, named as an option of `kill`.
--- a/tests/gateway/startup.rs
+++ b/tests/gateway/startup.rs
@@ -28,6 +28,7 @@
         let mut child = spawn_program_at(&path, 256, Stdio::piped(), &[]);
         // Opening the pipe blocks until the program has opened it.
         let mut pipe = OpenOptions::new().write(true).open(&path).unwrap();
+        // A regular file takes the place of the pipe, for the reload after SIGHUP.
         std::fs::remove_file(&path).unwrap();
         std::fs::write(&path, config.to_string()).unwrap();
         let id = child.id().to_string();
@@ -42,7 +43,7 @@
             assert!(child.wait().unwrap().success());
             std::fs::remove_file(&path).unwrap();
         } else {
-            let gateway = Gateway::read_log((child, path));
+            let gateway = Gateway::from_process((child, path));
             gateway.wait_until_ready();
             assert_eq!(gateway.get(1, 1).status(), 200);
         }
@@ -64,7 +65,7 @@
         "the program has given up"
     );
     drop(former);
-    let gateway = Gateway::read_log((child, path));
+    let gateway = Gateway::from_process((child, path));
     gateway.wait_until_ready();
     assert_eq!(gateway.get(1, 1).status(), 200);
 }
@@ -87,7 +88,7 @@
     assert!(child.wait().unwrap().success());
     assert!(
         start.elapsed() < Duration::from_secs(3),
-        "{:?}",
+        "the program exits {:?} after SIGTERM, expected less than 3 s",
         start.elapsed()
     );
     std::fs::remove_file(path).unwrap();
--- a/tests/gateway/system_faults.rs
+++ b/tests/gateway/system_faults.rs
@@ -72,13 +72,18 @@
         .unwrap();
     sleep(Duration::from_secs(1));
     std::fs::remove_file(&switch).unwrap();
-    assert_eq!(read_message(&mut client).expect("a response").status(), 200);
+    assert_eq!(
+        read_message(&mut client)
+            .expect("the gateway responds")
+            .status(),
+        200
+    );
     let remaining_ms: u64 = received.lock().unwrap()[0].headers["x-remaining-ms"]
         .parse()
         .unwrap();
     assert!(
         remaining_ms <= 2150,
-        "{remaining_ms} ms of 3000 are left after 1000"
+        "the endpoint gets {remaining_ms} ms of 3000 after 1000 ms, expected at most 2150"
     );
 }
 
@@ -194,6 +199,7 @@
 /// must be warmed up regardless of the clock.
 #[test]
 fn an_endpoint_that_has_just_started_is_warmed_up_regardless_of_the_wall_clock() {
+    // `seed=1` alone injects no fault.
     for faults in ["seed=1", "wall_clock_s=3600", "wall_clock_s=-3600"] {
         let (warm, _) = slow_endpoint();
         let (cold, cold_requests) = slow_endpoint();
@@ -219,7 +225,7 @@
                 .unwrap();
         }
         for client in &mut clients {
-            read_message(client).expect("a response");
+            read_message(client).expect("the gateway responds");
         }
         let sent = cold_requests.load(Ordering::SeqCst);
         assert!(
