--- a/tests/common.rs
+++ b/tests/common.rs
@@ -10,6 +10,8 @@
     pub now: f64,
 }
 
+/// Settings of a fleet of two gateways with a shared counter. Class 0 is idempotent, class 1 has an idempotency key,
+/// and class 2 is not idempotent. The only plan has a quota of 2 units per second with a burst of 10 units.
 pub fn settings() -> Settings {
     let class = |idempotency| Class {
         latency_objective_ms: 500.0,
@@ -56,6 +58,7 @@
     }
 }
 
+/// An entry of the endpoint list. The endpoint has started long ago, and its hash key is its id.
 pub fn endpoint_entry(id: u32, zone: u32, state: EndpointState) -> Endpoint {
     Endpoint {
         id,
@@ -98,6 +101,7 @@
         actions
     }
 
+    /// Handles a request of customer 7 that is not a retry.
     pub fn request(&mut self, id: u64, class: u32, units: f64) -> Vec<Action> {
         self.handle(Event::Request(Request {
             id,
@@ -111,6 +115,7 @@
         }))
     }
 
+    /// Handles the reply to a counter call with this key, 2 ms after the call.
     pub fn counter_reply(&mut self, key: u64, outcome: Outcome, total: f64) -> Vec<Action> {
         self.handle(Event::CounterReply {
             key,
@@ -120,6 +125,7 @@
         })
     }
 
+    /// Handles the end of an attempt that took 50 ms.
     pub fn attempt_ended(
         &mut self,
         id: u64,
@@ -140,7 +146,7 @@
     }
 }
 
-/// The key and the amount of the first call to the shared counter.
+/// Returns the key and the amount of the first call to the shared counter, if there is one.
 pub fn counter_call(actions: &[Action]) -> Option<(u64, f64)> {
     actions.iter().find_map(|a| match a {
         Action::AddToCounter { key, amount, .. } => Some((*key, *amount)),
@@ -148,7 +154,7 @@
     })
 }
 
-/// The endpoint that the first attempt is sent to.
+/// Returns the endpoint that the first attempt is sent to, if one is sent.
 pub fn sent_to(actions: &[Action]) -> Option<u32> {
     actions.iter().find_map(|a| match a {
         Action::SendAttempt { endpoint, .. } => Some(*endpoint),
@@ -156,7 +162,7 @@
     })
 }
 
-/// The Retry-After time of the first rejection, in ms.
+/// Returns the Retry-After time of the first rejection in ms, if there is a rejection.
 pub fn rejected(actions: &[Action]) -> Option<f64> {
     actions.iter().find_map(|a| match a {
         Action::Reject { retry_after_ms, .. } => Some(*retry_after_ms),
@@ -164,12 +170,12 @@
     })
 }
 
-/// Whether the actions contain the final response "failed".
+/// Returns whether a request is failed.
 pub fn failed(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
 
-/// A request of one unit that is not a retry.
+/// A request of class 0 and of one unit that is not a retry.
 pub fn request(id: u64, customer: u64) -> Request {
     Request {
         id,
@@ -183,7 +189,7 @@
     }
 }
 
-/// A shared counter that always succeeds.
+/// A shared counter whose calls always succeed. The value is the total of each key.
 #[derive(Default)]
 pub struct SharedCounter(std::collections::BTreeMap<u64, f64>);
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,5 +1,5 @@
-//! The rules that each gateway keeps by itself: deadlines, retries, draining, slow start and hard ceilings;
-//! and the faults found so far.
+//! The rules that each gateway keeps by itself: deadlines, retries, draining, slow start and hard ceilings; and
+//! regression tests of faults found so far.
 // Tests fail by panicking.
 #![allow(clippy::unwrap_used)]
 
@@ -15,12 +15,11 @@
     settings
 }
 
-/// The deadline of a request after its arrival, in ms.
+/// Time from the arrival of a request to its deadline, in ms.
 const DEADLINE_MS: f64 = 2000.0;
 
-/// An endpoint does not respond to an order before the deadline, and may have executed it. A rejection
-/// would have the client place the order again, and a late response must not be a second final one. The
-/// request is failed, once.
+/// An endpoint does not respond to a non-idempotent request before its deadline, and may have executed the request.
+/// After a rejection the client would send the request again. A late response must not become a second final response.
 #[test]
 fn a_request_that_may_have_been_executed_is_failed_once_at_its_deadline() {
     let mut gateway = TestGateway::new(settings_without_quota());
@@ -29,34 +28,33 @@
     let actions = gateway.attempt_ended(1, 0, endpoint, Outcome::Timeout, None);
     assert!(
         failed(&actions),
-        "it may have been executed, so it is not rejected: {actions:?}"
+        "a request that may have been executed must be failed: {actions:?}"
     );
     let actions = gateway.attempt_ended(1, 0, endpoint, Outcome::Success, None);
     assert!(
         actions.is_empty(),
-        "nothing follows a final answer: {actions:?}"
+        "no action may follow the final response: {actions:?}"
     );
 }
 
-/// The shared counter hangs. Requests that wait for it would miss their latency objective though the fleet
-/// is well. After a short wait each is forwarded by what this gateway knows of the quota.
+/// The shared counter does not reply. Requests that wait for the reply would miss their latency objective although the
+/// endpoints are healthy. After a short wait the gateway decides by the usage that it knows.
 #[test]
-fn a_request_is_forwarded_when_the_counter_does_not_answer_in_time() {
+fn a_request_is_forwarded_if_the_counter_does_not_reply_in_time() {
     let mut gateway = TestGateway::new(settings());
     let actions = gateway.request(1, 0, 1.0);
-    let wait = actions.iter().find_map(|a| match a {
+    let timer = actions.iter().find_map(|action| match action {
         Action::SetTimer { token, after_ms } if *token != 0 => Some((*token, *after_ms)),
         _ => None,
     });
-    let (token, after_ms) = wait.expect("a timer for the wait");
+    let (token, after_ms) = timer.expect("a timer limits the wait");
     assert!(after_ms <= 50.0);
     gateway.now += after_ms;
     assert!(sent_to(&gateway.handle(Event::TimerFired { token })).is_some());
 }
 
-/// An attempt of an order ends without a response. If the connection broke, the order may have been
-/// executed, and a retry would execute it twice; it is failed. A retry is sent only if the endpoint can't
-/// have executed it.
+/// An attempt of a non-idempotent request ends without a success. If the connection broke, the request may have been
+/// executed, and a retry could execute it twice. Only a request that no endpoint can have executed is retried.
 #[test]
 fn a_non_idempotent_request_is_retried_only_if_it_was_never_executed() {
     for (outcome, retried) in [
@@ -72,9 +70,9 @@
     }
 }
 
-/// A connection breaks under a request with an idempotency key. Endpoints of other zones don't know the
-/// key, and those of the zone forget it, so that a retry there or later would execute the request twice. A
-/// retry stays in the zone and within the window; otherwise the request is failed.
+/// A connection breaks during a request with an idempotency key. Endpoints of other zones don't know the key, and those
+/// of the same zone forget the key after its window. A retry in another zone or after the window could execute the
+/// request twice.
 #[test]
 fn a_request_with_an_idempotency_key_is_retried_only_in_its_scope_and_window() {
     for (elapsed_ms, retried) in [(10.0, true), (1600.0, false)] {
@@ -86,13 +84,13 @@
         assert_eq!(sent_to(&actions).map(zone), retried.then_some(zone(first)));
         assert!(
             retried || failed(&actions),
-            "it may have been executed, so it is not rejected: {actions:?}"
+            "a request that may have been executed must be failed: {actions:?}"
         );
     }
 }
 
-/// Endpoints drain or are removed from the list. An attempt that is sent to them is lost when they exit.
-/// The others get the requests, and without others requests are rejected.
+/// Endpoints drain or are removed from the list. An attempt sent to such an endpoint is lost when the endpoint exits.
+/// Requests are forwarded to the other endpoints, and rejected if there is none.
 #[test]
 fn no_attempt_goes_to_a_draining_or_removed_endpoint() {
     let mut gateway = TestGateway::new(settings_without_quota());
@@ -114,24 +112,24 @@
     });
     assert!(
         rejected(&gateway.request(99, 0, 1.0)).is_some(),
-        "no endpoint is left"
+        "a request without any endpoint must be rejected"
     );
 }
 
-/// An endpoint has just started and looks idle, so that each request would be sent there. It is overloaded
-/// before it is warm, and fails. It gets about what its present capacity permits.
+/// An endpoint that has just started has no attempts in flight, so every request would be sent to it and overload it
+/// before it is warm. Slow start limits the attempts to what the current capacity permits.
 #[test]
 fn slow_start_limits_the_attempts_to_a_cold_endpoint() {
     let mut gateway = TestGateway::new(settings_without_quota());
     gateway.now += 60_000.0;
-    let mut fresh = endpoint_entry(4, 0, EndpointState::Ready);
-    fresh.started_at = gateway.now;
+    let mut cold = endpoint_entry(4, 0, EndpointState::Ready);
+    cold.started_at = gateway.now;
     gateway.handle(Event::EndpointUpdate {
         complete: false,
-        endpoints: vec![fresh],
+        endpoints: vec![cold],
     });
     let mut to_cold = 0;
-    // 100 requests a second for one second, each answered at once; a warm endpoint gets about 25.
+    // 100 requests a second for one second, each answered at once. A warm endpoint gets about 25 of them.
     for id in 1..=100 {
         gateway.now += 10.0;
         if let Some(endpoint) = sent_to(&gateway.request(id, 0, 1.0)) {
@@ -141,10 +139,11 @@
     }
     assert!(
         to_cold <= 9,
-        "{to_cold} of 100 to an endpoint at a quarter of its capacity"
+        "{to_cold} of 100 requests were sent to an endpoint at a quarter of its capacity"
     );
 }
 
+/// Settings with a hard ceiling of 4 units per second and a burst of 40 units.
 fn ceiling_settings() -> Settings {
     let mut settings = settings_without_quota();
     settings.plans[0].ceiling_rate = 4.0;
@@ -152,8 +151,8 @@
     settings
 }
 
-/// Units forwarded while far more are requested than the ceiling allows, a request every 10 ms.
-fn units_forwarded_under_pressure(gateway: &mut TestGateway, ids: std::ops::Range<u64>) -> f64 {
+/// Sends a request of 2 units every 10 ms, far more than the ceiling allows, and returns the units forwarded.
+fn units_forwarded_above_ceiling_rate(gateway: &mut TestGateway, ids: std::ops::Range<u64>) -> f64 {
     let mut units = 0.0;
     for id in ids {
         gateway.now += 10.0;
@@ -165,28 +164,26 @@
     units
 }
 
-/// A customer asks for far more than its hard ceiling, and a gateway restarts meanwhile. The new process
-/// knows nothing of what was forwarded before, and a full share would exceed the ceiling. Its share starts
-/// empty.
+/// A gateway restarts while a customer requests far more than its hard ceiling. The new process does not know which
+/// units were forwarded before the restart, so the customer would exceed the ceiling if its share were full at first.
 #[test]
 fn each_gateway_enforces_its_share_of_a_hard_ceiling_across_a_restart() {
     let mut gateway = TestGateway::new(ceiling_settings());
     gateway.now += 60_000.0;
-    // The customer comes through two gateways, so half of the ceiling is this one's: 20 units, and 2 per
-    // second.
-    let before = units_forwarded_under_pressure(&mut gateway, 1..1000);
+    // The customer's requests arrive through two gateways, so half of the ceiling is this gateway's share: 20 units,
+    // and 2 units per second.
+    let before = units_forwarded_above_ceiling_rate(&mut gateway, 1..1000);
     assert!(before > 36.0 && before <= 42.0, "{before}");
-    let mut after = TestGateway::new(ceiling_settings());
-    let restarted = units_forwarded_under_pressure(&mut after, 1..1000);
+    let mut restarted = TestGateway::new(ceiling_settings());
+    let after = units_forwarded_above_ceiling_rate(&mut restarted, 1..1000);
     assert!(
-        restarted <= 20.0,
-        "after a restart the share is empty: {restarted}"
+        after <= 20.0,
+        "the share must be empty after a restart: {after} units were forwarded"
     );
 }
 
-/// Another gateway reports again and again that a customer used nothing there. Gossip may be lost or wrong,
-/// so a gateway that took over that share would let the customer exceed its hard ceiling. The share stays
-/// as it is.
+/// Another gateway keeps reporting that a customer has used no units there. Gossip may be lost or wrong, so a gateway
+/// that took over the other gateway's share would let the customer exceed its hard ceiling.
 #[test]
 fn gossip_does_not_raise_the_share_of_a_hard_ceiling() {
     let mut settings = ceiling_settings();
@@ -196,9 +193,9 @@
     gateway.now += 60_000.0;
     let no_usage = [vec![2, 0], 7u64.to_le_bytes()[..5].to_vec(), vec![0; 3]].concat();
     let mut units = 0.0;
-    // Between any two requests another gateway sends that the same customer used no units there.
+    // Before each second request, another gateway reports that the same customer has used no units there.
     for id in (1..1000).step_by(2) {
-        units += units_forwarded_under_pressure(&mut gateway, id..id + 1);
+        units += units_forwarded_above_ceiling_rate(&mut gateway, id..id + 1);
         gateway.now += 10.0;
         gateway.handle(Event::Gossip {
             from: 3,
@@ -207,20 +204,20 @@
     }
     assert!(
         units <= 42.0,
-        "half of 40 units, and of 4 per second for 10 s: {units}"
+        "the share is half of 40 units, and of 4 per second for 10 s: {units} units were forwarded"
     );
 }
 
-/// With little traffic a few attempts take very long. Without responses the expected latency grew without
-/// end, so the gateway rejected every request and never learned that the fleet responds again; a baseline
-/// latency above the limit did the same with one response at a time. A few requests are always admitted.
+/// With little traffic a few attempts take very long. Without responses the expected latency grew without limit, so the
+/// gateway rejected every request and never noticed that the fleet responded again. A baseline latency above the limit
+/// had the same effect with one response at a time. A few requests are always admitted.
 #[test]
 fn a_few_slow_attempts_do_not_make_the_gateway_reject_everything() {
     let mut gateway = TestGateway::new(settings_without_quota());
     for id in 1..=200 {
         let actions = gateway.request(id, 0, 1.0);
-        let endpoint =
-            sent_to(&actions).unwrap_or_else(|| panic!("request {id} is rejected: {actions:?}"));
+        let endpoint = sent_to(&actions)
+            .unwrap_or_else(|| panic!("request {id} was not forwarded: {actions:?}"));
         gateway.now += 1900.0;
         let slow = AttemptEnd {
             id,
@@ -238,14 +235,14 @@
     }
     assert!(
         rejected(&gateway.request(305, 0, 1.0)).is_some(),
-        "responses come late, so more requests are rejected early"
+        "responses are late, so further requests must be rejected on arrival"
     );
 }
 
-/// At two requests per second one attempt hangs. It moves an average over time more than all responses do,
-/// and the gateway rejected requests though the fleet was idle. One attempt must not weigh that much.
+/// One attempt hangs at a gateway with two requests per second. The attempt raised an average over time more than all
+/// responses lowered it, so the gateway rejected requests although the fleet was idle.
 #[test]
-fn one_attempt_that_hangs_does_not_make_a_quiet_gateway_reject() {
+fn one_hanging_attempt_does_not_make_a_gateway_with_few_requests_reject() {
     let mut gateway = TestGateway::new(Settings {
         gateway_count: 200,
         ..settings_without_quota()
@@ -261,9 +258,9 @@
     assert!(sent_to(&gateway.request(22, 0, 1.0)).is_some());
 }
 
-/// In a large fleet a gateway uses an endpoint every tens of seconds, so no response has come from it since
-/// a slow attempt began. Every slow attempt seemed to hang, and hedged requests overloaded the fleet
-/// further. A slow attempt is left alone.
+/// In a large fleet a gateway uses each endpoint only every tens of seconds, so it has received no other response from
+/// the endpoint since a slow attempt began. Every slow attempt seemed to hang, and hedged requests overloaded the fleet
+/// further.
 #[test]
 fn a_slow_attempt_is_neither_hedged_nor_cancelled() {
     for hedging in [false, true] {
@@ -274,19 +271,19 @@
         for action in actions {
             if let Action::SetTimer { token, after_ms } = action {
                 gateway.now += after_ms;
-                let after = gateway.handle(Event::TimerFired { token });
-                assert!(sent_to(&after).is_none());
-                assert!(!after
+                let resulting = gateway.handle(Event::TimerFired { token });
+                assert!(sent_to(&resulting).is_none());
+                assert!(!resulting
                     .iter()
-                    .any(|a| matches!(a, Action::CancelAttempt { .. })));
+                    .any(|action| matches!(action, Action::CancelAttempt { .. })));
             }
         }
     }
 }
 
-/// Endpoints reject requests of one plan and serve the others. They were avoided for all plans, which
-/// wasted their capacity, and for 200 ms only, so that a quiet gateway asked them again each time. An
-/// endpoint is avoided for that plan alone, and for long enough.
+/// An endpoint rejects requests of one plan and serves those of other plans. Such an endpoint was avoided for all
+/// plans, which wasted its capacity, and for 200 ms only, so that a gateway with few requests tried it again with each
+/// request. It must be avoided for the rejected plan only, and until the gateway has had several requests.
 #[test]
 fn an_endpoint_that_rejects_one_plan_still_serves_the_others() {
     let mut settings = settings_without_quota();
@@ -301,11 +298,11 @@
             plan,
             ..request(id, id)
         })))
-        .expect("sent")
+        .expect("the request is forwarded")
     };
     let rejecting = forward(&mut gateway, 1, 0);
     let other = sent_to(&gateway.attempt_ended(1, 0, rejecting, Outcome::Rejected, None))
-        .expect("a retry elsewhere");
+        .expect("the request is retried at another endpoint");
     assert_ne!(rejecting, other);
     gateway.attempt_ended(1, 1, other, Outcome::Success, None);
     let mut plan_1_endpoints = Vec::new();
@@ -315,7 +312,7 @@
             [0, 1].map(|plan: u32| forward(&mut gateway, id * 10 + u64::from(plan), plan));
         assert_eq!(
             endpoints[0], other,
-            "plan 0 avoids the endpoint that rejected it"
+            "requests of plan 0 must avoid the endpoint that rejected one"
         );
         plan_1_endpoints.push(endpoints[1]);
         for (plan, endpoint) in endpoints.into_iter().enumerate() {
@@ -324,12 +321,12 @@
     }
     assert!(
         plan_1_endpoints.contains(&rejecting),
-        "it has capacity for plan 1"
+        "the endpoint must still be used for plan 1"
     );
 }
 
-/// The requests that a hundred gateways, at two requests per second each, send to each of 40 endpoints in 15
-/// s. The first `cold` endpoints start when the 15 s begin.
+/// Returns how many requests each of 40 endpoints, by id, is sent within 15 s by a hundred gateways with two requests
+/// per second each. The endpoints with the ids up to `cold` start when the 15 s begin.
 fn requests_per_endpoint_of_a_hundred_gateways(cold: usize) -> Vec<usize> {
     let mut requests = vec![0; 41];
     for index in 0..100u32 {
@@ -357,7 +354,8 @@
                     endpoints: entries[..cold].to_vec(),
                 });
             }
-            let endpoint = sent_to(&gateway.handle(Event::Request(request(id, id)))).expect("sent");
+            let endpoint = sent_to(&gateway.handle(Event::Request(request(id, id))))
+                .expect("the request is forwarded");
             requests[endpoint as usize] += usize::from(id >= 20);
             gateway.attempt_ended(id, 0, endpoint, Outcome::Success, None);
         }
@@ -365,56 +363,59 @@
     requests
 }
 
-/// Gateways that know equally little of the endpoints choose by the same rule. If all came to the same
-/// endpoint, it would be overloaded while the others are idle. Their choices spread.
+/// Gateways that know equally little about the endpoints choose by the same rule. If all of them chose the same
+/// endpoint, it would be overloaded while the others are idle.
 #[test]
 fn a_hundred_gateways_do_not_all_choose_the_same_endpoint() {
     let requests = requests_per_endpoint_of_a_hundred_gateways(0);
     assert!(
         requests[1..].iter().all(|n| (10..=200).contains(n)),
-        "75 each on average: {requests:?}"
+        "each endpoint gets 75 requests on average: {requests:?}"
     );
 }
 
-/// One endpoint starts in a large fleet. Each gateway sends it only a few requests, but all of them
-/// together could overload it while it is warming up. It gets hardly more than a warm one, and is used all
-/// the same.
+/// One endpoint starts in a large fleet. Each gateway sends only a few requests to the endpoint, but all gateways
+/// together could overload it while it is warming up. The endpoint must get hardly more requests than a warm one, and
+/// must still be used.
 #[test]
 fn a_hundred_gateways_do_not_overload_a_cold_endpoint() {
     let requests = requests_per_endpoint_of_a_hundred_gateways(1);
-    // A warm endpoint gets about 75; the cold one has a quarter of its capacity at first, and all of it after
-    // 10 s.
+    // A warm endpoint gets about 75 requests. The cold endpoint has a quarter of its capacity at first, and all of it
+    // after 10 s.
     assert!(
         requests[1] <= 90,
-        "{} requests to the cold one: {requests:?}",
+        "{} requests were sent to the cold endpoint: {requests:?}",
         requests[1]
     );
-    assert!(requests[1] >= 3, "it is used: {requests:?}");
+    assert!(
+        requests[1] >= 3,
+        "the cold endpoint must be used: {requests:?}"
+    );
 }
 
-/// Most endpoints of a large fleet start at once. They were chosen by chance among all, so that they got a
-/// part of the part that they may be sent, and six in ten endpoints were idle while the others were
-/// overloaded. They get what they may be sent.
+/// Most endpoints of a large fleet start at the same time. As they were chosen at random among all endpoints, they got
+/// only a part of the requests that slow start permits: six in ten endpoints were idle while the others were
+/// overloaded.
 #[test]
-fn a_hundred_gateways_use_the_warm_capacity_of_many_cold_endpoints() {
+fn a_hundred_gateways_use_the_available_capacity_of_many_cold_endpoints() {
     let requests = requests_per_endpoint_of_a_hundred_gateways(24);
     let cold = requests[1..=24].iter().sum::<usize>();
-    // Over the 15 s the 24 have 0.75 of their capacity on average and the 16 warm ones all of theirs: their
-    // part is 53% of the 3000 requests, or a little less, as each gateway first collects the tokens for a
-    // request.
+    // Over the 15 s the 24 cold endpoints have 0.75 of their capacity on average, and the 16 warm ones all of theirs.
+    // The share of the cold endpoints is 53% of the 3000 requests, or a little less, as each gateway first collects the
+    // tokens for a request.
     assert!(
         (1050..=1700).contains(&cold),
-        "{cold} to the cold ones: {requests:?}"
+        "{cold} requests were sent to cold endpoints: {requests:?}"
     );
     assert!(
         requests[1..=24].iter().all(|n| *n <= 100),
-        "none is overloaded: {requests:?}"
+        "no cold endpoint may be overloaded: {requests:?}"
     );
 }
 
-/// In a large fleet each request went to any of 60 endpoints. Each endpoint was used every ten seconds
-/// only, and one request in three opened a connection. A gateway keeps to endpoints that it is connected
-/// to, and none stays idle.
+/// In a large fleet a gateway sent its requests to any of 60 endpoints. Each endpoint was used only every ten seconds,
+/// and one request in three opened a connection. A gateway must prefer endpoints that it is connected to, while no
+/// endpoint stays idle.
 #[test]
 fn a_hundred_gateways_reuse_their_connections() {
     let mut requests = vec![0; 41];
@@ -436,8 +437,8 @@
             complete: true,
             endpoints: entries,
         });
-        let mut known = std::collections::BTreeSet::new();
-        // Two requests at a time, four a second.
+        let mut connected = std::collections::BTreeSet::new();
+        // Two requests at the same time, four per second.
         for id in (0..100).step_by(2) {
             gateway.now += 500.0;
             let pair = [id, id + 1].map(|id| {
@@ -449,15 +450,18 @@
             assert_ne!(pair[0].1, pair[1].1, "a connection carries one request");
             for (id, endpoint) in pair {
                 requests[endpoint as usize] += 1;
-                opened += usize::from(known.insert(endpoint));
+                opened += usize::from(connected.insert(endpoint));
                 gateway.attempt_ended(id, 0, endpoint, Outcome::Success, None);
             }
         }
     }
-    assert!(opened <= 1000, "{opened} connections for 10000 requests");
+    assert!(
+        opened <= 1000,
+        "{opened} connections were opened for 10000 requests"
+    );
     assert!(
         requests[1..].iter().all(|n| (50..=600).contains(n)),
-        "250 each on average: {requests:?}"
+        "each endpoint gets 250 requests on average: {requests:?}"
     );
 }
 
@@ -491,21 +495,20 @@
     let (key, _) = counter_call(&gateway.request(1, 0, 0.0)).unwrap();
     assert!(
         sent_to(&gateway.counter_reply(key, Outcome::Success, 0.0)).is_some(),
-        "zero units are fine"
+        "a request of zero units must be forwarded"
     );
     assert!(
         rejected(&gateway.request(2, 9, 1.0)).is_some(),
-        "an unknown class is rejected"
+        "a request of an unknown class must be rejected"
     );
     let actions = gateway.request(3, 0, f64::NAN);
     assert!(counter_call(&actions).is_none_or(|(_, amount)| amount.is_finite()));
 }
 
-/// Settings contradict each other, such as an index beyond the number of gateways. A request that is
-/// neither forwarded nor answered would leave its client waiting. Each request gets an attempt or a
-/// response.
+/// Settings contradict each other, for example by a gateway index beyond the number of gateways. The client of a
+/// request that is neither forwarded nor answered would wait until its timeout.
 #[test]
-fn contradictory_settings_leave_no_request_without_an_answer() {
+fn contradictory_settings_leave_no_request_without_attempt_or_response() {
     let cases: [fn(&mut Settings); 5] = [
         |settings| {
             settings.gateway_index = 50;
@@ -532,7 +535,7 @@
 }
 
 #[test]
-fn one_endpoint_or_none_and_an_absurd_gateway_set_size_are_handled() {
+fn one_or_no_endpoint_and_an_invalid_gateway_set_size_are_handled() {
     for endpoint_count in [1, 0] {
         let mut gateway = TestGateway::new(settings_without_quota());
         let entries = [endpoint_entry(1, 0, EndpointState::Ready)];
@@ -551,8 +554,8 @@
     }
 }
 
-/// A release drains the endpoints pair by pair. Attempts that are sent to those that drain are lost when
-/// they exit. Each update takes effect with the next request.
+/// A release drains the endpoints two at a time. Attempts sent to draining endpoints are lost when these exit, so each
+/// update must take effect with the next request.
 #[test]
 fn endpoints_that_drain_in_waves_get_no_attempts_after_the_update() {
     let mut gateway = TestGateway::new(settings_without_quota());
@@ -575,18 +578,21 @@
         for _ in 0..30 {
             id += 1;
             gateway.now += 20.0;
-            let endpoint = sent_to(&gateway.request(id, 0, 1.0)).expect("others are left");
-            assert!(endpoint > draining[1], "{endpoint} is draining");
+            let endpoint =
+                sent_to(&gateway.request(id, 0, 1.0)).expect("other endpoints are ready");
+            assert!(
+                endpoint > draining[1],
+                "an attempt was sent to endpoint {endpoint}, which is draining"
+            );
             gateway.attempt_ended(id, 0, endpoint, Outcome::Success, None);
         }
     }
 }
 
-/// Clients can make up customer numbers, a new one with each request, until the memory is full. Idle
-/// customers are removed in time, but customers with attempts in flight are kept, as their units are still
-/// to be settled.
+/// Clients can invent a new customer id with each request, until the memory is full. Idle customers must be removed in
+/// time. Customers with attempts in flight are kept, as their units have not been settled yet.
 #[test]
-fn made_up_customer_numbers_do_not_fill_the_memory() {
+fn invented_customer_ids_do_not_fill_the_memory() {
     let mut gateway = TestGateway::new(settings());
     let mut shared = SharedCounter::default();
     let (key, amount) = counter_call(&gateway.handle(Event::Request(request(1, 1)))).unwrap();
@@ -602,14 +608,14 @@
     }
     assert!(
         gateway.gateway.customer_count() > 1000,
-        "most are remembered"
+        "customers that were active recently must be kept"
     );
     gateway.attempt_ended(1, 0, endpoint, Outcome::Success, Some(4.0));
-    // The three units above the estimate are settled with the customer's next charge.
+    // The three units used above the estimate are settled with the customer's next charge.
     gateway.now += 1000.0;
-    let (_, next_amount) =
-        counter_call(&gateway.handle(Event::Request(request(100_000, 1)))).expect("a charge");
-    // Amounts grow within the window, 5.8 times in these 11 s: of a forgotten customer it would be that
-    // alone.
+    let (_, next_amount) = counter_call(&gateway.handle(Event::Request(request(100_000, 1))))
+        .expect("the request is charged");
+    // Amounts grow within the counter's window: 5.8 times in these 11 s. If the customer had been forgotten, the amount
+    // would have grown by this factor only.
     assert!(next_amount > 12.0 * amount, "{next_amount} after {amount}");
 }
