--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -1,5 +1,5 @@
-//! Quotas and the shared counter: charges, settlement, waiting, the pace of calls, and gossip between
-//! gateways.
+//! Quotas and the shared counter: charges, settlement, waits for replies, the rate limit of calls, and gossip between
+//! gateways; and the ejection of endpoints.
 // Tests fail by panicking.
 #![allow(clippy::unwrap_used)]
 
@@ -11,9 +11,13 @@
 fn units_are_charged_before_the_request_is_forwarded() {
     let mut gateway = TestGateway::new(settings());
     let actions = gateway.request(1, 0, 3.0);
-    let (key, amount) = counter_call(&actions).expect("a charge");
+    let (key, amount) = counter_call(&actions).expect("the request is charged");
     assert!(amount > 0.0);
-    assert_eq!(sent_to(&actions), None, "it waits for the counter");
+    assert_eq!(
+        sent_to(&actions),
+        None,
+        "the request must wait for the counter's reply"
+    );
     assert!(sent_to(&gateway.counter_reply(key, Outcome::Success, amount)).is_some());
 }
 
@@ -22,29 +26,29 @@
     let mut gateway = TestGateway::new(settings());
     let (key, amount) = counter_call(&gateway.request(1, 0, 3.0)).unwrap();
     let actions = gateway.counter_reply(key, Outcome::Success, amount / 3.0 * 14.0);
-    let retry_after_ms =
-        rejected(&actions).expect("others used 11 units; the limit of the count is 12.5");
+    let retry_after_ms = rejected(&actions)
+        .expect("other gateways used 11 units, and 3 more exceed the limit of 12.5");
     assert!(
         retry_after_ms > 200.0 && retry_after_ms <= 1000.0,
-        "about 1.5 units are missing, at 2 per second: {retry_after_ms}"
+        "about 1.5 units are missing, which are refilled at 2 per second: {retry_after_ms}"
     );
-    // The charge of the rejected request is taken back at once while the counter is well.
+    // The charge of the rejected request is refunded at once while the counter is available.
     assert_eq!(counter_call(&actions), Some((key, -amount)));
-    // The customer is known to be over its quota: rejected without a call until units are refilled.
+    // The customer is known to be over its quota: its requests are rejected without a call until units are refilled.
     let actions = gateway.request(2, 0, 3.0);
     assert!(rejected(&actions).is_some() && counter_call(&actions).is_none());
     gateway.now += 3000.0;
     assert!(
         counter_call(&gateway.request(3, 0, 3.0)).is_some(),
-        "units were refilled"
+        "the request must be charged once units were refilled"
     );
 }
 
-/// A gateway of a large fleet first hears of a customer long after the counter's window began. It took the
-/// quota for full, so that half of the usage was over quota. One total has to show what the others have
-/// used.
+/// A gateway of a large fleet receives the first request of a customer long after the counter's window has begun. The
+/// gateway assumed a full quota, so that half of the usage was over quota. A single total must show the usage at the
+/// other gateways.
 #[test]
-fn one_total_gives_the_level_to_a_gateway_that_never_called_before() {
+fn one_total_gives_the_level_to_a_gateway_without_earlier_calls() {
     let mut shared = SharedCounter::default();
     let mut one = TestGateway::new(settings());
     let mut two = TestGateway::new(settings());
@@ -54,20 +58,20 @@
         let actions = one.request(id, 0, 2.0);
         assert!(
             sent_to(&shared.answer_calls(&mut one, actions)).is_some(),
-            "10 units are left"
+            "the burst of 10 units allows 5 requests"
         );
     }
     let actions = two.request(1, 0, 3.0);
     assert!(
         rejected(&shared.answer_calls(&mut two, actions)).is_some(),
-        "the other gateway used them"
+        "the other gateway has used the burst"
     );
     let mut three = TestGateway::new(settings());
     three.now = 36_000.0;
     let actions = three.request(1, 0, 3.0);
     assert!(
         sent_to(&shared.answer_calls(&mut three, actions)).is_some(),
-        "10 were refilled since"
+        "10 units were refilled in 5 s"
     );
 }
 
@@ -80,12 +84,12 @@
     let (_, amount) = counter_call(&gateway.request(2, 0, 1.0)).unwrap();
     assert!(
         (amount / first - 1.0).abs() < 1e-6,
-        "1 unit, and the 2 above the estimate"
+        "the charge must be 1 unit, and the 2 units used above the estimate"
     );
 }
 
-/// A request of long ago left unsettled units. Charged in full with the customer's next request they would
-/// take quota that has been refilled since. They decay like any usage.
+/// Unsettled units of a request are charged 40 s later. Charged in full, they would take quota that has been refilled
+/// in the meantime. Unsettled units must decay like any usage.
 #[test]
 fn unsettled_units_decay_like_any_usage() {
     let mut gateway = TestGateway::new(settings());
@@ -94,17 +98,17 @@
     gateway.attempt_ended(1, 0, endpoint, Outcome::Success, Some(5.0));
     gateway.now += 40_000.0;
     let (_, with_unsettled) = counter_call(&gateway.request(2, 0, 1.0)).unwrap();
-    let mut fresh = TestGateway::new(settings());
-    fresh.now = gateway.now;
-    let (_, without) = counter_call(&fresh.request(1, 0, 1.0)).unwrap();
+    let mut other = TestGateway::new(settings());
+    other.now = gateway.now;
+    let (_, without_unsettled) = counter_call(&other.request(1, 0, 1.0)).unwrap();
     assert!(
-        with_unsettled < without * 1.05,
-        "usage of 40 s ago has been refilled: {with_unsettled} {without}"
+        with_unsettled < without_unsettled * 1.05,
+        "usage of 40 s ago has been refilled: {with_unsettled} instead of {without_unsettled}"
     );
 }
 
-/// The counter doesn't reply at all. Requests must not wait for it, and without any limit a customer could
-/// use far more than its quota. What this gateway itself has forwarded limits the customer.
+/// The counter does not reply. Without another limit a customer could use far more than its quota. The units that the
+/// gateway itself has forwarded must limit the customer.
 #[test]
 fn without_a_counter_reply_the_gateways_own_usage_limits_requests() {
     let mut gateway = TestGateway::new(settings());
@@ -116,13 +120,16 @@
         }));
         forwarded += usize::from(sent_to(&actions).is_some());
     }
-    assert_eq!(forwarded, 5, "10 units, 2 for each request");
+    assert_eq!(
+        forwarded, 5,
+        "the burst of 10 units allows 5 requests of 2 units"
+    );
 }
 
-/// The counter has capacity for half of the fleet's calls. Gateways recovered within two calls of a
-/// failure, and one call in five was rejected. Each gateway finds the rate that is its part.
+/// The counter has capacity for half of the fleet's calls. Gateways returned to their former rate within two calls
+/// after a failure, so that one call in five was rejected. Each gateway must find its share of the counter's capacity.
 #[test]
-fn a_hundred_gateways_find_their_part_of_an_overloaded_counter() {
+fn a_hundred_gateways_find_their_share_of_an_overloaded_counter() {
     let mut gateways: Vec<_> = (0..100u32)
         .map(|index| {
             let settings = Settings {
@@ -138,7 +145,7 @@
             gateway
         })
         .collect();
-    // 600 requests per second, each of another customer; the counter has capacity for 300 calls per second.
+    // 600 requests per second, each of a different customer. The counter has capacity for 300 calls per second.
     let mut capacity = 0.0f64;
     let mut calls = 0;
     let mut rejected_calls = 0;
@@ -161,18 +168,21 @@
             };
             actions.extend(gateway.counter_reply(key, result, amount));
         }
-        let endpoint = sent_to(&actions).expect("every request is within its quota");
+        let endpoint = sent_to(&actions).expect("a request within its quota is forwarded");
         gateway.attempt_ended(id, 0, endpoint, Outcome::Success, None);
     }
-    assert!(calls > 5000, "they use its capacity: {calls}");
+    assert!(
+        calls > 5000,
+        "the gateways must use the counter's capacity: {calls} calls"
+    );
     assert!(
         rejected_calls * 100 < calls * 12,
         "{rejected_calls} of {calls} calls were rejected"
     );
 }
 
-/// The counter rejects a charge, and the request is forwarded without it. Its units would never be counted.
-/// The customer's next charge carries them.
+/// The counter rejects a charge, and the request is forwarded nevertheless. Its units would not be counted if the
+/// customer's next charge did not include them.
 #[test]
 fn a_rejected_charge_is_added_to_the_next() {
     let mut gateway = TestGateway::new(settings());
@@ -182,10 +192,10 @@
     assert!((amount / first - 1.5).abs() < 1e-6);
 }
 
-/// The counter restarts and counts from 0 again. A gateway that believed the low total would grant the
-/// customer its burst a second time. A total below the gateway's own usage is known to be wrong.
+/// The counter restarts and counts from 0 again. A gateway that trusted the low total would grant the customer its
+/// burst a second time. A total below the gateway's own usage must be recognised as wrong.
 #[test]
-fn a_counter_that_lost_its_count_grants_no_new_quota() {
+fn a_restarted_counter_grants_no_new_quota() {
     let mut gateway = TestGateway::new(settings());
     let mut total = 0.0;
     for id in 1..=3 {
@@ -194,7 +204,7 @@
         let endpoint = sent_to(&gateway.counter_reply(key, Outcome::Success, total)).unwrap();
         gateway.attempt_ended(id, 0, endpoint, Outcome::Success, Some(3.0));
     }
-    // 9 of 10 units are used when the count starts again from 0: 3 more do not fit.
+    // 9 of 10 units are used when the count starts again from 0, so 3 more exceed the quota.
     assert!(rejected(&gateway.request(4, 0, 3.0)).is_some());
     gateway.now += 1100.0;
     let (key, amount) = counter_call(&gateway.request(5, 0, 3.0)).unwrap();
@@ -202,10 +212,11 @@
     assert!(rejected(&gateway.request(6, 0, 1.0)).is_some());
 }
 
-/// The number of calls for a hundred customers' requests in one second, where all calls have this outcome.
-fn calls_in_a_second(gateway: &mut TestGateway, first: u64, outcome: Outcome) -> usize {
+/// Handles one request of each of a hundred customers within one second, where all counter calls have this outcome.
+/// Returns the number of calls.
+fn calls_in_a_second(gateway: &mut TestGateway, first_id: u64, outcome: Outcome) -> usize {
     let mut calls = 0;
-    for id in first..first + 100 {
+    for id in first_id..first_id + 100 {
         gateway.now += 10.0;
         let actions = gateway.handle(Event::Request(request(id, id)));
         if let Some((key, amount)) = counter_call(&actions) {
@@ -216,27 +227,34 @@
     calls
 }
 
-/// The counter is overloaded. Calls were limited per customer, and each customer came once, so that nearly
-/// all calls timed out. Calls are limited as a whole, and rise again when the counter replies.
+/// The counter is overloaded. Calls were limited for each customer, and each customer sent one request, so that nearly
+/// all calls timed out. The gateway must limit the rate of all its calls, and raise the rate again once the counter
+/// replies.
 #[test]
-fn an_overloaded_counter_is_called_less_often_and_trusted_again() {
+fn an_overloaded_counter_is_called_less_often_until_it_recovers() {
     let mut gateway = TestGateway::new(settings());
     let healthy = calls_in_a_second(&mut gateway, 1, Outcome::Success);
     calls_in_a_second(&mut gateway, 1000, Outcome::Rejected);
     let overloaded = calls_in_a_second(&mut gateway, 2000, Outcome::Rejected);
     assert!(
         overloaded * 10 <= healthy,
-        "{overloaded} calls of {healthy}"
+        "{overloaded} calls while overloaded, {healthy} while healthy"
+    );
+    assert!(
+        overloaded >= 1,
+        "an overloaded counter must still be called"
     );
-    assert!(overloaded >= 1, "it is still called");
     for second in 3..13 {
         calls_in_a_second(&mut gateway, second * 1000, Outcome::Success);
     }
     let recovered = calls_in_a_second(&mut gateway, 20_000, Outcome::Success);
-    assert!(recovered * 2 >= healthy, "{recovered} calls of {healthy}");
+    assert!(
+        recovered * 2 >= healthy,
+        "{recovered} calls after the recovery, {healthy} while healthy"
+    );
 }
 
-/// One of two gateways, whose counter has no capacity.
+/// Creates one of two gateways, which has just found that the counter rejects all calls.
 fn gateway_with_overloaded_counter(index: u32) -> TestGateway {
     let mut settings = settings();
     settings.gateway_index = index;
@@ -246,38 +264,40 @@
     gateway
 }
 
-/// Whether a request is forwarded where the counter rejects all calls.
+/// Returns whether a request is forwarded while the counter rejects all calls.
 fn forwarded_without_counter(gateway: &mut TestGateway, id: u64, units: f64) -> bool {
     let mut actions = gateway.request(id, 0, units);
     while let Some((key, _)) = counter_call(&actions) {
-        let further = gateway.counter_reply(key, Outcome::Rejected, 0.0);
-        actions.retain(|a| !matches!(a, Action::AddToCounter { .. }));
-        actions.extend(further);
+        let resulting = gateway.counter_reply(key, Outcome::Rejected, 0.0);
+        actions.retain(|action| !matches!(action, Action::AddToCounter { .. }));
+        actions.extend(resulting);
     }
     sent_to(&actions).is_some()
 }
 
-/// The message that the gateway sends to all others when its timer fires.
+/// Fires the gateway's gossip timer and returns the message that is sent to all other gateways.
 fn gossip_message(gateway: &mut TestGateway) -> Vec<u8> {
     let actions = gateway.handle(Event::TimerFired { token: 1 << 61 });
     let mut messages = actions.into_iter().filter_map(|action| match action {
         Action::Gossip { to: u32::MAX, body } => Some(body),
         _ => None,
     });
-    messages.next().expect("a message for all gateways")
+    messages
+        .next()
+        .expect("a gossip message is sent to all gateways")
 }
 
-/// The counter rejects all calls. Each gateway would grant a customer its full quota by itself. The
-/// gateways send each other their usage, and count what the others used.
+/// The counter rejects all calls, so each gateway by itself would grant a customer the full quota. The gateways must
+/// send each other the usage, and count the usage at the others.
 #[test]
 fn gateways_exchange_usage_while_the_counter_has_no_capacity() {
     let mut one = gateway_with_overloaded_counter(0);
     let mut two = gateway_with_overloaded_counter(1);
-    // The usage so far is sent, too.
+    // The message includes the usage of earlier requests.
     gossip_message(&mut one);
     assert!(
         (5000..5005).all(|id| forwarded_without_counter(&mut one, id, 2.0)),
-        "10 units are left"
+        "the burst of 10 units allows 5 requests"
     );
     assert!(!forwarded_without_counter(&mut one, 5005, 1.0));
     let body = gossip_message(&mut one);
@@ -285,19 +305,19 @@
     two.handle(Event::Gossip { from: 0, body });
     assert!(
         !forwarded_without_counter(&mut two, 5000, 1.0),
-        "the other gateway used them"
+        "the other gateway has used the burst"
     );
     two.now += 1000.0;
     assert!(
         forwarded_without_counter(&mut two, 5001, 2.0),
-        "2 were refilled since"
+        "2 units were refilled in 1 s"
     );
 }
 
-/// A message from another gateway is cut short, too long or damaged, or comes from a sender that can't be.
-/// Taken for usage it would reject requests within the quota, or end the process. It is ignored.
+/// A gossip message is truncated, too long or damaged, or states an impossible sender. Counted as usage, such a message
+/// would lead to rejections within the quota, or a panic. It must be ignored.
 #[test]
-fn lost_or_invalid_gossip_messages_let_requests_through() {
+fn invalid_gossip_messages_are_ignored() {
     let mut one = gateway_with_overloaded_counter(0);
     gossip_message(&mut one);
     assert!((5000..5005).all(|id| forwarded_without_counter(&mut one, id, 2.0)));
@@ -325,11 +345,12 @@
     }
     assert!(
         forwarded_without_counter(&mut two, 5000, 3.0),
-        "no usage was taken from them"
+        "no usage may be counted from an invalid message"
     );
 }
 
-/// The endpoints of the first attempts of `requests` requests, one per second, which end as `outcome` says.
+/// Sends `requests` requests, one per second, and ends the first attempt of each with the result of `outcome`, which is
+/// called with the ids of the request and the endpoint. Returns the endpoints of the first attempts.
 fn endpoints_chosen(
     gateway: &mut TestGateway,
     requests: u64,
@@ -341,15 +362,15 @@
         gateway.now += 1000.0;
         let actions = gateway.request(id, 2, 1.0);
         let endpoint =
-            sent_to(&shared.answer_calls(gateway, actions)).expect("the fleet is still used");
+            sent_to(&shared.answer_calls(gateway, actions)).expect("the request is forwarded");
         chosen.push(endpoint);
         gateway.attempt_ended(id, 0, endpoint, outcome(id, endpoint), None);
     }
     chosen
 }
 
-/// Responses fail all over the fleet, as with a bad release. Ejecting every endpoint that fails would leave
-/// none. Only an endpoint that fails more often than the others is ejected.
+/// Requests fail at all endpoints, as after a faulty release. If every failing endpoint were ejected, none would be
+/// left. Only an endpoint that fails more often than the others must be ejected.
 #[test]
 fn only_an_endpoint_that_fails_more_than_the_others_is_ejected() {
     let mut gateway = TestGateway::new(settings());
@@ -361,61 +382,67 @@
         }
     });
     assert!(
-        (1..=3).all(|b| chosen[30..].iter().filter(|a| **a == b).count() > 3),
+        (1..=3).all(|endpoint| chosen[30..].iter().filter(|id| **id == endpoint).count() > 3),
         "{chosen:?}"
     );
     let mut gateway = TestGateway::new(settings());
-    let chosen = endpoints_chosen(&mut gateway, 90, |_, b| {
-        if b == 2 {
+    let chosen = endpoints_chosen(&mut gateway, 90, |_, endpoint| {
+        if endpoint == 2 {
             Outcome::ConnectionReset
         } else {
             Outcome::Success
         }
     });
     assert!(
-        chosen[45..].iter().filter(|a| **a == 2).count() < 6,
+        chosen[45..].iter().filter(|id| **id == 2).count() < 6,
         "{chosen:?}"
     );
     assert!(
-        chosen[45..].iter().filter(|a| **a == 1).count() > 10,
+        chosen[45..].iter().filter(|id| **id == 1).count() > 10,
         "{chosen:?}"
     );
 }
 
-/// A client disconnects between the charge of its request and the first attempt. The request used nothing,
-/// but its customer would pay for it, again and again. Its units are refunded with the next charge.
+/// A client disconnects after its request was charged and before its first attempt was sent. The request has used no
+/// units, but its customer's quota would shrink with each such request. The units must be refunded with the next
+/// charge.
 #[test]
 fn a_request_that_ends_before_it_is_sent_is_refunded() {
     let mut shared = SharedCounter::default();
     let mut gateway = TestGateway::new(settings());
     for id in 1..=100 {
-        // Slow enough for the limit of calls; a twentieth of the requested units is refilled by time alone.
+        // The requests are slow enough for the limit of calls. Only a twentieth of the requested units is refilled in
+        // the meantime.
         gateway.now += 100.0;
         let actions = gateway.request(id, 0, 4.0);
         if id % 2 == 0 {
             // The client disconnects while its request waits for the counter.
             assert!(
                 counter_call(&actions).is_some() && sent_to(&actions).is_none(),
-                "{id}: {actions:?}"
+                "request {id} must be charged and wait for the reply: {actions:?}"
             );
             gateway.handle(Event::ClientDisconnected { id });
             assert!(
                 sent_to(&shared.answer_calls(&mut gateway, actions)).is_none(),
-                "{id} is sent without a client"
+                "request {id} was sent after its client had disconnected"
             );
             continue;
         }
         // The attempt is dropped before its first byte is sent.
         let actions = shared.answer_calls(&mut gateway, actions);
-        let endpoint = sent_to(&actions).unwrap_or_else(|| panic!("{id}: {actions:?}"));
+        let endpoint = sent_to(&actions)
+            .unwrap_or_else(|| panic!("request {id} was not forwarded: {actions:?}"));
         gateway.handle(Event::ClientDisconnected { id });
         gateway.attempt_ended(id, 0, endpoint, Outcome::NotSent, None);
     }
-    // At the end the whole burst is left, and no more.
-    let mut served = 0;
+    // At the end the whole burst is available, and no more.
+    let mut forwarded = 0;
     for id in 101..=110 {
         let actions = gateway.request(id, 0, 1.0);
-        served += usize::from(sent_to(&shared.answer_calls(&mut gateway, actions)).is_some());
+        forwarded += usize::from(sent_to(&shared.answer_calls(&mut gateway, actions)).is_some());
     }
-    assert!((9..=10).contains(&served), "{served} of a burst of 10");
+    assert!(
+        (9..=10).contains(&forwarded),
+        "{forwarded} requests of one unit were forwarded of a burst of 10"
+    );
 }
