--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! What is harmless at one gateway and harmful at all of them: the attempts of many gateways together are checked
-//! against the rules.
+//! Simulations of a fleet. What each gateway does may be harmless by itself and harmful in total, so the attempts of
+//! many gateways together are checked against the rules.
 // Tests fail by panicking.
 #![allow(clippy::unwrap_used)]
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// The window of this length with the most attempts, compared to what is allowed at its start.
+/// Returns the load of the window of this length with the most attempts relative to the number allowed at its start.
 fn worst_window(sent_at: &[f64], window_ms: f64, allowed: impl Fn(f64) -> f64) -> WindowLoad {
     let mut first = 0;
     let mut worst = WindowLoad {
@@ -53,55 +53,55 @@
     worst
 }
 
-/// Requests per second that an endpoint serves when it is warm.
+/// Requests per second that a warm endpoint serves.
 const WARM_CAPACITY: f64 = 20.0;
 /// An endpoint rejects requests that would wait longer than this, in ms.
 const MAX_QUEUE_MS: f64 = 800.0;
-/// Share of its capacity that an endpoint has when it starts.
+/// Share of its full capacity that an endpoint has when it starts.
 const COLD_CAPACITY_SHARE: f64 = 0.16;
-/// Time until an endpoint has its full capacity, in ms.
+/// Time from its start until an endpoint has its full capacity, in ms.
 const WARM_UP_MS: f64 = 15_000.0;
-/// Share of the attempts that end as an error.
+/// Share of the served attempts that end with an error response.
 const ERROR_SHARE: f64 = 0.05;
-/// When the gateways start, in ms.
+/// Time at which the gateways start, in ms.
 const START: f64 = 1000.0;
-/// When the new endpoints start, in ms.
+/// Time at which the new endpoints start, in ms.
 const RELEASE: f64 = 9000.0;
-/// When the gateways are notified of the release, in ms.
+/// Time at which the gateways are notified of the release, in ms.
 const LIST_UPDATE: f64 = RELEASE + 1000.0;
-/// When one gateway restarts, in ms.
+/// Time at which one gateway restarts, in ms.
 const GATEWAY_RESTART: f64 = RELEASE + 4000.0;
-/// End of the simulation, in ms.
+/// Time at which the simulation ends, in ms.
 const END: f64 = RELEASE + 12_000.0;
-/// How long a client waits after a rejection before its retry, in ms.
+/// Time that a client waits after a rejection before its retry, in ms.
 const CLIENT_BACKOFF_MS: f64 = 400.0;
-/// Marks the id of a request that is a client's retry.
-const RETRY_MARK: u64 = 1 << 40;
+/// Flag in the id of a request that is a client's retry.
+const CLIENT_RETRY_FLAG: u64 = 1 << 40;
 
 /// A release: half of the warm endpoints are removed, and as many start cold in their place.
 struct Release {
     gateways: u32,
     seed: u64,
-    /// Requests per second over all gateways; one gateway in ten gets four times what the others get.
+    /// Requests per second over all gateways. One gateway in ten gets four times as many as each of the others.
     request_rate: f64,
     overload_multiple: f64,
     overload_window_ms: f64,
-    /// Number of endpoints that stay, of those removed, and of those that start.
+    /// Number of endpoints that stay. As many are removed, and as many start.
     staying: u32,
 }
 
-/// What the new endpoints were sent.
+/// The attempts that the new endpoints were sent.
 struct ReleaseLoad {
-    /// The worst window of any of them.
+    /// The worst window of any new endpoint.
     worst: WindowLoad,
-    /// Attempts to all of them.
+    /// Number of attempts sent to all new endpoints.
     sent: usize,
 }
 
 impl Release {
     /// Simulates the release with a gateway that restarts during the warm-up, endpoints that fail a few requests, and
-    /// clients that retry once after a rejection. In the window that the rules name, a warming endpoint may be sent
-    /// N + 2 x root of N + 2 attempts, N being the multiple of its capacity at which it is overloaded.
+    /// clients that retry once after a rejection. Within `overload_window_ms`, a warming endpoint may be sent
+    /// N + 2 · sqrt(N) + 2 attempts, where N is the number of attempts that overloads the endpoint.
     fn simulate(&self) -> ReleaseLoad {
         let mut simulation = Simulation::new(self);
         simulation.run();
@@ -167,15 +167,19 @@
     }
 }
 
-/// Share of its capacity that a new endpoint has.
+/// Returns the share of its full capacity that a new endpoint has at this time.
 fn capacity_share(now: f64) -> f64 {
     COLD_CAPACITY_SHARE
         + (1.0 - COLD_CAPACITY_SHARE) * ((now - RELEASE) / WARM_UP_MS).clamp(0.0, 1.0)
 }
 
+/// A step of the simulation that happens at a scheduled time.
 enum Step {
+    /// A client sends a new request.
     Arrival,
+    /// A client sends a rejected request again.
     ClientRetry { id: u64 },
+    /// An endpoint answers an attempt.
     AttemptEnd { gateway: usize, end: AttemptEnd },
 }
 
@@ -186,15 +190,17 @@
     gateways: Vec<TestGateway>,
     rng: fastrand::Rng,
     now: f64,
-    /// Steps by time since the start in us, and by the order in which they were scheduled.
+    /// Steps by time since the start in µs, then in the order in which they were scheduled.
     schedule: BTreeMap<(u64, u64), Step>,
+    /// Number of steps scheduled so far.
     scheduled: u64,
+    /// Number of requests so far, without the clients' retries.
     requests: u64,
-    /// Attempts sent so far, by request.
+    /// Number of attempts sent so far, by request.
     attempts: BTreeMap<u64, u8>,
-    /// When each endpoint has served what it has been sent, by its id.
+    /// Time at which each endpoint has served all attempts in its queue, by the endpoint's id.
     free_at: Vec<f64>,
-    /// Times of the attempts to each new endpoint.
+    /// Times at which attempts were sent to each new endpoint.
     sent_to_new: Vec<Vec<f64>>,
     has_updated_list: bool,
     has_restarted: bool,
@@ -298,7 +304,7 @@
         }
     }
 
-    /// A random gateway; every tenth is drawn four times as often as the others.
+    /// Draws a random gateway. Every tenth gateway is drawn four times as often as the others.
     fn draw_gateway(&mut self) -> usize {
         let gateways = self.release.gateways;
         let busy = gateways.div_ceil(10);
@@ -319,11 +325,11 @@
                 Action::SendAttempt { id, endpoint, .. } => {
                     self.send_attempt(gateway, id, endpoint);
                 }
-                Action::Reject { id, .. } if id < RETRY_MARK => {
+                Action::Reject { id, .. } if id < CLIENT_RETRY_FLAG => {
                     self.schedule(
                         CLIENT_BACKOFF_MS,
                         Step::ClientRetry {
-                            id: id | RETRY_MARK,
+                            id: id | CLIENT_RETRY_FLAG,
                         },
                     );
                 }
@@ -354,7 +360,8 @@
         self.schedule(elapsed_ms, Step::AttemptEnd { gateway, end });
     }
 
-    /// An endpoint of this capacity takes a request: its outcome, and the time to it in ms.
+    /// Serves or rejects an attempt at an endpoint with this capacity, in requests per second. Returns the outcome and
+    /// the time until it, in ms.
     fn serve(&mut self, endpoint: u32, capacity: f64) -> (Outcome, f64) {
         let free_at = &mut self.free_at[endpoint as usize];
         let queue_ms = (*free_at - self.now).max(0.0);
@@ -372,8 +379,8 @@
     }
 }
 
-/// A release at half of the capacity of the warm endpoints before it, and at nearly all of it.
-fn no_warming_endpoint_is_overloaded_by(gateways: u32, staying: u32) {
+/// Checks releases at half of the capacity of the endpoints before the release, and at nearly all of it.
+fn assert_no_warming_endpoint_is_overloaded(gateways: u32, staying: u32) {
     for load in [0.5, 0.92] {
         for (seed, (overload_multiple, overload_window_ms)) in
             [(4.0, 1500.0), (2.0, 2000.0)].into_iter().enumerate()
@@ -394,18 +401,21 @@
     let rate = release.request_rate;
     let ReleaseLoad {
         worst: WindowLoad { sent, allowed },
-        sent: all,
+        sent: total,
     } = release.simulate();
     assert!(
         sent as f64 <= allowed,
-        "{rate} a second: {sent} sent where {allowed} are allowed"
+        "at {rate} requests per second, {sent} attempts were sent in a window for which {allowed} are allowed"
+    );
+    assert!(
+        total > 500,
+        "warming endpoints must be used: {total} attempts were sent"
     );
-    assert!(all > 500, "warming endpoints are used: {all}");
 }
 
-/// There are more endpoints than one gateway uses, so only some gateways send to each, and none knows how many. If each
-/// took its share for larger than it is, warming endpoints would be overloaded. One overload multiple only, as the
-/// simulation takes long.
+/// There are more endpoints than one gateway uses, so only some gateways send requests to each endpoint, and no gateway
+/// knows how many these are. If each gateway assumed too large a share, warming endpoints would be overloaded. Only one
+/// overload multiple is simulated, as the simulation takes long.
 #[test]
 fn gateways_with_a_subset_overload_no_warming_endpoint() {
     let simulate = |load: f64, gateways| {
@@ -425,52 +435,53 @@
     });
 }
 
-/// In the releases below half of the endpoints start cold. Each gateway sends them what is harmless by itself, while one
-/// gateway restarts and knows nothing, and clients retry. All gateways together must not overload any of the endpoints,
-/// however many gateways there are.
+/// In the releases of this test and the next ones, half of the endpoints start cold, one gateway restarts and loses its
+/// state, and clients retry. Each gateway sends a cold endpoint a number of attempts that is harmless by itself. All
+/// gateways together must not overload any endpoint, however many gateways there are.
 #[test]
 fn three_gateways_overload_no_warming_endpoint() {
-    no_warming_endpoint_is_overloaded_by(3, 30);
+    assert_no_warming_endpoint_is_overloaded(3, 30);
 }
 
 #[test]
 fn twenty_gateways_overload_no_warming_endpoint() {
-    no_warming_endpoint_is_overloaded_by(20, 30);
+    assert_no_warming_endpoint_is_overloaded(20, 30);
 }
 
 #[test]
 fn thirty_gateways_overload_no_warming_endpoint() {
-    no_warming_endpoint_is_overloaded_by(30, 30);
+    assert_no_warming_endpoint_is_overloaded(30, 30);
 }
 
 #[test]
 fn three_hundred_gateways_overload_no_warming_endpoint() {
-    no_warming_endpoint_is_overloaded_by(300, 30);
+    assert_no_warming_endpoint_is_overloaded(300, 30);
 }
 
 #[test]
 fn seven_hundred_gateways_overload_no_warming_endpoint() {
-    no_warming_endpoint_is_overloaded_by(720, 30);
+    assert_no_warming_endpoint_is_overloaded(720, 30);
 }
 
-/// The rate of the customers' quota, in units per second.
+/// Rate at which each customer's quota refills, in units per second.
 const QUOTA_RATE: f64 = 4.0;
-/// The burst of the customers' quota, in units.
+/// Burst of each customer's quota, in units.
 const QUOTA_BURST: f64 = 12.0;
 
-/// A customer, with its exact quota.
+/// A customer, with its quota as a token bucket that observes all of the usage.
 struct Customer {
     /// Requests per second.
     request_rate: f64,
-    /// Whether it requests more than its quota.
+    /// Whether the customer requests more than its quota.
     is_heavy: bool,
-    /// Units left in its quota at `updated_at`.
+    /// Units left of the quota as of `updated_at`.
     units: f64,
     updated_at: f64,
 }
 
 impl Customer {
-    /// One in ten requests three times its rate, the others well below it.
+    /// Creates a customer with a full quota. One customer in ten requests three times its quota rate, the others
+    /// request well below it.
     fn new(number: usize, now: f64) -> Self {
         let is_heavy = number % 10 == 0;
         let request_rate = if is_heavy { 12.0 } else { 1.5 };
@@ -482,7 +493,7 @@
         }
     }
 
-    /// Whether a request of one unit now is within the quota.
+    /// Returns whether a request of one unit now is within the quota.
     fn is_within_quota(&mut self, now: f64) -> bool {
         self.units = (self.units + (now - self.updated_at) / 1000.0 * QUOTA_RATE).min(QUOTA_BURST);
         self.updated_at = now;
@@ -490,7 +501,7 @@
     }
 }
 
-/// Requests by what became of them.
+/// Numbers of requests, by whether they were sent and whether they were within the quota.
 #[derive(Default)]
 struct QuotaTotals {
     sent_within: u32,
@@ -514,35 +525,35 @@
     }
 }
 
-/// The counter works, most customers request well below their rate, and one in ten requests three times as much. Each
-/// gateway knows the usage at the others only from its own calls, so some could grant too much and reject what is within
-/// the quota. Both stay small over the fleet.
+/// The counter is available, most customers request well below their quota, and one in ten requests three times its
+/// quota. A gateway learns of the usage at other gateways only by its own counter calls, so it may forward requests
+/// beyond a quota and reject requests within one. Both must be rare over the fleet.
 #[test]
-fn quotas_hold_over_the_fleet_on_a_quiet_day() {
+fn quotas_hold_over_the_fleet_while_the_counter_is_available() {
     let QuotaTotals {
         sent_within,
         sent_beyond,
         heavy_sent_within,
         light_rejected_within,
-    } = quiet_day();
+    } = simulate_quotas();
     let light_sent_within = sent_within - heavy_sent_within;
     assert!(
         sent_beyond * 20 <= sent_within,
-        "{sent_beyond} beyond the quotas, {sent_within} inside"
+        "{sent_beyond} requests were sent beyond the quotas, {sent_within} within them"
     );
     assert!(
         light_rejected_within * 25 <= light_sent_within,
-        "{light_rejected_within} rejected of those who request little, {light_sent_within} inside"
+        "of customers below their quota, {light_rejected_within} requests were rejected and {light_sent_within} sent"
     );
-    // Six customers, a burst of 12 and 4 a second for a minute.
+    // Six customers with a burst of 12 units and 4 units per second for one minute.
     assert!(
         heavy_sent_within * 10 >= 6 * (12 + 4 * 60) * 8,
-        "{heavy_sent_within} to those who request more than their quota"
+        "of customers above their quota, only {heavy_sent_within} requests were sent within the quota"
     );
 }
 
-/// A minute of 60 customers at 40 gateways.
-fn quiet_day() -> QuotaTotals {
+/// Simulates one minute of 60 customers at 40 gateways.
+fn simulate_quotas() -> QuotaTotals {
     let mut settings = settings();
     settings.gateway_count = 40;
     settings.plans[0].rate = QUOTA_RATE;
@@ -571,7 +582,7 @@
             if rng.f64() >= customer.request_rate / 1000.0 {
                 continue;
             }
-            // It comes in through four consecutive gateways.
+            // The customer's requests arrive through four consecutive gateways.
             let gateway = &mut gateways[(number * 3 + rng.usize(..4)) % 40];
             gateway.now = now;
             let id = millisecond * customer_count + number as u64;
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -1,4 +1,4 @@
-//! Random legal event sequences with fixed seeds: whatever happens, the rules hold.
+//! Property test: the rules hold for random legal sequences of events. The sequences are drawn with fixed seeds.
 // Tests fail by panicking.
 #![allow(clippy::unwrap_used)]
 
@@ -7,20 +7,20 @@
 use quota_gateway::*;
 use std::collections::BTreeMap;
 
-/// How long after its deadline a request may still be answered, in ms.
+/// Time after its deadline within which a request may still be answered, in ms.
 const RESPONSE_SLACK_MS: f64 = 8.0;
 
-/// An attempt as the host of the gateway sees it.
+/// An attempt as recorded by the host of the gateway.
 struct SentAttempt {
     endpoint: u32,
     started_at: f64,
     times_out_at: f64,
     in_flight: bool,
-    /// It may have been executed.
-    executed: bool,
+    /// Whether the attempt has ended with an outcome after which it may have been executed.
+    may_have_executed: bool,
 }
 
-/// A request as its client sees it.
+/// A request as recorded by its client.
 struct ClientRequest {
     class: usize,
     deadline: f64,
@@ -28,14 +28,16 @@
     attempts: Vec<SentAttempt>,
 }
 
-/// The host of a gateway: clients, endpoints, a counter and timers. It checks each action against the rules.
+/// The host of a gateway, with clients, endpoints, a counter and timers. The host checks each action against the rules.
 struct Host {
     gateway: Gateway,
     settings: Settings,
     now: f64,
     requests: BTreeMap<u64, ClientRequest>,
     endpoints: BTreeMap<u32, EndpointState>,
+    /// Key and amount of each call to the counter that has not been answered.
     counter_calls: Vec<(u64, f64)>,
+    /// Time and token of each timer that has not fired.
     timers: Vec<(f64, u64)>,
 }
 
@@ -83,8 +85,12 @@
                 let idempotent =
                     self.settings.classes[request.class].idempotency == Idempotency::Idempotent;
                 assert!(
-                    idempotent || request.attempts.iter().all(|a| !a.in_flight && !a.executed),
-                    "rejected what may have been executed"
+                    idempotent
+                        || request
+                            .attempts
+                            .iter()
+                            .all(|a| !a.in_flight && !a.may_have_executed),
+                    "rejected a request that may have been executed"
                 );
             }
             Action::Fail { id } => {
@@ -118,21 +124,21 @@
             hedging || request.attempts.iter().all(|a| !a.in_flight),
             "two attempts in flight at once"
         );
-        let earlier: Vec<_> = request
+        let possible_executions: Vec<_> = request
             .attempts
             .iter()
-            .filter(|a| a.executed || a.in_flight)
+            .filter(|a| a.may_have_executed || a.in_flight)
             .collect();
         match self.settings.classes[request.class].idempotency {
             Idempotency::Idempotent => {}
             Idempotency::NotIdempotent => {
                 assert!(
-                    earlier.is_empty(),
+                    possible_executions.is_empty(),
                     "a request that is not idempotent may be executed twice"
                 );
             }
             Idempotency::WithKey { window_ms, .. } => {
-                for attempt in earlier {
+                for attempt in possible_executions {
                     assert_eq!(
                         attempt.endpoint % 2,
                         endpoint % 2,
@@ -150,7 +156,7 @@
             started_at: self.now,
             times_out_at: self.now + timeout_ms,
             in_flight: true,
-            executed: false,
+            may_have_executed: false,
         });
     }
 
@@ -158,7 +164,7 @@
         let request = self.requests.get_mut(&id).unwrap();
         let attempt = &mut request.attempts[number];
         attempt.in_flight = false;
-        attempt.executed = !outcome.never_executed();
+        attempt.may_have_executed = !outcome.never_executed();
         request.answered |= outcome == Outcome::Success;
         let ended = AttemptEnd {
             id,
@@ -191,27 +197,31 @@
             }
             let request = &self.requests[&id];
             let in_time = now <= request.deadline + RESPONSE_SLACK_MS;
-            assert!(request.answered || in_time, "request {id} is overdue");
+            assert!(
+                request.answered || in_time,
+                "request {id} has no response after its deadline"
+            );
         }
         self.requests
             .retain(|_, r| !r.answered || r.attempts.iter().any(|attempt| attempt.in_flight));
     }
 
-    /// Now and then hands in an event that a faulty counter or gateway might cause.
+    /// Reports, at random, an event that a faulty counter or another gateway might cause.
     fn inject_fault(&mut self, rng: &mut fastrand::Rng) {
-        let odd = [-1.0, f64::NAN, f64::INFINITY, 1e300, 3.0][rng.usize(0..5)];
+        let value = [-1.0, f64::NAN, f64::INFINITY, 1e300, 3.0][rng.usize(0..5)];
         match rng.u32(0..20) {
-            // The reply to a call that nobody made.
+            // A reply to a counter call that was not made.
             0 => {
                 let outcome =
                     [Outcome::Success, Outcome::Timeout, Outcome::ConnectFailed][rng.usize(0..3)];
                 self.handle(Event::CounterReply {
                     key: rng.u32(0..9).into(),
                     outcome,
-                    total: odd,
-                    elapsed_ms: odd,
+                    total: value,
+                    elapsed_ms: value,
                 });
             }
+            // A damaged gossip message.
             1 => {
                 let body = (0..rng.usize(0..30)).map(|_| rng.u8(0..3)).collect();
                 self.handle(Event::Gossip {
@@ -219,6 +229,7 @@
                     body,
                 });
             }
+            // A gossip message with one entry, which may state unknown indexes or a refund.
             2 => {
                 let customer = rng.u64(0..20).to_le_bytes();
                 let units = rng.i16(-300..900).to_le_bytes();
@@ -232,6 +243,7 @@
         }
     }
 
+    /// Sends a random request.
     fn send_request(&mut self, id: u64, rng: &mut fastrand::Rng) {
         let class = rng.usize(0..3);
         let timeout_ms = 20.0 + rng.f64() * 2000.0;
@@ -254,7 +266,8 @@
         }));
     }
 
-    fn end_any_attempt(&mut self, rng: &mut fastrand::Rng) {
+    /// Ends a random attempt in flight, if there is one, with a random outcome.
+    fn end_random_attempt(&mut self, rng: &mut fastrand::Rng) {
         let numbered = |(id, request): (&u64, &ClientRequest)| {
             let id = *id;
             let in_flight = request
@@ -284,6 +297,7 @@
         self.end_attempt(id, number, outcomes[rng.usize(0..outcomes.len())]);
     }
 
+    /// Replies to all calls to the counter, with random outcomes and totals.
     fn answer_counter_calls(&mut self, rng: &mut fastrand::Rng) {
         while !self.counter_calls.is_empty() {
             let (key, amount) = self.counter_calls.remove(0);
@@ -305,7 +319,8 @@
         }
     }
 
-    fn change_any_endpoint(&mut self, rng: &mut fastrand::Rng) {
+    /// Changes the state of a random endpoint.
+    fn change_random_endpoint(&mut self, rng: &mut fastrand::Rng) {
         let id = rng.u32(1..=6);
         let states = [
             EndpointState::Ready,
@@ -352,9 +367,9 @@
         host.inject_fault(&mut rng);
         match rng.u32(0..10) {
             0..=3 => host.send_request(id, &mut rng),
-            4..=7 => host.end_any_attempt(&mut rng),
+            4..=7 => host.end_random_attempt(&mut rng),
             8 => host.answer_counter_calls(&mut rng),
-            _ => host.change_any_endpoint(&mut rng),
+            _ => host.change_random_endpoint(&mut rng),
         }
     }
     for _ in 0..300 {
@@ -362,13 +377,12 @@
     }
     assert!(
         host.requests.values().all(|request| request.answered),
-        "every request has its response"
+        "every request must have a response"
     );
 }
 
-/// Events come in any order: attempts end while endpoints drain, replies are late or never come, messages are damaged.
-/// One order that nobody thought of could execute a request twice or leave a client without a response. The rules
-/// hold in all of them.
+/// Events occur in any order: attempts end while endpoints drain, replies are late or missing, messages are damaged. In
+/// an order that no other test covers, a request could be executed twice or a client left without a response.
 #[test]
 fn the_rules_hold_on_random_legal_events() {
     for seed in 0..30 {
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -1,5 +1,5 @@
-//! Fleets in which a gateway uses a subset of the endpoints only: how even the subsets are, what changes in them, and
-//! that the rules hold with them.
+//! Subsetting in fleets of many endpoints: how evenly the endpoints are used, how the subsets follow changes of the
+//! endpoint list, and whether the rules of retries and draining hold.
 // Tests fail by panicking.
 #![allow(clippy::unwrap_used)]
 
@@ -8,11 +8,14 @@
 use quota_gateway::*;
 use std::collections::BTreeSet;
 
+/// Number of gateways.
 const GATEWAYS: u32 = 90;
+/// Number of endpoints, more than a gateway uses.
 const ENDPOINTS: u32 = 1024;
+/// Number of zones. The endpoint with the number n is in zone n mod `ZONES`.
 const ZONES: u32 = 8;
 
-/// An entry whose key is distributed like a hash.
+/// Returns an entry of the endpoint list whose key is distributed like a hash.
 fn entry(id: u32, state: EndpointState) -> Endpoint {
     let hash_key = u64::from(id).wrapping_mul(0x9E37_79B9_7F4A_7C15);
     Endpoint {
@@ -21,7 +24,7 @@
     }
 }
 
-/// All gateways of a fleet, with endpoints from 1 on.
+/// Creates all gateways of a fleet, with endpoints from 1 to `endpoints`.
 fn gateways_with(settings: &Settings, endpoints: u32) -> Vec<TestGateway> {
     (0..settings.gateway_count)
         .map(|index| gateway_at(settings, index, endpoints))
@@ -59,7 +62,7 @@
     gateways_with(&fleet_settings(), endpoints)
 }
 
-/// The gateway of this index, with all endpoints.
+/// Creates the gateway with this index, with all endpoints.
 fn one_of_fleet(index: u32) -> TestGateway {
     gateway_at(&fleet_settings(), index, ENDPOINTS)
 }
@@ -68,7 +71,7 @@
     gateway.gateway.subset().iter().copied().collect()
 }
 
-/// The number of gateways that have an endpoint in their subset, over several endpoints.
+/// The number of gateways that have an endpoint in their subset, summarized over several endpoints.
 struct GatewaysPerEndpoint {
     min: usize,
     mean: f64,
@@ -76,7 +79,7 @@
 }
 
 impl GatewaysPerEndpoint {
-    /// Over those endpoints for which `is_counted` holds.
+    /// Counts over the endpoints for which `is_counted` returns true.
     fn new(gateways: &mut [TestGateway], is_counted: impl Fn(u32) -> bool) -> Self {
         let mut counts = vec![0; ENDPOINTS as usize + 2];
         for gateway in gateways {
@@ -99,24 +102,31 @@
         let GatewaysPerEndpoint { min, mean, max } = *self;
         assert!(
             min as f64 >= mean - 1.5 && max as f64 <= mean + 1.5,
-            "{min} to {max}, {mean} in the mean"
+            "endpoints are in {min} to {max} subsets, {mean} on average"
         );
     }
 }
 
 #[test]
-fn all_endpoints_have_equally_many_gateways_and_all_gateways_all_zones() {
+fn endpoints_are_in_equally_many_subsets_and_each_subset_covers_all_zones() {
     let mut gateways = fleet(ENDPOINTS);
     let per_endpoint = GatewaysPerEndpoint::new(&mut gateways, |_| true);
-    // With a plain hash of gateway and endpoint one of them would have 9 and another 37.
+    // If subsets were chosen by a hash of gateway and endpoint, one endpoint would be in 9 subsets and another in 37.
     per_endpoint.assert_even();
-    assert!(per_endpoint.mean >= 16.0, "{}", per_endpoint.mean);
+    assert!(
+        per_endpoint.mean >= 16.0,
+        "endpoints are in {} subsets on average",
+        per_endpoint.mean
+    );
     for gateway in &mut gateways {
         let members = members(gateway);
         assert!((200..=320).contains(&members.len()), "{}", members.len());
         for zone in 0..ZONES {
             let of_zone = members.iter().filter(|id| *id % ZONES == zone).count();
-            assert!(of_zone >= 12, "{of_zone} of zone {zone}");
+            assert!(
+                of_zone >= 12,
+                "the subset has {of_zone} members of zone {zone}"
+            );
         }
     }
 }
@@ -128,10 +138,11 @@
     }
 }
 
-/// An endpoint drains, starts or returns. If that changed the subsets of all gateways, each change would cost handshakes
-/// all over the fleet. It must concern only the gateways that use the endpoint, and none of their other members.
+/// An endpoint drains, starts or becomes ready again. If the subsets of all gateways changed, each change would cost
+/// handshakes all over the fleet. Only the subsets that contain the endpoint may change, and none of their other
+/// members.
 #[test]
-fn few_members_change_when_an_endpoint_comes_or_goes() {
+fn few_members_change_when_an_endpoint_starts_or_drains() {
     let mut gateways = fleet(ENDPOINTS);
     let before: Vec<_> = gateways.iter_mut().map(members).collect();
     let changes = [
@@ -157,13 +168,17 @@
         );
         users += difference.len();
     }
-    assert!((15..=35).contains(&users), "{users} use the new one");
+    assert!(
+        (15..=35).contains(&users),
+        "{users} gateways use the new endpoint"
+    );
 }
 
-/// Two zones are lost. With their old arcs, gateways would have too few members: the arcs must widen evenly over the other
-/// zones, and be as before once the zones are back.
+/// Two zones are lost. With unchanged arcs, subsets would have too few members. The arcs must become longer so that the
+/// endpoints of the other zones are used evenly, and return to their former length once the lost zones are listed
+/// again.
 #[test]
-fn arcs_widen_when_zones_are_lost_and_narrow_again() {
+fn arcs_grow_while_zones_are_lost() {
     let mut gateways = fleet(ENDPOINTS);
     let before: Vec<_> = gateways.iter_mut().map(members).collect();
     let is_lost = |id: &u32| id % ZONES < 2;
@@ -193,7 +208,7 @@
     assert_eq!(gateways.iter_mut().map(members).collect::<Vec<_>>(), before);
 }
 
-/// Sends requests to a gateway; `is_failing` endpoints refuse the connection.
+/// Sends requests to a gateway. Endpoints for which `is_failing` returns true refuse connections, the others succeed.
 fn send_requests(
     gateway: &mut TestGateway,
     ids: std::ops::Range<u64>,
@@ -218,26 +233,29 @@
     }
 }
 
-/// A third of a gateway's members fail. It must use other endpoints in their place, and once they succeed again its
-/// subset must become small again.
+/// A third of a subset's members fail. The gateway must use other endpoints in addition, and the subset must become
+/// smaller once all members succeed again.
 #[test]
-fn ejected_members_are_made_up_for() {
+fn ejected_members_are_replaced() {
     let mut gateway = one_of_fleet(3);
     let before = members(&mut gateway);
     let is_failing = |id: u32| before.contains(&id) && id % 3 == 0;
     send_requests(&mut gateway, 1..6001, &is_failing);
-    let wide = members(&mut gateway);
-    let well = wide.iter().filter(|id| !is_failing(**id)).count();
+    let enlarged = members(&mut gateway);
+    let healthy = enlarged.iter().filter(|id| !is_failing(**id)).count();
     assert!(
-        wide.is_superset(&before) && well * 100 >= before.len() * 85,
-        "{well} of {}",
+        enlarged.is_superset(&before) && healthy * 100 >= before.len() * 85,
+        "{healthy} healthy members, {} members before",
         before.len()
     );
     send_requests(&mut gateway, 6001..46_001, &|_| false);
-    assert!(members(&mut gateway).len() < wide.len(), "it narrows again");
+    assert!(
+        members(&mut gateway).len() < enlarged.len(),
+        "the subset must become smaller again"
+    );
 }
 
-/// Settings of a site where connections have a price.
+/// Settings with a price of opening connections.
 fn settings_with_handshake_price() -> Settings {
     let mut settings = fleet_settings();
     settings.prices.handshake = 0.01;
@@ -246,16 +264,16 @@
     settings
 }
 
-/// The endpoints that are sent the last 1,000 of 6,000 requests that arrive `gap_ms` apart, with a tick at every
-/// `tick_requests` of them.
-fn endpoints_used(gateway: &mut TestGateway, gap_ms: f64, tick_requests: u64) -> BTreeSet<u32> {
+/// Sends 6,000 requests that arrive `gap_ms` apart, and runs the housekeeping after every `requests_per_tick` requests.
+/// Returns the endpoints of the last 1,000 requests.
+fn endpoints_used(gateway: &mut TestGateway, gap_ms: f64, requests_per_tick: u64) -> BTreeSet<u32> {
     let mut used = BTreeSet::new();
     for id in 1..=6000 {
         gateway.now += gap_ms;
-        let endpoint =
-            sent_to(&gateway.handle(Event::Request(request(id, id)))).expect("it is sent");
+        let endpoint = sent_to(&gateway.handle(Event::Request(request(id, id))))
+            .expect("the request is forwarded");
         gateway.attempt_ended(id, 0, endpoint, Outcome::Success, None);
-        if id % tick_requests == 0 {
+        if id % requests_per_tick == 0 {
             gateway.handle(Event::TimerFired { token: 0 });
         }
         if id > 5000 {
@@ -265,26 +283,29 @@
     used
 }
 
-/// A gateway spreads requests over its members, and keeps to few connections where it has few requests.
+/// A gateway with many requests must spread them over its members. A gateway with few requests must use few endpoints,
+/// to open few connections.
 #[test]
 fn requests_spread_over_the_members() {
-    for (gap_ms, tick_requests, least, most) in [(8.0, 100, 200, 320), (4000.0, 1, 1, 130)] {
+    for (gap_ms, requests_per_tick, min_used, max_used) in
+        [(8.0, 100, 200, 320), (4000.0, 1, 1, 130)]
+    {
         let mut gateway = gateway_at(&settings_with_handshake_price(), 5, ENDPOINTS);
         let members = members(&mut gateway);
-        let used = endpoints_used(&mut gateway, gap_ms, tick_requests);
+        let used = endpoints_used(&mut gateway, gap_ms, requests_per_tick);
         assert!(used.iter().all(|id| members.contains(id)));
         assert!(
-            (least..=most).contains(&used.len()),
-            "{} used, {gap_ms} ms apart",
+            (min_used..=max_used).contains(&used.len()),
+            "{} endpoints were used by requests {gap_ms} ms apart",
             used.len()
         );
     }
 }
 
-/// A request with an idempotency key fails at an endpoint of a zone where the subset has few members. At an endpoint of
-/// another zone the retry could be executed a second time: it must stay in the zone of the first attempt.
+/// A request with an idempotency key fails at an endpoint of a zone in which the subset has few members. An endpoint of
+/// another zone could execute the request a second time, so the retry must stay in the zone of the first attempt.
 #[test]
-fn keyed_retries_stay_in_their_zone() {
+fn retries_with_an_idempotency_key_stay_in_the_zone() {
     let mut gateway = one_of_fleet(1);
     for id in 1..=500 {
         gateway.now += 20.0;
@@ -292,7 +313,8 @@
             class: 1,
             ..request(id, id)
         };
-        let first = sent_to(&gateway.handle(Event::Request(keyed))).expect("it is sent");
+        let first =
+            sent_to(&gateway.handle(Event::Request(keyed))).expect("the request is forwarded");
         if let Some(second) =
             sent_to(&gateway.attempt_ended(id, 0, first, Outcome::ErrorResponse, None))
         {
@@ -304,7 +326,7 @@
 }
 
 /// Two thirds of the endpoints drain, and some of the others reject requests. No attempt may be sent to a draining
-/// endpoint, in the subset or outside of it, and all others must be used.
+/// endpoint, inside or outside of the subset, and many of the others must be used.
 #[test]
 fn draining_endpoints_get_no_attempts() {
     let mut gateway = one_of_fleet(2);
@@ -320,20 +342,26 @@
     let mut used = BTreeSet::new();
     for id in 1..=3000 {
         gateway.now += 8.0;
-        let endpoint =
-            sent_to(&gateway.handle(Event::Request(request(id, id)))).expect("it is sent");
-        assert!(!is_draining(&endpoint), "{endpoint} is draining");
+        let endpoint = sent_to(&gateway.handle(Event::Request(request(id, id))))
+            .expect("the request is forwarded");
+        assert!(
+            !is_draining(&endpoint),
+            "an attempt was sent to endpoint {endpoint}, which is draining"
+        );
         used.insert(endpoint);
-        // One in ten rejects the request, and it goes to another one.
+        // One request in ten is rejected and retried at another endpoint.
         let outcome = if id % 10 == 0 {
             Outcome::Rejected
         } else {
             Outcome::Success
         };
         if let Some(endpoint) = sent_to(&gateway.attempt_ended(id, 0, endpoint, outcome, None)) {
-            assert!(!is_draining(&endpoint), "{endpoint} is draining");
+            assert!(
+                !is_draining(&endpoint),
+                "an attempt was sent to endpoint {endpoint}, which is draining"
+            );
             gateway.attempt_ended(id, 1, endpoint, Outcome::Success, None);
         }
     }
-    assert!(used.len() > 150, "{}", used.len());
+    assert!(used.len() > 150, "{} endpoints were used", used.len());
 }
