--- a/soak/src/faults/gateway_faults.rs
+++ b/soak/src/faults/gateway_faults.rs
@@ -1,10 +1,10 @@
-//! Faults of gateways: they are restarted, killed, stalled or reloaded.
+//! Faults of gateways, which are restarted, killed, stalled or reloaded.
 
 use super::injector::Injector;
 use super::system_calls::draw_call_faults;
 use crate::clients::{start_shutdown_clients, ClientContext, LEAD_TIME};
 use crate::error::SoakError;
-use crate::gateway::{Addresses, Gateway, ShutdownPlan, STALL};
+use crate::gateway::{Addresses, Gateway, ShutdownPlan, STALL_DURATION};
 use crate::loopback::any_port;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -14,13 +14,13 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// The former address of discovery closes its connections this long after a new configuration.
-const FORMER_CLOSE_DELAY: Duration = Duration::from_millis(1500);
-/// A configuration that was cut off.
-const INVALID_CONFIG: &str = "{\"name\": \"n0\", ";
+/// Discovery at its previous address closes its connections this long after the gateways got the new address.
+const PREVIOUS_CLOSE_DELAY: Duration = Duration::from_millis(1500);
+/// A configuration that ends too early.
+const TRUNCATED_CONFIG: &str = "{\"name\": \"n0\", ";
 
 impl Injector {
-    /// Ends some gateways, by SIGTERM or SIGKILL, and starts them again.
+    /// Ends some gateways by SIGTERM or SIGKILL, and starts them again.
     pub async fn restart(mut self, kills: bool) {
         let mut restarts = JoinSet::new();
         for index in self.draw_gateways() {
@@ -46,26 +46,26 @@
         }
     }
 
-    /// Suspends some gateways for a moment.
+    /// Suspends some gateways for `STALL_DURATION`.
     pub async fn stall(mut self) {
         let mut stalls = JoinSet::new();
         for index in self.draw_gateways() {
             let gateways = self.context.processes.gateways.borrow();
             if let Some(gateway) = gateways.get(&index) {
-                stalls.spawn_local(gateway.stall(STALL));
+                stalls.spawn_local(gateway.stall(STALL_DURATION));
             }
         }
         while stalls.join_next().await.is_some() {}
     }
 
-    /// Moves discovery to a new address, and reloads all gateways with it.
+    /// Moves discovery to a new address, and reloads all running gateways with this address.
     pub async fn reload(self) -> Result<(), SoakError> {
         let processes = &self.context.processes;
         let listener = TcpListener::bind(any_port()).await?;
         let publisher = self.context.publisher.clone();
         let new = Discovery::start(listener, publisher, FirstUpdate::Changes)?;
         let address = new.address();
-        let former = processes.discovery.borrow_mut().replace(new);
+        let previous = processes.discovery.borrow_mut().replace(new);
         for index in processes.running_gateways() {
             let mut gateways = processes.gateways.borrow_mut();
             let Some(gateway) = gateways.get_mut(&index) else {
@@ -75,24 +75,24 @@
             addresses.discovery = address;
             gateway.reload(addresses)?;
         }
-        if let Some(former) = former {
-            former.retire(FORMER_CLOSE_DELAY).await;
+        if let Some(previous) = previous {
+            previous.retire(PREVIOUS_CLOSE_DELAY).await;
         }
         Ok(())
     }
 
-    /// Reloads some gateways with a configuration that can't be read.
+    /// Reloads some gateways with an invalid configuration.
     pub fn reload_invalid(mut self) -> Result<(), SoakError> {
         for index in self.draw_gateways() {
             if let Some(gateway) = self.context.processes.gateways.borrow().get(&index) {
-                gateway.reload_invalid(INVALID_CONFIG)?;
+                gateway.reload_invalid(TRUNCATED_CONFIG)?;
             }
         }
         Ok(())
     }
 }
 
-/// Ends a gateway under clients that send until it is killed.
+/// Shuts a gateway down by SIGTERM while shutdown clients send requests to it.
 pub async fn shut_down(
     context: &ClientContext,
     gateway: Gateway,
