--- a/src/policy/call_limiter.rs
+++ b/src/policy/call_limiter.rs
@@ -73,7 +73,7 @@
             CallPriority::Required => 1.0,
             CallPriority::Optional => 1.0 + capacity / 2.0,
         };
-        let acquired = self.bucket.has(needed);
+        let acquired = self.bucket.has_tokens(needed);
         if acquired {
             self.bucket.take(1.0);
         }
@@ -82,7 +82,7 @@
 
     /// Returns whether no token was left after the last call of `try_acquire`.
     pub(crate) fn is_exhausted(&self) -> bool {
-        !self.bucket.has(1.0)
+        !self.bucket.has_tokens(1.0)
     }
 
     /// Returns whether the counter counts as down, so that requests don't wait for it: its last calls were
--- a/src/policy/ceiling/tests.rs
+++ b/src/policy/ceiling/tests.rs
@@ -18,11 +18,11 @@
 #[test]
 fn the_bucket_of_a_restarted_gateway_holds_what_was_refilled_since_its_start() {
     let share = share(3, 3.0);
-    assert!(!share.initial_bucket(0.0).has(0.1));
+    assert!(!share.initial_bucket(0.0).has_tokens(0.1));
     let after_1_s = share.initial_bucket(1000.0);
-    assert!(after_1_s.has(4.0) && !after_1_s.has(4.1));
+    assert!(after_1_s.has_tokens(4.0) && !after_1_s.has_tokens(4.1));
     let after_1_min = share.initial_bucket(60_000.0);
-    assert!(after_1_min.has(10.0) && !after_1_min.has(10.1));
+    assert!(after_1_min.has_tokens(10.0) && !after_1_min.has_tokens(10.1));
 }
 
 #[test]
@@ -36,7 +36,7 @@
         let mut bucket = TokenBucket::new(0.0);
         share(gateway_count, gateway_set_size).refill(&mut bucket, 1000.0);
         assert!(
-            bucket.has(units - 0.1) && !bucket.has(units + 0.1),
+            bucket.has_tokens(units - 0.1) && !bucket.has_tokens(units + 0.1),
             "{gateway_set_size} of {gateway_count} gateways"
         );
     }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -43,7 +43,7 @@
 
     /// Returns whether a retry is left.
     pub(super) fn has_retry(&self) -> bool {
-        self.retries.has(RETRY_COST)
+        self.retries.has_tokens(RETRY_COST)
     }
 
     /// Takes one retry from the budget.
--- a/src/primitives/token_bucket.rs
+++ b/src/primitives/token_bucket.rs
@@ -18,7 +18,7 @@
     }
 
     /// Returns whether the bucket holds at least these tokens.
-    pub(crate) fn has(self, tokens: f64) -> bool {
+    pub(crate) fn has_tokens(self, tokens: f64) -> bool {
         self.tokens >= tokens
     }
 
--- a/src/state/customer.rs
+++ b/src/state/customer.rs
@@ -90,7 +90,7 @@
     /// Whether this gateway's share of the customer's hard ceiling has enough units left for the request.
     pub(crate) fn fits_ceiling(&self, request: &Request) -> bool {
         self.get(request.customer)
-            .is_some_and(|customer| customer.ceiling.has(request.units))
+            .is_some_and(|customer| customer.ceiling.has_tokens(request.units))
     }
 
     /// Records that an attempt was sent. The first attempt of a request takes its units from the hard ceiling.
--- a/src/state/warm_up.rs
+++ b/src/state/warm_up.rs
@@ -38,7 +38,7 @@
 
     /// Whether a token is available for an attempt.
     pub(crate) fn has_token(&self) -> bool {
-        self.tokens.has(1.0)
+        self.tokens.has_tokens(1.0)
     }
 
     /// Takes the token of an attempt that was sent. Without an available token, the balance becomes negative.
