--- a/src/policy/call_limiter.rs
+++ b/src/policy/call_limiter.rs
@@ -75,7 +75,7 @@
         };
         let acquired = self.bucket.has_tokens(needed);
         if acquired {
-            self.bucket.take(1.0);
+            self.bucket.consume_tokens(1.0);
         }
         acquired
     }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -48,7 +48,7 @@
 
     /// Takes one retry from the budget.
     pub(super) fn withdraw(&mut self) {
-        self.retries.take(RETRY_COST);
+        self.retries.consume_tokens(RETRY_COST);
     }
 }
 
--- a/src/primitives/token_bucket.rs
+++ b/src/primitives/token_bucket.rs
@@ -23,7 +23,7 @@
     }
 
     /// Removes tokens. The number of tokens may become negative.
-    pub(crate) fn take(&mut self, tokens: f64) {
+    pub(crate) fn consume_tokens(&mut self, tokens: f64) {
         self.tokens -= tokens;
     }
 }
--- a/src/state/customer.rs
+++ b/src/state/customer.rs
@@ -100,7 +100,7 @@
         };
         customer.in_flight += 1;
         if first {
-            customer.ceiling.take(request.units);
+            customer.ceiling.consume_tokens(request.units);
         }
     }
 
--- a/src/state/warm_up.rs
+++ b/src/state/warm_up.rs
@@ -43,7 +43,7 @@
 
     /// Takes the token of an attempt that was sent. Without an available token, the balance becomes negative.
     pub(crate) fn take_token(&mut self) {
-        self.tokens.take(1.0);
+        self.tokens.consume_tokens(1.0);
     }
 }
 
