--- a/src/policy/call_limiter.rs
+++ b/src/policy/call_limiter.rs
@@ -67,7 +67,7 @@
     pub(crate) fn try_acquire(&mut self, now: Millis, priority: CallPriority) -> bool {
         let capacity = (self.rate * BURST_MS / 1000.0).max(1.0);
         let refill = (now - self.refilled_at).max(0.0) / 1000.0 * self.rate;
-        self.bucket.refill(refill, capacity);
+        self.bucket.add_tokens(refill, capacity);
         self.refilled_at = now;
         let needed = match priority {
             CallPriority::Required => 1.0,
--- a/src/policy/ceiling.rs
+++ b/src/policy/ceiling.rs
@@ -42,7 +42,7 @@
     }
 
     pub(crate) fn refill(&self, bucket: &mut TokenBucket, elapsed_s: f64) {
-        bucket.refill(self.refill_units(elapsed_s), self.capacity);
+        bucket.add_tokens(self.refill_units(elapsed_s), self.capacity);
     }
 
     fn refill_units(&self, elapsed_s: f64) -> f64 {
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -38,7 +38,8 @@
     /// Adds the share of one first attempt to the budget. The caller has queued the action that sends the
     /// attempt; the program may still not send it.
     pub(super) fn deposit(&mut self) {
-        self.retries.refill(RETRIES_PER_REQUEST, MAX_SAVED_RETRIES);
+        self.retries
+            .add_tokens(RETRIES_PER_REQUEST, MAX_SAVED_RETRIES);
     }
 
     /// Returns whether a retry is left.
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -63,7 +63,7 @@
     fn refill(&mut self, now: Millis, warm_rate: f64) {
         let elapsed_s = (now - self.refilled_at).max(0.0) / 1000.0;
         let refill = elapsed_s * warm_rate * self.capacity_share(now).unwrap_or(1.0);
-        self.tokens.refill(refill, MAX_TOKENS);
+        self.tokens.add_tokens(refill, MAX_TOKENS);
         self.refilled_at = now;
     }
 }
--- a/src/primitives/token_bucket.rs
+++ b/src/primitives/token_bucket.rs
@@ -13,7 +13,7 @@
     }
 
     /// Adds tokens up to the capacity.
-    pub(crate) fn refill(&mut self, tokens: f64, capacity: f64) {
+    pub(crate) fn add_tokens(&mut self, tokens: f64, capacity: f64) {
         self.tokens = (self.tokens + tokens).min(capacity);
     }
 
