--- a/src/policy/slow_start/tests.rs
+++ b/src/policy/slow_start/tests.rs
@@ -62,6 +62,6 @@
     warm_up.refill(2050.0, 0.7);
     assert!(warm_up.has_token(), "0.3 + 0.7");
     warm_up.refill(9000.0, 100.0);
-    warm_up.take_token();
+    warm_up.consume_token();
     assert!(!warm_up.has_token(), "only one token is held");
 }
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -82,7 +82,7 @@
         }
         self.in_flight += 1;
         self.connections.attempt_started(now, self.in_flight);
-        self.warm_up.take_token();
+        self.warm_up.consume_token();
     }
 
     pub(crate) fn attempt_ended(&mut self, now: Millis, outcome: Outcome) {
--- a/src/state/warm_up.rs
+++ b/src/state/warm_up.rs
@@ -42,7 +42,7 @@
     }
 
     /// Takes the token of an attempt that was sent. Without an available token, the balance becomes negative.
-    pub(crate) fn take_token(&mut self) {
+    pub(crate) fn consume_token(&mut self) {
         self.tokens.consume_tokens(1.0);
     }
 }
--- a/src/state/warm_up/tests.rs
+++ b/src/state/warm_up/tests.rs
@@ -21,7 +21,7 @@
 #[test]
 fn an_attempt_without_a_token_makes_the_balance_negative() {
     let mut warm_up = WarmUp::new(None, 0.0, 1000.0);
-    warm_up.take_token();
+    warm_up.consume_token();
     warm_up.tokens.add_tokens(1.5, 2.0);
     assert!(!warm_up.has_token());
     warm_up.tokens.add_tokens(0.5, 2.0);
