--- a/src/policy/shared_quota/tests.rs
+++ b/src/policy/shared_quota/tests.rs
@@ -14,7 +14,7 @@
     let charge = quota.charge(now, units, LIMITS);
     *total += charge.weighted_units;
     assert!(quota.apply_total(now, charge, *total, LIMITS));
-    quota.take(units);
+    quota.record_usage(units);
 }
 
 /// A gateway gets its first request of a customer that uses its quota at other gateways. With a full quota
--- a/src/state/customer.rs
+++ b/src/state/customer.rs
@@ -82,7 +82,7 @@
     /// Records units that the customer used at this gateway. A negative number is a refund.
     pub(crate) fn record_usage(&mut self, id: CustomerId, units: f64) {
         if let Some(customer) = self.get_mut(id) {
-            customer.quota.take(units);
+            customer.quota.record_usage(units);
             customer.gossip_level -= units;
         }
     }
--- a/src/state/shared_quota.rs
+++ b/src/state/shared_quota.rs
@@ -51,7 +51,7 @@
     }
 
     /// Records units used at this gateway. A negative number is a refund.
-    pub(crate) fn take(&mut self, units: f64) {
+    pub(crate) fn record_usage(&mut self, units: f64) {
         self.level -= units;
     }
 }
