--- a/src/policy/call_limiter.rs
+++ b/src/policy/call_limiter.rs
@@ -33,7 +33,7 @@
 /// The priority of a call.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CallPriority {
-    /// A required call may take the last token.
+    /// A required call may consume the last token.
     Required,
     /// An optional call leaves half of the bucket to required calls.
     Optional,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Takes a token if the bucket has one for a call of this priority. Returns whether it did.
+    /// Consumes a token if the bucket has one for a call of this priority. Returns whether it did.
     pub(crate) fn try_acquire(&mut self, now: Millis, priority: CallPriority) -> bool {
         let capacity = (self.rate * BURST_MS / 1000.0).max(1.0);
         let refill = (now - self.refilled_at).max(0.0) / 1000.0 * self.rate;
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -14,7 +14,7 @@
 const RETRIES_PER_REQUEST: f64 = 0.1;
 /// Maximum number of unused retries in the budget.
 const MAX_SAVED_RETRIES: f64 = 10.0;
-/// Tokens that one retry takes from the budget.
+/// Tokens that one retry consumes.
 const RETRY_COST: f64 = 1.0;
 /// Longest assumed stall of the program between its last reading of the clock and the first byte of an
 /// attempt, in ms. A retry that relies on an idempotency key must start this long before the key's window
@@ -47,7 +47,7 @@
         self.retries.has_tokens(RETRY_COST)
     }
 
-    /// Takes one retry from the budget.
+    /// Withdraws one retry from the budget.
     pub(super) fn withdraw(&mut self) {
         self.retries.consume_tokens(RETRY_COST);
     }
--- a/src/primitives/token_bucket.rs
+++ b/src/primitives/token_bucket.rs
@@ -1,4 +1,4 @@
-//! A token bucket: tokens are added up to a capacity, and each permitted action takes some.
+//! A token bucket: tokens are added up to a capacity, and each permitted action consumes some.
 
 /// A token bucket. The caller passes rate and capacity, as these may change from one refill to the next.
 #[derive(Clone, Copy, Debug)]
--- a/src/primitives/token_bucket/tests.rs
+++ b/src/primitives/token_bucket/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 
 #[test]
-fn a_bucket_is_refilled_up_to_its_capacity() {
+fn tokens_are_added_up_to_the_capacity() {
     let mut bucket = TokenBucket::new(1.0);
     bucket.add_tokens(5.0, 3.0);
     assert!(bucket.has_tokens(3.0) && !bucket.has_tokens(3.1));
 }
 
 #[test]
-fn more_tokens_than_there_are_can_be_taken_and_must_be_refilled_first() {
+fn tokens_may_be_consumed_beyond_the_balance_and_must_be_added_first() {
     let mut bucket = TokenBucket::new(1.0);
     bucket.consume_tokens(3.0);
     bucket.add_tokens(2.0, 10.0);
--- a/src/state/warm_up.rs
+++ b/src/state/warm_up.rs
@@ -10,7 +10,7 @@
     /// The capacity over time; `None` if the endpoint has not started recently. Boxed, as nearly all endpoints have no
     /// ramp and their records should stay small.
     ramp: Option<Box<LinearRamp>>,
-    /// Each attempt takes one token.
+    /// Each attempt consumes one token.
     pub(crate) tokens: TokenBucket,
     /// Time of the last refill.
     pub(crate) refilled_at: Millis,
@@ -41,7 +41,7 @@
         self.tokens.has_tokens(1.0)
     }
 
-    /// Takes the token of an attempt that was sent. Without an available token, the balance becomes negative.
+    /// Consumes the token of an attempt that was sent. Without an available token, the balance becomes negative.
     pub(crate) fn consume_token(&mut self) {
         self.tokens.consume_tokens(1.0);
     }
