--- a/src/policy/customer_quota.rs
+++ b/src/policy/customer_quota.rs
@@ -70,7 +70,7 @@
             }
             // Only the units of the request itself are settled with a later charge. Earlier unsettled units
             // that the charge also carried are dropped and never reach the shared count.
-            ChargeResult::NotCounted => self.quota.settle_later(now, charge.units, limits),
+            ChargeResult::NotCounted => self.quota.add_unsettled_units(now, charge.units, limits),
             // If these units were charged again, they could count twice, and the customer would lose quota
             // that it hasn't used. If the counter has not counted them, they are missing from the shared
             // count.
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -105,17 +105,17 @@
     }
 
     /// Adds units, or a refund if negative, to the customer's next charge.
-    pub(crate) fn settle_later(&mut self, cx: &Context, account: Account, units: f64) {
+    pub(crate) fn add_unsettled_units(&mut self, cx: &Context, account: Account, units: f64) {
         if let Some(customer) = self.customers.get_mut(account.customer) {
             customer
                 .quota
-                .settle_later(cx.now, units, quota_limits(cx, account));
+                .add_unsettled_units(cx.now, units, quota_limits(cx, account));
         }
     }
 
     /// Settles the difference between the units that a request used and those that it was charged.
     pub(crate) fn settle(&mut self, cx: &mut Context, account: Account, units: f64) {
-        self.settle_later(cx, account, units);
+        self.add_unsettled_units(cx, account, units);
         self.record_usage(cx, account, units);
     }
 
@@ -143,7 +143,7 @@
             .try_acquire(cx.now, CallPriority::Required)
         {
             self.gossip.record_shortage(cx.now);
-            self.settle_later(cx, open.account(), open.request.units);
+            self.add_unsettled_units(cx, open.account(), open.request.units);
             return false;
         }
         self.call_counter(cx, open, open.request.units);
--- a/src/policy/request_handler.rs
+++ b/src/policy/request_handler.rs
@@ -88,7 +88,7 @@
         });
         if admission.is_over_limit() {
             let refund = -open.request.units;
-            self.quota.settle_later(cx, open.account(), refund);
+            self.quota.add_unsettled_units(cx, open.account(), refund);
         }
         self.apply_admission(cx, open, admission);
         admission
@@ -181,7 +181,7 @@
     pub(crate) fn client_disconnected(&mut self, cx: &mut Context, open: &mut OpenRequest) {
         if open.awaiting_counter {
             let refund = -open.request.units;
-            self.quota.settle_later(cx, open.account(), refund);
+            self.quota.add_unsettled_units(cx, open.account(), refund);
         }
         close(cx, &mut self.quota.customers, open);
     }
--- a/src/policy/shared_quota.rs
+++ b/src/policy/shared_quota.rs
@@ -151,7 +151,7 @@
     ///
     /// Under a plan with rate and burst 0 the stored units become NaN. Only a charge reads them, and a
     /// customer of such a plan is never charged, provided that each customer keeps to one plan.
-    pub(crate) fn settle_later(&mut self, now: Millis, units: f64, limits: QuotaLimits) {
+    pub(crate) fn add_unsettled_units(&mut self, now: Millis, units: f64, limits: QuotaLimits) {
         let remaining = limits.decay().remaining_share(now - self.unsettled_at);
         self.unsettled_units = self.unsettled_units * remaining + units;
         self.unsettled_at = now;
--- a/src/policy/shared_quota/tests.rs
+++ b/src/policy/shared_quota/tests.rs
@@ -77,7 +77,7 @@
 fn unsettled_units_decay_and_are_charged_once() {
     let mut quota = SharedQuota::new(0, START, LIMITS.burst);
     let single = quota.charge(START, 1.0, LIMITS).weighted_units;
-    quota.settle_later(START, 2.0, LIMITS);
+    quota.add_unsettled_units(START, 2.0, LIMITS);
     assert!((quota.charge(START, 1.0, LIMITS).weighted_units / single - 3.0).abs() < 1e-9);
     assert!((quota.charge(START, 1.0, LIMITS).weighted_units / single - 1.0).abs() < 1e-9);
 }
