--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -162,12 +162,12 @@
         let due =
             customer.is_some_and(|known| cx.now - known.last_call_at > MIN_TOTAL_QUERY_INTERVAL_MS);
         if due && is_counted(cx, open) {
-            self.settle_now(cx, open);
+            self.charge_unsettled_units(cx, open);
         }
     }
 
     /// Charges the customer's unsettled units, if the limiter permits an optional call.
-    pub(crate) fn settle_now(&mut self, cx: &mut Context, open: &OpenRequest) {
+    pub(crate) fn charge_unsettled_units(&mut self, cx: &mut Context, open: &OpenRequest) {
         if self
             .counter
             .limiter
--- a/src/policy/request_handler.rs
+++ b/src/policy/request_handler.rs
@@ -67,7 +67,7 @@
         // The charge of an over-quota request would keep available quota from the other gateways. It is
         // refunded now if the limiter permits the call, and with the customer's next charge otherwise.
         if open.awaiting_counter && self.decide_after_wait(cx, open) != Admission::Forward {
-            self.quota.settle_now(cx, open);
+            self.quota.charge_unsettled_units(cx, open);
         }
     }
 
