--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -103,10 +103,10 @@
 /// called only if the customer is over its quota.
 pub(super) fn decide_after_wait(
     units: f64,
-    counted_units: f64,
+    available_units: f64,
     load: impl FnOnce() -> LoadInputs,
 ) -> Admission {
-    if counted_units >= units {
+    if available_units >= units {
         return Admission::Forward;
     }
     decide_over_limit(Limit::Quota, &load())
--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn the_counted_units_decide_after_the_wait() {
+fn the_available_units_decide_after_the_wait() {
     let overloaded = || LoadInputs {
         expected_latency_ms: f64::INFINITY,
         ..load()
--- a/src/policy/customer_quota.rs
+++ b/src/policy/customer_quota.rs
@@ -43,7 +43,7 @@
     }
 
     /// Returns the units left for a request that has waited for the counter.
-    pub(super) fn counted_units(&self, gossip_active: bool) -> f64 {
+    pub(super) fn available_units_after_wait(&self, gossip_active: bool) -> f64 {
         if gossip_active {
             self.quota.level.min(self.gossip_level)
         } else {
--- a/src/policy/customer_quota/tests.rs
+++ b/src/policy/customer_quota/tests.rs
@@ -59,7 +59,7 @@
         customer.apply_result(NOW, charge, result, limits(), gossip_active);
         let expected = if gossip_active { 3.0 } else { PLAN.burst };
         assert_eq!(customer.gossip_level, expected);
-        assert_eq!(customer.counted_units(gossip_active), expected);
+        assert_eq!(customer.available_units_after_wait(gossip_active), expected);
     }
 }
 
@@ -68,7 +68,7 @@
     let mut customer = customer();
     customer.reserved_units = 4.0;
     assert_eq!(customer.available_units(PLAN.burst, false), 6.0);
-    assert_eq!(customer.counted_units(false), 10.0);
+    assert_eq!(customer.available_units_after_wait(false), 10.0);
 }
 
 #[test]
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -62,10 +62,10 @@
     }
 
     /// Returns the units left for a request that has waited for the counter.
-    pub(crate) fn counted_units(&mut self, cx: &Context, open: &OpenRequest) -> f64 {
+    pub(crate) fn available_units_after_wait(&mut self, cx: &Context, open: &OpenRequest) -> f64 {
         let gossip_active = self.gossip.is_active(cx);
         let customer = self.refresh(cx, open.account(), open.request.gateway_set_size);
-        customer.counted_units(gossip_active)
+        customer.available_units_after_wait(gossip_active)
     }
 
     /// Returns the customer's attempts in flight at all gateways, given that an attempt takes `baseline_ms`.
--- a/src/policy/request_handler.rs
+++ b/src/policy/request_handler.rs
@@ -81,8 +81,8 @@
     /// Decides on a request that has waited for the counter, and carries the decision out.
     fn decide_after_wait(&mut self, cx: &mut Context, open: &mut OpenRequest) -> Admission {
         self.quota.customers.release(open);
-        let counted_units = self.quota.counted_units(cx, open);
-        let admission = admission::decide_after_wait(open.request.units, counted_units, || {
+        let available_units = self.quota.available_units_after_wait(cx, open);
+        let admission = admission::decide_after_wait(open.request.units, available_units, || {
             let expected_ms = self.forwarder.expected_latency(cx, &open.request);
             load_inputs(cx, open, expected_ms)
         });
