--- a/src/policy/forwarding.rs
+++ b/src/policy/forwarding.rs
@@ -151,7 +151,7 @@
         max_attempts: cx.settings.limits.max_attempts,
         idempotency: cx.class(&open.request).idempotency,
         first_execution_at: open.first_execution.map(|first| first.started_at),
-        fits_ceiling: !has_ceiling || customers.fits_ceiling(&open.request),
+        is_within_ceiling: !has_ceiling || customers.is_within_ceiling(&open.request),
     }
 }
 
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -148,7 +148,7 @@
     /// none if no attempt has ended in this way.
     pub(super) first_execution_at: Option<Millis>,
     /// True if the customer has no hard ceiling or the ceiling has the request's units left.
-    pub(super) fits_ceiling: bool,
+    pub(super) is_within_ceiling: bool,
 }
 
 /// The decision on an attempt, either the first one or a retry.
@@ -190,7 +190,7 @@
         return AttemptDecision::Denied(AttemptDenial::KeyWindowExpired);
     }
     // The first attempt took the units from the ceiling for all attempts of the request.
-    if inputs.attempts == 0 && !inputs.fits_ceiling {
+    if inputs.attempts == 0 && !inputs.is_within_ceiling {
         return AttemptDecision::Denied(AttemptDenial::CeilingReached);
     }
     AttemptDecision::Allowed { start_timeout_ms }
--- a/src/policy/retry/tests.rs
+++ b/src/policy/retry/tests.rs
@@ -110,7 +110,7 @@
         max_attempts: 3,
         idempotency: WITH_KEY,
         first_execution_at: Some(NOW - 300.0),
-        fits_ceiling: true,
+        is_within_ceiling: true,
     }
 }
 
@@ -124,7 +124,7 @@
         }),
         (AttemptDenial::CeilingReached, |i| {
             i.attempts = 0;
-            i.fits_ceiling = false;
+            i.is_within_ceiling = false;
         }),
     ];
     for (denial, change) in cases {
@@ -170,7 +170,7 @@
         ..attempt_inputs()
     };
     let retry = AttemptInputs {
-        fits_ceiling: false,
+        is_within_ceiling: false,
         ..attempt_inputs()
     };
     for inputs in [first, retry] {
--- a/src/state/customer.rs
+++ b/src/state/customer.rs
@@ -88,7 +88,7 @@
     }
 
     /// Whether this gateway's share of the customer's hard ceiling has enough units left for the request.
-    pub(crate) fn fits_ceiling(&self, request: &Request) -> bool {
+    pub(crate) fn is_within_ceiling(&self, request: &Request) -> bool {
         self.get(request.customer)
             .is_some_and(|customer| customer.ceiling.has_tokens(request.units))
     }
