--- a/src/state/connections.rs
+++ b/src/state/connections.rs
@@ -10,9 +10,9 @@
     /// Maximum number of attempts in flight on one connection.
     attempts_per_connection: u32,
     /// Estimated number of open connections.
-    open: u32,
+    open_connections: u32,
     /// Time at which an attempt last ended with a success, an error response or a rejection.
-    used_at: Millis,
+    last_used_at: Millis,
 }
 
 impl ConnectionEstimate {
@@ -21,26 +21,26 @@
         ConnectionEstimate {
             usable_idle_ms,
             attempts_per_connection,
-            open: 0,
-            used_at: now,
+            open_connections: 0,
+            last_used_at: now,
         }
     }
 
     /// Whether the connections were used recently enough to count as open.
     fn are_usable(&self, now: Millis) -> bool {
-        now - self.used_at < self.usable_idle_ms
+        now - self.last_used_at < self.usable_idle_ms
     }
 
     /// Whether an open connection is likely to have capacity for one more attempt.
-    pub(crate) fn has_free(&self, now: Millis, in_flight: u32) -> bool {
-        self.are_usable(now) && in_flight < self.open * self.attempts_per_connection
+    pub(crate) fn has_free_connection(&self, now: Millis, in_flight: u32) -> bool {
+        self.are_usable(now) && in_flight < self.open_connections * self.attempts_per_connection
     }
 
     /// Records that an attempt was sent. `in_flight` includes that attempt.
     pub(crate) fn attempt_started(&mut self, now: Millis, in_flight: u32) {
         let needed = in_flight.div_ceil(self.attempts_per_connection);
-        self.open = if self.are_usable(now) {
-            self.open.max(needed)
+        self.open_connections = if self.are_usable(now) {
+            self.open_connections.max(needed)
         } else {
             needed
         };
@@ -48,12 +48,16 @@
 
     pub(crate) fn attempt_ended(&mut self, now: Millis, outcome: Outcome) {
         match outcome {
-            Outcome::Success | Outcome::ErrorResponse | Outcome::Rejected => self.used_at = now,
-            Outcome::ConnectFailed => self.open = self.open.saturating_sub(1),
+            Outcome::Success | Outcome::ErrorResponse | Outcome::Rejected => {
+                self.last_used_at = now
+            }
+            Outcome::ConnectFailed => {
+                self.open_connections = self.open_connections.saturating_sub(1)
+            }
             Outcome::Timeout | Outcome::ConnectionReset | Outcome::Cancelled | Outcome::NotSent => {
                 // The connection is closed with the attempt, unless it may carry other attempts.
                 if self.attempts_per_connection == 1 {
-                    self.open = self.open.saturating_sub(1);
+                    self.open_connections = self.open_connections.saturating_sub(1);
                 }
             }
         }
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -66,7 +66,7 @@
     }
 
     pub(crate) fn has_free_connection(&self, now: Millis) -> bool {
-        self.connections.has_free(now, self.in_flight)
+        self.connections.has_free_connection(now, self.in_flight)
     }
 
     /// Resets health, latency and warm-up after a restart of the endpoint.
