--- a/src/policy/request_handler.rs
+++ b/src/policy/request_handler.rs
@@ -80,7 +80,7 @@
 
     /// Decides on a request that has waited for the counter, and carries the decision out.
     fn decide_after_wait(&mut self, cx: &mut Context, open: &mut OpenRequest) -> Admission {
-        self.quota.customers.release(open);
+        self.quota.customers.release_units(open);
         let available_units = self.quota.available_units_after_wait(cx, open);
         let admission = admission::decide_after_wait(open.request.units, available_units, || {
             let expected_ms = self.forwarder.expected_latency(cx, &open.request);
@@ -113,7 +113,7 @@
         if !awaits_reply {
             return self.forward_within_quota(cx, open);
         }
-        self.quota.customers.reserve(open);
+        self.quota.customers.reserve_units(open);
         let max_wait_ms = self.quota.max_wait(open);
         cx.set_timer(Timer::CounterWait(open.request.id), max_wait_ms);
     }
@@ -267,7 +267,7 @@
 /// Closes a request that has its response or no longer needs one. Releases the units that are reserved while
 /// the request waits for the counter, and cancels its attempts in flight if cancellation is permitted.
 fn close(cx: &mut Context, customers: &mut Customers, open: &mut OpenRequest) {
-    customers.release(open);
+    customers.release_units(open);
     if !std::mem::replace(&mut open.closed, true) && cx.settings.limits.cancellation {
         let cancel = |attempt| Action::CancelAttempt {
             id: open.request.id,
