--- a/src/policy/customer_quota.rs
+++ b/src/policy/customer_quota.rs
@@ -86,7 +86,7 @@
     /// call has ended counts twice. The attempts of the peers are estimated by Little's law from their rate
     /// of usage, the mean units of a request and the duration of an attempt.
     pub(super) fn concurrent_attempts(&self, mean_units: f64, duration_ms: Millis) -> f64 {
-        let at_peers = self.quota.peer_rate / mean_units * duration_ms / 1000.0;
+        let at_peers = self.quota.peer_usage_rate / mean_units * duration_ms / 1000.0;
         f64::from(self.in_flight + self.pending_calls) + at_peers.round()
     }
 
--- a/src/policy/shared_quota.rs
+++ b/src/policy/shared_quota.rs
@@ -142,7 +142,7 @@
     fn extrapolate_peer_usage(&mut self, now: Millis) {
         let until = now.min(self.last_total_at + MAX_EXTRAPOLATION_MS);
         let unobserved_s = (until - self.refilled_at.max(self.last_total_at)).max(0.0) / 1000.0;
-        let extrapolated = unobserved_s * self.peer_rate;
+        let extrapolated = unobserved_s * self.peer_usage_rate;
         self.level -= extrapolated;
         self.extrapolated_units += extrapolated;
     }
@@ -183,7 +183,7 @@
         let unobserved_ms = window.start - self.last_total_at;
         if let Some(last_usage) = self.last_usage {
             let extrapolated_ms = unobserved_ms.clamp(0.0, PEER_RATE_AVERAGING_MS);
-            let peer_units = self.peer_rate * extrapolated_ms / 1000.0;
+            let peer_units = self.peer_usage_rate * extrapolated_ms / 1000.0;
             let usage = last_usage * limits.decay().remaining_share(unobserved_ms) + peer_units;
             self.level -= peer_units;
             self.last_usage = Some(usage);
@@ -279,7 +279,7 @@
     fn update_peer_rate(&mut self, peer_units: f64, elapsed_ms: Millis) {
         let remaining = remaining_share(elapsed_ms, PEER_RATE_AVERAGING_MS);
         let rate = peer_units.max(0.0) * 1000.0 / elapsed_ms;
-        self.peer_rate = self.peer_rate * remaining + rate * (1.0 - remaining);
+        self.peer_usage_rate = self.peer_usage_rate * remaining + rate * (1.0 - remaining);
     }
 
     fn window_at(&self, now: Millis, limits: QuotaLimits) -> Window {
--- a/src/policy/shared_quota/tests.rs
+++ b/src/policy/shared_quota/tests.rs
@@ -47,7 +47,11 @@
         "level {}",
         first.level
     );
-    assert!(first.peer_rate > 0.5, "peer rate {}", first.peer_rate);
+    assert!(
+        first.peer_usage_rate > 0.5,
+        "peer rate {}",
+        first.peer_usage_rate
+    );
 }
 
 /// The counter restarts and loses its counts, so its totals are small. Applied as they are, they would grant
--- a/src/state/shared_quota.rs
+++ b/src/state/shared_quota.rs
@@ -26,7 +26,7 @@
     /// Usage in earlier windows, decayed to the start of the current window.
     pub(crate) usage_before_window: f64,
     /// Average usage at the other gateways, in units per second.
-    pub(crate) peer_rate: f64,
+    pub(crate) peer_usage_rate: f64,
     /// Extrapolated usage at the other gateways since the last total, in units.
     pub(crate) extrapolated_units: f64,
 }
@@ -45,7 +45,7 @@
             last_total_at: now,
             own_count: 0.0,
             usage_before_window: 0.0,
-            peer_rate: 0.0,
+            peer_usage_rate: 0.0,
             extrapolated_units: 0.0,
         }
     }
