--- a/src/policy/shared_quota.rs
+++ b/src/policy/shared_quota.rs
@@ -130,7 +130,7 @@
     ) -> f64 {
         let elapsed_s = (now - self.refilled_at).max(0.0) / 1000.0;
         self.level += elapsed_s * limits.rate;
-        if peer_usage == PeerUsage::Extrapolate && self.last_usage.is_some() {
+        if peer_usage == PeerUsage::Extrapolate && self.usage_at_last_total.is_some() {
             self.extrapolate_peer_usage(now);
             self.level = self.level.min(limits.burst);
         }
@@ -181,12 +181,13 @@
     /// most.
     fn enter_window(&mut self, window: &Window, limits: QuotaLimits) {
         let unobserved_ms = window.start - self.last_total_at;
-        if let Some(last_usage) = self.last_usage {
+        if let Some(usage_at_last_total) = self.usage_at_last_total {
             let extrapolated_ms = unobserved_ms.clamp(0.0, PEER_RATE_AVERAGING_MS);
             let peer_units = self.peer_usage_rate * extrapolated_ms / 1000.0;
-            let usage = last_usage * limits.decay().remaining_share(unobserved_ms) + peer_units;
+            let usage =
+                usage_at_last_total * limits.decay().remaining_share(unobserved_ms) + peer_units;
             self.level -= peer_units;
-            self.last_usage = Some(usage);
+            self.usage_at_last_total = Some(usage);
             self.usage_before_window = usage;
             self.last_total_at = window.start;
         }
@@ -209,18 +210,20 @@
         }
         let usage = self.counted_usage(now, &window, charge, total, limits);
         self.own_count += charge.weighted_units;
-        match self.last_usage {
+        match self.usage_at_last_total {
             None => self.level = level_by_count(&usage, limits),
             // The counter has lost its count. Later totals are compared to this one, so nothing has to be
             // added again and the level stays as it is.
             Some(_) if total < self.own_count * LOST_COUNT_SHARE => {
                 self.own_count = charge.weighted_units;
             }
-            Some(last_usage) => self.correct_level(now, last_usage, &usage, limits),
+            Some(usage_at_last_total) => {
+                self.correct_level(now, usage_at_last_total, &usage, limits)
+            }
         }
         self.level = self.level.max(-limits.max_deficit);
         self.level = self.level.min(limits.burst);
-        self.last_usage = Some(usage.total);
+        self.usage_at_last_total = Some(usage.total);
         self.last_total_at = now;
         true
     }
@@ -253,7 +256,7 @@
     fn correct_level(
         &mut self,
         now: Millis,
-        last_usage: f64,
+        usage_at_last_total: f64,
         usage: &CountedUsage,
         limits: QuotaLimits,
     ) {
@@ -261,7 +264,7 @@
         // Two totals may arrive at the same time, and a rate over a time of 0 would be NaN.
         let elapsed_ms = (now - self.last_total_at).max(MIN_TOTAL_INTERVAL_MS);
         let remaining = decay.remaining_share(elapsed_ms);
-        let added = usage.total - last_usage * remaining - usage.charged;
+        let added = usage.total - usage_at_last_total * remaining - usage.charged;
         let peer_units = decay.evenly_spread_usage(added, elapsed_ms, remaining);
         self.level += std::mem::take(&mut self.extrapolated_units) - peer_units;
         // At least as many units are left as if all usage that still counts had been taken from a full quota.
--- a/src/state/shared_quota.rs
+++ b/src/state/shared_quota.rs
@@ -17,7 +17,7 @@
     /// Number of the window in which usage is currently counted.
     pub(crate) window: u64,
     /// Usage at all gateways according to the last total, decayed to `last_total_at`; `None` before the first total.
-    pub(crate) last_usage: Option<f64>,
+    pub(crate) usage_at_last_total: Option<f64>,
     /// Time of the last total, or the start of the current window if that is later. Before the first total, the time at
     /// which the record was created.
     pub(crate) last_total_at: Millis,
@@ -41,7 +41,7 @@
             unsettled_units: 0.0,
             unsettled_at: 0.0,
             window: 0,
-            last_usage: None,
+            usage_at_last_total: None,
             last_total_at: now,
             own_count: 0.0,
             usage_before_window: 0.0,
