--- a/src/policy/endpoint_comparison.rs
+++ b/src/policy/endpoint_comparison.rs
@@ -54,7 +54,7 @@
         let mut best: Option<Candidate> = None;
         for endpoint in endpoints.filter(|endpoint| endpoint.is_ready()) {
             let is_warming = endpoint.warm_up.capacity_share(self.now).is_some();
-            let is_in_scope = self.scope.contains(&endpoint.endpoint);
+            let is_in_scope = self.scope.contains(&endpoint.entry);
             if !is_in_scope || is_warming && !endpoint.warm_up.has_token() {
                 continue;
             }
@@ -93,12 +93,12 @@
         Candidate {
             preference: self.preference(endpoint, ignore_ejections),
             cost_ms: latency_ms + handshake_ms,
-            endpoint: endpoint.endpoint.id,
+            endpoint: endpoint.entry.id,
         }
     }
 
     fn preference(&self, endpoint: &TrackedEndpoint, ignore_ejections: bool) -> Preference {
-        let id = endpoint.endpoint.id;
+        let id = endpoint.entry.id;
         let plan = self.open.request.plan as usize;
         let had_attempt = self
             .open
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -34,7 +34,7 @@
 pub(super) fn remove_unlisted(table: &mut EndpointTable, ring: &mut RingArc) {
     for endpoint in table.unlisted() {
         ring.replace(endpoint.ring_node(), None);
-        endpoint.endpoint.state = EndpointState::Removed;
+        endpoint.entry.state = EndpointState::Removed;
     }
 }
 
@@ -49,11 +49,11 @@
 }
 
 fn replace(cx: &mut Context, tracked: &mut TrackedEndpoint, entry: Endpoint) {
-    let was_removed = tracked.endpoint.state == EndpointState::Removed;
+    let was_removed = tracked.entry.state == EndpointState::Removed;
     let is_relisted = was_removed && entry.state == EndpointState::Ready;
-    if is_relisted || entry.started_at > tracked.endpoint.started_at {
+    if is_relisted || entry.started_at > tracked.entry.started_at {
         let ramp = slow_start::ramp(cx.now, &cx.settings.rules, &entry, is_relisted);
         tracked.restart(WarmUp::new(ramp, cx.rng.f64(), cx.now));
     }
-    tracked.endpoint = entry;
+    tracked.entry = entry;
 }
--- a/src/policy/load_balancer.rs
+++ b/src/policy/load_balancer.rs
@@ -94,7 +94,7 @@
                 .filter(|e| !e.health.is_healthy(cx.now))
                 .count();
             let connected = members.filter(|e| e.has_free_connection(cx.now));
-            self.connected_members = connected.map(|e| e.endpoint.id).collect();
+            self.connected_members = connected.map(|e| e.entry.id).collect();
             subset::resize(&mut self.subset, cx.settings, &self.subset_load);
         }
     }
@@ -151,7 +151,7 @@
         let first_executor = open
             .first_execution
             .and_then(|first| self.endpoints.get(first.endpoint))
-            .map(|tracked| &tracked.endpoint);
+            .map(|tracked| &tracked.entry);
         let baseline_ms = self.baseline_latency(open.request.class as usize);
         EndpointComparison::new(cx, open, first_executor, baseline_ms)
     }
--- a/src/policy/shared_quota.rs
+++ b/src/policy/shared_quota.rs
@@ -218,7 +218,7 @@
                 self.own_count = charge.weighted_units;
             }
             Some(usage_at_last_total) => {
-                self.correct_level(now, usage_at_last_total, &usage, limits)
+                self.correct_level(now, usage_at_last_total, &usage, limits);
             }
         }
         self.level = self.level.max(-limits.max_deficit);
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -9,7 +9,8 @@
 /// This gateway's record of one endpoint. Further methods are in `policy::latency` (the expected latency) and
 /// `policy::ejection` (whether attempts may be sent to the endpoint).
 pub(crate) struct TrackedEndpoint {
-    pub(crate) endpoint: Endpoint,
+    /// The endpoint's entry in the endpoint list.
+    pub(crate) entry: Endpoint,
     /// Number of the last update of the endpoint list that contained the endpoint.
     pub(crate) last_update: u64,
     /// Number of this gateway's attempts in flight at the endpoint.
@@ -27,13 +28,13 @@
 impl TrackedEndpoint {
     /// A new record of an endpoint, from its entry in the endpoint list.
     pub(crate) fn new(
-        endpoint: Endpoint,
+        entry: Endpoint,
         connections: ConnectionEstimate,
         warm_up: WarmUp,
         now: Millis,
     ) -> Self {
         TrackedEndpoint {
-            endpoint,
+            entry,
             last_update: 0,
             in_flight: 0,
             last_valid_response_at: now,
@@ -45,7 +46,7 @@
     }
 
     pub(crate) fn is_ready(&self) -> bool {
-        self.endpoint.state == EndpointState::Ready
+        self.entry.state == EndpointState::Ready
     }
 
     /// The endpoint's node on the ring of ready endpoints; `None` if the endpoint is not ready.
@@ -55,7 +56,7 @@
             zone,
             hash_key: key,
             ..
-        } = self.endpoint;
+        } = self.entry;
         self.is_ready().then_some(Node { id, zone, key })
     }
 
--- a/src/state/endpoint_table.rs
+++ b/src/state/endpoint_table.rs
@@ -46,7 +46,7 @@
     /// Adds an endpoint and marks it as contained in the current update.
     pub(crate) fn insert(&mut self, mut endpoint: TrackedEndpoint) {
         endpoint.last_update = self.updates;
-        self.endpoints.insert(endpoint.endpoint.id, endpoint);
+        self.endpoints.insert(endpoint.entry.id, endpoint);
     }
 
     /// Marks a known endpoint as contained in the current update, and returns it.
@@ -60,7 +60,7 @@
     pub(crate) fn unlisted(&mut self) -> impl Iterator<Item = &mut TrackedEndpoint> {
         let update = self.updates;
         self.endpoints.values_mut().filter(move |endpoint| {
-            endpoint.last_update != update && endpoint.endpoint.state != EndpointState::Removed
+            endpoint.last_update != update && endpoint.entry.state != EndpointState::Removed
         })
     }
 
@@ -68,7 +68,7 @@
     /// `after_success_ms` or longer ago. The time of the removal itself doesn't matter.
     pub(crate) fn forget_removed(&mut self, now: Millis, after_success_ms: Millis) {
         self.endpoints.retain(|_, endpoint| {
-            let is_removed = endpoint.endpoint.state == EndpointState::Removed;
+            let is_removed = endpoint.entry.state == EndpointState::Removed;
             let is_recent = now - endpoint.last_success_at() < after_success_ms;
             !is_removed || endpoint.in_flight > 0 || is_recent
         });
--- a/src/state/warming_members.rs
+++ b/src/state/warming_members.rs
@@ -25,7 +25,7 @@
             let started = endpoints
                 .select(members)
                 .filter(|endpoint| endpoint.warm_up.has_ramp());
-            self.ids = started.map(|endpoint| endpoint.endpoint.id).collect();
+            self.ids = started.map(|endpoint| endpoint.entry.id).collect();
         }
         self.ids.retain(|id| {
             endpoints
