--- a/src/policy/forwarding.rs
+++ b/src/policy/forwarding.rs
@@ -83,10 +83,12 @@
         endpoint: EndpointId,
         start_timeout_ms: Millis,
     ) {
-        let first = open.attempts.is_empty();
-        let endpoint_in_flight = self.load_balancer.attempt_started(cx.now, endpoint, first);
+        let is_first = open.attempts.is_empty();
+        let endpoint_in_flight = self
+            .load_balancer
+            .attempt_started(cx.now, endpoint, is_first);
         self.load.attempt_started(cx.now);
-        if first {
+        if is_first {
             self.retry_budget.deposit();
         }
         open.attempts.push(Attempt {
--- a/src/policy/load_balancer.rs
+++ b/src/policy/load_balancer.rs
@@ -196,8 +196,8 @@
 
     /// Records the start of an attempt. Returns the number of this gateway's attempts now in flight at the
     /// endpoint.
-    pub(crate) fn attempt_started(&mut self, now: Millis, id: EndpointId, first: bool) -> f64 {
-        if first {
+    pub(crate) fn attempt_started(&mut self, now: Millis, id: EndpointId, is_first: bool) -> f64 {
+        if is_first {
             self.request_rate.record(now, 1.0);
         }
         let Some(endpoint) = self.endpoints.get_mut(id) else {
--- a/src/state/customer.rs
+++ b/src/state/customer.rs
@@ -94,12 +94,12 @@
     }
 
     /// Records that an attempt was sent. The first attempt of a request takes its units from the hard ceiling.
-    pub(crate) fn attempt_started(&mut self, request: &Request, first: bool) {
+    pub(crate) fn attempt_started(&mut self, request: &Request, is_first: bool) {
         let Some(customer) = self.get_mut(request.customer) else {
             return;
         };
         customer.in_flight += 1;
-        if first {
+        if is_first {
             customer.ceiling.consume_tokens(request.units);
         }
     }
