--- a/src/policy/forwarding.rs
+++ b/src/policy/forwarding.rs
@@ -110,16 +110,16 @@
         &mut self,
         cx: &mut Context,
         open: &OpenRequest,
-        ended: &AttemptEnd,
+        end: &AttemptEnd,
         latency_ms: Millis,
     ) {
-        let succeeded = ended.outcome == Outcome::Success;
+        let succeeded = end.outcome == Outcome::Success;
         self.load.attempt_ended(cx.now, succeeded);
-        if matches!(ended.outcome, Outcome::Success | Outcome::Timeout) {
+        if matches!(end.outcome, Outcome::Success | Outcome::Timeout) {
             let objective_ms = cx.class(&open.request).latency_objective_ms;
             self.load.record_latency(latency_ms, objective_ms);
         }
-        self.load_balancer.attempt_ended(cx, open, ended);
+        self.load_balancer.attempt_ended(cx, open, end);
     }
 
     /// Returns the inputs of the decision on a retry after an attempt with this outcome.
--- a/src/policy/request_handler.rs
+++ b/src/policy/request_handler.rs
@@ -141,21 +141,21 @@
         &mut self,
         cx: &mut Context,
         open: &mut OpenRequest,
-        ended: &AttemptEnd,
+        end: &AttemptEnd,
     ) {
-        let Some(attempt) = open.end_attempt(ended) else {
+        let Some(attempt) = open.end_attempt(end) else {
             return;
         };
         // The latency from the decision to send until this event. The load estimate for admission includes
         // the time that actions and events spend in the host; endpoints are judged by the host's own
         // `elapsed_ms`, which excludes that time.
         let latency_ms = cx.now - attempt.started_at;
-        settle_attempt(cx, &mut self.quota, open, ended.actual_units);
-        self.forwarder.attempt_ended(cx, open, ended, latency_ms);
-        if ended.request_answered || open.closed {
+        settle_attempt(cx, &mut self.quota, open, end.actual_units);
+        self.forwarder.attempt_ended(cx, open, end, latency_ms);
+        if end.request_answered || open.closed {
             close(cx, &mut self.quota.customers, open);
         } else if !open.has_attempt_in_flight() {
-            self.retry_or_end(cx, open, ended.outcome);
+            self.retry_or_end(cx, open, end.outcome);
         }
     }
 
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -130,19 +130,19 @@
     }
 
     /// Records the end of an attempt and returns the attempt, or `None` if it is unknown or has ended before.
-    pub(crate) fn end_attempt(&mut self, ended: &AttemptEnd) -> Option<&Attempt> {
-        let attempt = self.attempts.get_mut(usize::from(ended.attempt))?;
+    pub(crate) fn end_attempt(&mut self, end: &AttemptEnd) -> Option<&Attempt> {
+        let attempt = self.attempts.get_mut(usize::from(end.attempt))?;
         if !std::mem::take(&mut attempt.in_flight) {
             return None;
         }
-        if !ended.outcome.never_executed() && self.first_execution.is_none() {
+        if !end.outcome.never_executed() && self.first_execution.is_none() {
             let first = FirstExecution {
                 started_at: attempt.started_at,
                 endpoint: attempt.endpoint,
             };
             self.first_execution = Some(first);
         }
-        if ended.outcome != Outcome::NotSent {
+        if end.outcome != Outcome::NotSent {
             self.has_ended_sent_attempt = true;
         }
         Some(attempt)
