--- a/src/primitives/ring.rs
+++ b/src/primitives/ring.rs
@@ -15,7 +15,7 @@
 pub(crate) struct Node {
     pub(crate) id: NodeId,
     pub(crate) zone: u32,
-    pub(crate) key: u64,
+    pub(crate) hash_key: u64,
 }
 
 /// The nodes on the same arc of all rings. Of each zone, at least the first `min_per_zone` nodes from the start of the
@@ -66,7 +66,7 @@
     }
 
     fn insert(&mut self, node: Node) {
-        let position = position_of_key(node.key);
+        let position = position_of_key(node.hash_key);
         let ring = self.zones.entry(node.zone).or_default();
         if ring.insert((position, node.id)) {
             self.node_count += 1;
@@ -76,7 +76,7 @@
     }
 
     fn remove(&mut self, node: Node) {
-        let position = position_of_key(node.key);
+        let position = position_of_key(node.hash_key);
         let Some(ring) = self.zones.get_mut(&node.zone) else {
             return;
         };
--- a/src/primitives/ring/tests.rs
+++ b/src/primitives/ring/tests.rs
@@ -4,7 +4,7 @@
     Node {
         id,
         zone: id % 4,
-        key: u64::from(id),
+        hash_key: u64::from(id),
     }
 }
 
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -52,12 +52,9 @@
     /// The endpoint's node on the ring of ready endpoints; `None` if the endpoint is not ready.
     pub(crate) fn ring_node(&self) -> Option<Node> {
         let Endpoint {
-            id,
-            zone,
-            hash_key: key,
-            ..
+            id, zone, hash_key, ..
         } = self.entry;
-        self.is_ready().then_some(Node { id, zone, key })
+        self.is_ready().then_some(Node { id, zone, hash_key })
     }
 
     /// Time of the last successful attempt, or of the endpoint's first appearance in the list if none has succeeded.
