--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -74,18 +74,22 @@
             // The host has repeated the event. The request is already open and must not be charged or sent twice.
             Event::Request(request) if requests.contains(request.id) => {}
             Event::Request(request) => {
-                if let Some(open) = handler.request_arrived(cx, request) {
-                    requests.insert(open);
+                if let Some(open_request) = handler.request_arrived(cx, request) {
+                    requests.insert(open_request);
                 }
             }
-            Event::ResponseStarted { id } => requests.update(id, |open| {
-                open.response_started = true;
+            Event::ResponseStarted { id } => requests.update(id, |open_request| {
+                open_request.response_started = true;
             }),
             Event::AttemptEnded(end) => {
-                requests.update(end.id, |open| handler.attempt_ended(cx, open, &end));
+                requests.update(end.id, |open_request| {
+                    handler.attempt_ended(cx, open_request, &end);
+                });
             }
             Event::ClientDisconnected { id } => {
-                requests.update(id, |open| handler.client_disconnected(cx, open));
+                requests.update(id, |open_request| {
+                    handler.client_disconnected(cx, open_request);
+                });
             }
             Event::TimerFired { token } => {
                 let timer = Timer::from_token(token);
@@ -104,7 +108,7 @@
                     elapsed_ms,
                 };
                 if let Some(id) = handler.quota.counter_replied(cx, &reply) {
-                    requests.update(id, |open| handler.counter_replied(cx, open));
+                    requests.update(id, |open_request| handler.counter_replied(cx, open_request));
                 }
             }
             Event::Gossip { from, body } => handler.quota.receive_gossip(cx, from, &body),
@@ -131,7 +135,9 @@
     match timer {
         Timer::Housekeeping => run_housekeeping(cx, handler, poll_retry),
         Timer::CounterWait(id) => {
-            requests.update(id, |open| handler.counter_wait_expired(cx, open));
+            requests.update(id, |open_request| {
+                handler.counter_wait_expired(cx, open_request);
+            });
         }
         Timer::Gossip => handler.quota.gossip.send(cx),
     }
--- a/src/policy/endpoint_comparison.rs
+++ b/src/policy/endpoint_comparison.rs
@@ -17,7 +17,7 @@
 /// Compares endpoints for one attempt.
 pub(super) struct EndpointComparison<'a> {
     now: Millis,
-    open: &'a OpenRequest,
+    open_request: &'a OpenRequest,
     scope: DeduplicationScope,
     baseline_ms: Millis,
     handshake_cost_ms: f64,
@@ -28,14 +28,14 @@
     /// the latency of the request's class at an idle endpoint.
     pub(super) fn new(
         cx: &Context,
-        open: &'a OpenRequest,
+        open_request: &'a OpenRequest,
         first_executor: Option<&Endpoint>,
         baseline_ms: Millis,
     ) -> Self {
-        let class = cx.class(&open.request);
+        let class = cx.class(&open_request.request);
         EndpointComparison {
             now: cx.now,
-            open,
+            open_request,
             scope: DeduplicationScope::new(class.idempotency, first_executor),
             baseline_ms,
             handshake_cost_ms: HANDSHAKE_FACTOR
@@ -99,9 +99,9 @@
 
     fn preference(&self, endpoint: &TrackedEndpoint, ignore_ejections: bool) -> Preference {
         let id = endpoint.entry.id;
-        let plan = self.open.request.plan as usize;
+        let plan = self.open_request.request.plan as usize;
         let had_attempt = self
-            .open
+            .open_request
             .attempts
             .iter()
             .any(|attempt| attempt.endpoint == id);
--- a/src/policy/forwarding.rs
+++ b/src/policy/forwarding.rs
@@ -59,18 +59,18 @@
         &mut self,
         cx: &mut Context,
         customers: &mut Customers,
-        open: &mut OpenRequest,
+        open_request: &mut OpenRequest,
     ) -> Result<(), EndReason> {
         // The endpoint is chosen before the decision. The choice draws random numbers also for an attempt
         // that is then denied, and a request without an endpoint ends with `NoEndpoint` even if its attempt
         // would be denied.
-        let endpoint = self.load_balancer.choose(cx, open);
+        let endpoint = self.load_balancer.choose(cx, open_request);
         let endpoint = endpoint.ok_or(EndReason::NoEndpoint)?;
-        match retry::decide_attempt(&attempt_inputs(cx, customers, open)) {
+        match retry::decide_attempt(&attempt_inputs(cx, customers, open_request)) {
             AttemptDecision::Denied(denial) => Err(EndReason::AttemptDenied(denial)),
             AttemptDecision::Allowed { start_timeout_ms } => {
-                customers.attempt_started(&open.request, open.attempts.is_empty());
-                self.start_attempt(cx, open, endpoint, start_timeout_ms);
+                customers.attempt_started(&open_request.request, open_request.attempts.is_empty());
+                self.start_attempt(cx, open_request, endpoint, start_timeout_ms);
                 Ok(())
             }
         }
@@ -79,11 +79,11 @@
     fn start_attempt(
         &mut self,
         cx: &mut Context,
-        open: &mut OpenRequest,
+        open_request: &mut OpenRequest,
         endpoint: EndpointId,
         start_timeout_ms: Millis,
     ) {
-        let is_first = open.attempts.is_empty();
+        let is_first = open_request.attempts.is_empty();
         let endpoint_in_flight = self
             .load_balancer
             .attempt_started(cx.now, endpoint, is_first);
@@ -91,16 +91,16 @@
         if is_first {
             self.retry_budget.deposit();
         }
-        open.attempts.push(Attempt {
+        open_request.attempts.push(Attempt {
             endpoint,
             started_at: cx.now,
             endpoint_in_flight,
             in_flight: true,
         });
         cx.actions.push(Action::SendAttempt {
-            id: open.request.id,
+            id: open_request.request.id,
             endpoint,
-            timeout_ms: attempt_timeout(&timeout_inputs(cx, open)),
+            timeout_ms: attempt_timeout(&timeout_inputs(cx, open_request)),
             start_timeout_ms,
         });
     }
@@ -109,34 +109,34 @@
     pub(super) fn attempt_ended(
         &mut self,
         cx: &mut Context,
-        open: &OpenRequest,
+        open_request: &OpenRequest,
         end: &AttemptEnd,
         latency_ms: Millis,
     ) {
         let succeeded = end.outcome == Outcome::Success;
         self.load.attempt_ended(cx.now, succeeded);
         if matches!(end.outcome, Outcome::Success | Outcome::Timeout) {
-            let objective_ms = cx.class(&open.request).latency_objective_ms;
+            let objective_ms = cx.class(&open_request.request).latency_objective_ms;
             self.load.record_latency(latency_ms, objective_ms);
         }
-        self.load_balancer.attempt_ended(cx, open, end);
+        self.load_balancer.attempt_ended(cx, open_request, end);
     }
 
     /// Returns the inputs of the decision on a retry after an attempt with this outcome.
     pub(super) fn retry_inputs(
         &self,
         cx: &Context,
-        open: &OpenRequest,
+        open_request: &OpenRequest,
         outcome: Outcome,
     ) -> RetryInputs {
-        let class = cx.class(&open.request);
+        let class = cx.class(&open_request.request);
         RetryInputs {
             now: cx.now,
             outcome,
-            response_started: open.response_started,
-            deadline: open.deadline,
-            objective_deadline: open.objective_deadline,
-            baseline_latency_ms: self.baseline_latency(&open.request),
+            response_started: open_request.response_started,
+            deadline: open_request.deadline,
+            objective_deadline: open_request.objective_deadline,
+            baseline_latency_ms: self.baseline_latency(&open_request.request),
             late_weight: class.late_weight,
             idempotency: class.idempotency,
             budget_has_retry: self.retry_budget.has_retry(),
@@ -144,25 +144,29 @@
     }
 }
 
-fn attempt_inputs(cx: &Context, customers: &Customers, open: &OpenRequest) -> AttemptInputs {
-    let has_ceiling = cx.plan(open.account()).ceiling_rate > 0.0;
+fn attempt_inputs(
+    cx: &Context,
+    customers: &Customers,
+    open_request: &OpenRequest,
+) -> AttemptInputs {
+    let has_ceiling = cx.plan(open_request.account()).ceiling_rate > 0.0;
     AttemptInputs {
         now: cx.now,
-        deadline: open.deadline,
-        attempts: open.attempts.len() as u32,
+        deadline: open_request.deadline,
+        attempts: open_request.attempts.len() as u32,
         max_attempts: cx.settings.limits.max_attempts,
-        idempotency: cx.class(&open.request).idempotency,
-        first_execution_at: open.first_execution.map(|first| first.started_at),
-        is_within_ceiling: !has_ceiling || customers.is_within_ceiling(&open.request),
+        idempotency: cx.class(&open_request.request).idempotency,
+        first_execution_at: open_request.first_execution.map(|first| first.started_at),
+        is_within_ceiling: !has_ceiling || customers.is_within_ceiling(&open_request.request),
     }
 }
 
-fn timeout_inputs<'a>(cx: &Context<'a>, open: &OpenRequest) -> TimeoutInputs<'a> {
+fn timeout_inputs<'a>(cx: &Context<'a>, open_request: &OpenRequest) -> TimeoutInputs<'a> {
     TimeoutInputs {
         now: cx.now,
-        deadline: open.deadline,
-        objective_deadline: open.objective_deadline,
-        late_weight: cx.class(&open.request).late_weight,
+        deadline: open_request.deadline,
+        objective_deadline: open_request.objective_deadline,
+        late_weight: cx.class(&open_request.request).late_weight,
         prices: &cx.settings.prices,
         tick_ms: cx.settings.tick_ms,
     }
--- a/src/policy/load_balancer.rs
+++ b/src/policy/load_balancer.rs
@@ -116,10 +116,14 @@
 
     /// Returns the best endpoint for the request's next attempt: a preferred member of the subset, if there
     /// are enough endpoints for subsetting and one is preferred, or else the best of all endpoints.
-    pub(crate) fn choose(&mut self, cx: &mut Context, open: &OpenRequest) -> Option<EndpointId> {
+    pub(crate) fn choose(
+        &mut self,
+        cx: &mut Context,
+        open_request: &OpenRequest,
+    ) -> Option<EndpointId> {
         let mut rng = cx.rng.fork();
         self.refill_warming_members(cx);
-        let comparison = self.comparison_for(cx, open);
+        let comparison = self.comparison_for(cx, open_request);
         self.preferred_member(cx, &comparison, &mut rng)
             .or_else(|| comparison.best(self.endpoints.all(), &mut rng))
             .map(|candidate| candidate.endpoint)
@@ -147,13 +151,17 @@
     }
 
     /// Returns the comparison of endpoints for the request's next attempt.
-    fn comparison_for<'a>(&self, cx: &Context, open: &'a OpenRequest) -> EndpointComparison<'a> {
-        let first_executor = open
+    fn comparison_for<'a>(
+        &self,
+        cx: &Context,
+        open_request: &'a OpenRequest,
+    ) -> EndpointComparison<'a> {
+        let first_executor = open_request
             .first_execution
             .and_then(|first| self.endpoints.get(first.endpoint))
             .map(|tracked| &tracked.entry);
-        let baseline_ms = self.baseline_latency(open.request.class as usize);
-        EndpointComparison::new(cx, open, first_executor, baseline_ms)
+        let baseline_ms = self.baseline_latency(open_request.request.class as usize);
+        EndpointComparison::new(cx, open_request, first_executor, baseline_ms)
     }
 
     /// Refills, up to now, the tokens of the members that are warming up.
@@ -208,8 +216,13 @@
     }
 
     /// Records the end of an attempt of the request.
-    pub(crate) fn attempt_ended(&mut self, cx: &mut Context, open: &OpenRequest, end: &AttemptEnd) {
-        let Some(attempt) = open.attempts.get(usize::from(end.attempt)) else {
+    pub(crate) fn attempt_ended(
+        &mut self,
+        cx: &mut Context,
+        open_request: &OpenRequest,
+        end: &AttemptEnd,
+    ) {
+        let Some(attempt) = open_request.attempts.get(usize::from(end.attempt)) else {
             return;
         };
         let Some(endpoint) = self.endpoints.get_mut(end.endpoint) else {
@@ -217,8 +230,8 @@
         };
         self.outliers.record(cx, end, endpoint);
         endpoint.attempt_ended(cx.now, end.outcome);
-        let plan = open.request.plan as usize;
-        let baseline = &mut self.baselines[open.request.class as usize];
+        let plan = open_request.request.plan as usize;
+        let baseline = &mut self.baselines[open_request.request.class as usize];
         let request_rate = self.request_rate.per_second();
         if end.outcome == Outcome::Success && end.elapsed_ms.is_finite() {
             let idle_ms =
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -54,24 +54,40 @@
 
     /// Records the arrival of a request: updates the mean units, adds the customer if it is unknown, and
     /// refills its levels. Returns the units left for the request.
-    pub(crate) fn observe_request(&mut self, cx: &Context, open: &OpenRequest) -> f64 {
-        self.mean_units.update(open.request.units);
+    pub(crate) fn observe_request(&mut self, cx: &Context, open_request: &OpenRequest) -> f64 {
+        self.mean_units.update(open_request.request.units);
         let gossip_active = self.gossip.is_active(cx);
-        let customer = self.refresh(cx, open.account(), open.request.gateway_set_size);
-        customer.available_units(cx.plan(open.account()).burst, gossip_active)
+        let customer = self.refresh(
+            cx,
+            open_request.account(),
+            open_request.request.gateway_set_size,
+        );
+        customer.available_units(cx.plan(open_request.account()).burst, gossip_active)
     }
 
     /// Returns the units left for a request that has waited for the counter.
-    pub(crate) fn available_units_after_wait(&mut self, cx: &Context, open: &OpenRequest) -> f64 {
+    pub(crate) fn available_units_after_wait(
+        &mut self,
+        cx: &Context,
+        open_request: &OpenRequest,
+    ) -> f64 {
         let gossip_active = self.gossip.is_active(cx);
-        let customer = self.refresh(cx, open.account(), open.request.gateway_set_size);
+        let customer = self.refresh(
+            cx,
+            open_request.account(),
+            open_request.request.gateway_set_size,
+        );
         customer.available_units_after_wait(gossip_active)
     }
 
     /// Returns the customer's attempts in flight at all gateways, given that an attempt takes `baseline_ms`.
-    pub(crate) fn concurrent_attempts(&self, open: &OpenRequest, baseline_ms: Millis) -> f64 {
+    pub(crate) fn concurrent_attempts(
+        &self,
+        open_request: &OpenRequest,
+        baseline_ms: Millis,
+    ) -> f64 {
         let mean_units = self.mean_units.value().max(MIN_MEAN_UNITS);
-        let customer = self.customers.get(open.request.customer);
+        let customer = self.customers.get(open_request.request.customer);
         customer.map_or(0.0, |customer| {
             customer.concurrent_attempts(mean_units, baseline_ms)
         })
@@ -120,19 +136,19 @@
     }
 
     /// Returns the time after which the client may retry a request that is over its quota, in ms.
-    pub(crate) fn retry_after(&self, cx: &Context, open: &OpenRequest) -> Millis {
-        let plan = cx.plan(open.account());
+    pub(crate) fn retry_after(&self, cx: &Context, open_request: &OpenRequest) -> Millis {
+        let plan = cx.plan(open_request.account());
         if plan.rate <= 0.0 {
-            return cx.class(&open.request).latency_objective_ms;
+            return cx.class(&open_request.request).latency_objective_ms;
         }
-        let customer = self.customers.get(open.request.customer);
+        let customer = self.customers.get(open_request.request.customer);
         let level = customer.map_or(0.0, |customer| customer.quota.level);
-        retry_after_ms(plan, open.request.units, level)
+        retry_after_ms(plan, open_request.request.units, level)
     }
 
     /// Charges a request at the counter, if there is one. Returns whether the request waits for the reply.
-    pub(crate) fn charge(&mut self, cx: &mut Context, open: &OpenRequest) -> bool {
-        if !is_counted(cx, open) {
+    pub(crate) fn charge(&mut self, cx: &mut Context, open_request: &OpenRequest) -> bool {
+        if !is_counted(cx, open_request) {
             return false;
         }
         // A counter that is short of capacity or down is called less often. The request is then admitted by
@@ -143,43 +159,43 @@
             .try_acquire(cx.now, CallPriority::Required)
         {
             self.gossip.record_shortage(cx.now);
-            self.add_unsettled_units(cx, open.account(), open.request.units);
+            self.add_unsettled_units(cx, open_request.account(), open_request.request.units);
             return false;
         }
-        self.call_counter(cx, open, open.request.units);
+        self.call_counter(cx, open_request, open_request.request.units);
         !self.counter.limiter.is_down()
     }
 
     /// Returns the longest time that the request waits for the counter, in ms.
-    pub(crate) fn max_wait(&self, open: &OpenRequest) -> Millis {
-        self.counter.max_wait_ms(open.latency_budget_ms)
+    pub(crate) fn max_wait(&self, open_request: &OpenRequest) -> Millis {
+        self.counter.max_wait_ms(open_request.latency_budget_ms)
     }
 
     /// Queries the customer's total at the counter at intervals while its requests are rejected without a
     /// charge: the level would not be corrected otherwise.
-    pub(crate) fn query_total(&mut self, cx: &mut Context, open: &OpenRequest) {
-        let customer = self.customers.get(open.request.customer);
+    pub(crate) fn query_total(&mut self, cx: &mut Context, open_request: &OpenRequest) {
+        let customer = self.customers.get(open_request.request.customer);
         let due =
             customer.is_some_and(|known| cx.now - known.last_call_at > MIN_TOTAL_QUERY_INTERVAL_MS);
-        if due && is_counted(cx, open) {
-            self.charge_unsettled_units(cx, open);
+        if due && is_counted(cx, open_request) {
+            self.charge_unsettled_units(cx, open_request);
         }
     }
 
     /// Charges the customer's unsettled units, if the limiter permits an optional call.
-    pub(crate) fn charge_unsettled_units(&mut self, cx: &mut Context, open: &OpenRequest) {
+    pub(crate) fn charge_unsettled_units(&mut self, cx: &mut Context, open_request: &OpenRequest) {
         if self
             .counter
             .limiter
             .try_acquire(cx.now, CallPriority::Optional)
         {
-            self.call_counter(cx, open, 0.0);
+            self.call_counter(cx, open_request, 0.0);
         }
     }
 
     /// Adds the units and the customer's unsettled units to the customer's count.
-    fn call_counter(&mut self, cx: &mut Context, open: &OpenRequest, units: f64) {
-        let account = open.account();
+    fn call_counter(&mut self, cx: &mut Context, open_request: &OpenRequest, units: f64) {
+        let account = open_request.account();
         let Some(customer) = self.customers.get_mut(account.customer) else {
             return;
         };
@@ -190,7 +206,7 @@
         customer.last_call_at = cx.now;
         let pending = PendingCharge {
             account,
-            request: open.request.id,
+            request: open_request.request.id,
             charge,
         };
         self.counter.start(cx, pending);
@@ -252,6 +268,6 @@
 }
 
 /// Returns whether the customer's usage is counted at a shared counter.
-fn is_counted(cx: &Context, open: &OpenRequest) -> bool {
-    cx.settings.counter.is_some() && cx.plan(open.account()).rate > 0.0
+fn is_counted(cx: &Context, open_request: &OpenRequest) -> bool {
+    cx.settings.counter.is_some() && cx.plan(open_request.account()).rate > 0.0
 }
--- a/src/state/customer.rs
+++ b/src/state/customer.rs
@@ -111,18 +111,22 @@
     }
 
     /// Reserves the units of a request that waits for the counter's reply.
-    pub(crate) fn reserve_units(&mut self, open: &mut OpenRequest) {
-        open.awaiting_counter = true;
-        if let Some(customer) = self.get_mut(open.request.customer) {
-            customer.reserved_units += open.request.units;
+    pub(crate) fn reserve_units(&mut self, open_request: &mut OpenRequest) {
+        open_request.awaiting_counter = true;
+        if let Some(customer) = self.get_mut(open_request.request.customer) {
+            customer.reserved_units += open_request.request.units;
         }
     }
 
     /// Releases the units reserved for a request, if it is waiting for the counter's reply.
-    pub(crate) fn release_units(&mut self, open: &mut OpenRequest) {
-        let waited = std::mem::take(&mut open.awaiting_counter);
-        if let Some(customer) = self.get_mut(open.request.customer).filter(|_| waited) {
-            customer.reserved_units = (customer.reserved_units - open.request.units).max(0.0);
+    pub(crate) fn release_units(&mut self, open_request: &mut OpenRequest) {
+        let waited = std::mem::take(&mut open_request.awaiting_counter);
+        if let Some(customer) = self
+            .get_mut(open_request.request.customer)
+            .filter(|_| waited)
+        {
+            customer.reserved_units =
+                (customer.reserved_units - open_request.request.units).max(0.0);
         }
     }
 
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -159,19 +159,19 @@
     }
 
     /// Adds a request, unless it has already ended.
-    pub(crate) fn insert(&mut self, open: OpenRequest) {
-        if !open.has_ended() {
-            self.0.insert(open.request.id, open);
+    pub(crate) fn insert(&mut self, open_request: OpenRequest) {
+        if !open_request.has_ended() {
+            self.0.insert(open_request.request.id, open_request);
         }
     }
 
     /// Applies `change` to a request, if it is open, and removes the request if it has ended after that.
     pub(crate) fn update(&mut self, id: RequestId, change: impl FnOnce(&mut OpenRequest)) {
-        let Some(open) = self.0.get_mut(&id) else {
+        let Some(open_request) = self.0.get_mut(&id) else {
             return;
         };
-        change(open);
-        if open.has_ended() {
+        change(open_request);
+        if open_request.has_ended() {
             self.0.remove(&id);
         }
     }
--- a/src/state/request/tests.rs
+++ b/src/state/request/tests.rs
@@ -14,7 +14,7 @@
     }
 }
 
-fn open(request: Request) -> Result<OpenRequest, InvalidRequest> {
+fn try_open(request: Request) -> Result<OpenRequest, InvalidRequest> {
     let classes = vec![Class {
         latency_objective_ms: 500.0,
         ..Class::default()
@@ -27,22 +27,22 @@
     OpenRequest::new(request, &settings, 1000.0)
 }
 
-fn opened(request: Request) -> OpenRequest {
-    open(request).unwrap_or_else(|invalid| panic!("{invalid:?}"))
+fn new_open_request(request: Request) -> OpenRequest {
+    try_open(request).unwrap_or_else(|invalid| panic!("{invalid:?}"))
 }
 
-fn opened_with_attempt() -> OpenRequest {
-    let mut open = opened(request(1));
-    open.attempts.push(Attempt {
+fn open_request_with_attempt() -> OpenRequest {
+    let mut open_request = new_open_request(request(1));
+    open_request.attempts.push(Attempt {
         endpoint: 7,
         started_at: 1000.0,
         endpoint_in_flight: 1.0,
         in_flight: true,
     });
-    open
+    open_request
 }
 
-fn ended(outcome: Outcome) -> AttemptEnd {
+fn attempt_end(outcome: Outcome) -> AttemptEnd {
     AttemptEnd {
         id: 1,
         attempt: 0,
@@ -56,7 +56,7 @@
 
 #[test]
 fn a_request_is_opened_only_if_its_class_and_plan_are_known_and_time_is_left() {
-    let valid = opened(request(1));
+    let valid = new_open_request(request(1));
     assert_eq!((valid.deadline, valid.objective_deadline), (1300.0, 1300.0));
     let unknown_class = Request {
         class: 1,
@@ -75,44 +75,51 @@
         (unknown_plan, InvalidRequest::UnknownPlan),
         (no_time_left, InvalidRequest::NoTimeLeft),
     ] {
-        assert_eq!(open(request).err(), Some(expected));
+        assert_eq!(try_open(request).err(), Some(expected));
     }
     let infinite_units = Request {
         units: f64::INFINITY,
         ..request(1)
     };
-    assert_eq!(opened(infinite_units).request.units, 0.0);
+    assert_eq!(new_open_request(infinite_units).request.units, 0.0);
 }
 
 #[test]
 fn only_the_first_end_of_an_attempt_counts() {
-    let mut open = opened_with_attempt();
-    assert!(open.end_attempt(&ended(Outcome::Timeout)).is_some());
-    assert!(open.end_attempt(&ended(Outcome::Timeout)).is_none());
-    assert!(open
+    let mut open_request = open_request_with_attempt();
+    assert!(open_request
+        .end_attempt(&attempt_end(Outcome::Timeout))
+        .is_some());
+    assert!(open_request
+        .end_attempt(&attempt_end(Outcome::Timeout))
+        .is_none());
+    assert!(open_request
         .end_attempt(&AttemptEnd {
             attempt: 9,
-            ..ended(Outcome::Timeout)
+            ..attempt_end(Outcome::Timeout)
         })
         .is_none());
-    assert_eq!(open.first_execution.map(|first| first.endpoint), Some(7));
+    assert_eq!(
+        open_request.first_execution.map(|first| first.endpoint),
+        Some(7)
+    );
 }
 
 #[test]
 fn an_attempt_that_was_not_sent_counts_neither_as_sent_nor_as_executed() {
-    let mut open = opened_with_attempt();
-    open.end_attempt(&ended(Outcome::NotSent));
-    assert!(open.was_never_sent() && open.first_execution.is_none());
+    let mut open_request = open_request_with_attempt();
+    open_request.end_attempt(&attempt_end(Outcome::NotSent));
+    assert!(open_request.was_never_sent() && open_request.first_execution.is_none());
 }
 
 #[test]
 fn a_request_is_removed_once_it_is_closed_and_its_attempts_have_ended() {
     let mut requests = OpenRequests::default();
-    requests.insert(opened_with_attempt());
-    requests.update(1, |open| open.closed = true);
+    requests.insert(open_request_with_attempt());
+    requests.update(1, |open_request| open_request.closed = true);
     assert!(requests.contains(1));
-    requests.update(1, |open| {
-        open.end_attempt(&ended(Outcome::Cancelled));
+    requests.update(1, |open_request| {
+        open_request.end_attempt(&attempt_end(Outcome::Cancelled));
     });
     assert!(!requests.contains(1));
 }
