--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -74,21 +74,21 @@
             // The host has repeated the event. The request is already open and must not be charged or sent twice.
             Event::Request(request) if requests.contains(request.id) => {}
             Event::Request(request) => {
-                if let Some(open_request) = handler.request_arrived(cx, request) {
-                    requests.insert(open_request);
+                if let Some(request) = handler.request_arrived(cx, request) {
+                    requests.insert(request);
                 }
             }
-            Event::ResponseStarted { id } => requests.update(id, |open_request| {
-                open_request.response_started = true;
+            Event::ResponseStarted { id } => requests.update(id, |request| {
+                request.response_started = true;
             }),
             Event::AttemptEnded(end) => {
-                requests.update(end.id, |open_request| {
-                    handler.attempt_ended(cx, open_request, &end);
+                requests.update(end.id, |request| {
+                    handler.attempt_ended(cx, request, &end);
                 });
             }
             Event::ClientDisconnected { id } => {
-                requests.update(id, |open_request| {
-                    handler.client_disconnected(cx, open_request);
+                requests.update(id, |request| {
+                    handler.client_disconnected(cx, request);
                 });
             }
             Event::TimerFired { token } => {
@@ -108,7 +108,7 @@
                     elapsed_ms,
                 };
                 if let Some(id) = handler.quota.counter_replied(cx, &reply) {
-                    requests.update(id, |open_request| handler.counter_replied(cx, open_request));
+                    requests.update(id, |request| handler.counter_replied(cx, request));
                 }
             }
             Event::Gossip { from, body } => handler.quota.receive_gossip(cx, from, &body),
@@ -135,8 +135,8 @@
     match timer {
         Timer::Housekeeping => run_housekeeping(cx, handler, poll_retry),
         Timer::CounterWait(id) => {
-            requests.update(id, |open_request| {
-                handler.counter_wait_expired(cx, open_request);
+            requests.update(id, |request| {
+                handler.counter_wait_expired(cx, request);
             });
         }
         Timer::Gossip => handler.quota.gossip.send(cx),
--- a/src/policy/request_handler.rs
+++ b/src/policy/request_handler.rs
@@ -117,7 +117,7 @@
                 self.forward(cx, open_request);
             }
             Admission::Reject(reason) => {
-                self.end_unserved(cx, open_request, EndReason::Rejected(reason))
+                self.end_unserved(cx, open_request, EndReason::Rejected(reason));
             }
         }
     }
--- a/src/state/connections.rs
+++ b/src/state/connections.rs
@@ -49,10 +49,10 @@
     pub(crate) fn attempt_ended(&mut self, now: Millis, outcome: Outcome) {
         match outcome {
             Outcome::Success | Outcome::ErrorResponse | Outcome::Rejected => {
-                self.last_used_at = now
+                self.last_used_at = now;
             }
             Outcome::ConnectFailed => {
-                self.open_connections = self.open_connections.saturating_sub(1)
+                self.open_connections = self.open_connections.saturating_sub(1);
             }
             Outcome::Timeout | Outcome::ConnectionReset | Outcome::Cancelled | Outcome::NotSent => {
                 // The connection is closed with the attempt, unless it may carry other attempts.
