--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -82,14 +82,10 @@
                 request.response_started = true;
             }),
             Event::AttemptEnded(end) => {
-                requests.update(end.id, |request| {
-                    handler.attempt_ended(cx, request, &end);
-                });
+                requests.update(end.id, |request| handler.attempt_ended(cx, request, &end));
             }
             Event::ClientDisconnected { id } => {
-                requests.update(id, |request| {
-                    handler.client_disconnected(cx, request);
-                });
+                requests.update(id, |request| handler.client_disconnected(cx, request));
             }
             Event::TimerFired { token } => {
                 let timer = Timer::from_token(token);
@@ -135,9 +131,7 @@
     match timer {
         Timer::Housekeeping => run_housekeeping(cx, handler, poll_retry),
         Timer::CounterWait(id) => {
-            requests.update(id, |request| {
-                handler.counter_wait_expired(cx, request);
-            });
+            requests.update(id, |request| handler.counter_wait_expired(cx, request));
         }
         Timer::Gossip => handler.quota.gossip.send(cx),
     }
