--- a/src/policy/call_limiter.rs
+++ b/src/policy/call_limiter.rs
@@ -66,8 +66,8 @@
     /// Consumes a token if the bucket has one for a call of this priority. Returns whether it did.
     pub(crate) fn try_acquire(&mut self, now: Millis, priority: CallPriority) -> bool {
         let capacity = (self.rate * BURST_MS / 1000.0).max(1.0);
-        let refill = (now - self.refilled_at).max(0.0) / 1000.0 * self.rate;
-        self.bucket.add_tokens(refill, capacity);
+        let refilled = (now - self.refilled_at).max(0.0) / 1000.0 * self.rate;
+        self.bucket.add_tokens(refilled, capacity);
         self.refilled_at = now;
         let needed = match priority {
             CallPriority::Required => 1.0,
@@ -95,14 +95,14 @@
     pub(crate) fn on_success(&mut self) {
         // The counter is up again. Starting from the minimum rate, it would take long to reach the former
         // rate.
-        if let Some(before) = self.rate_before_failures.filter(|_| self.is_down()) {
-            self.rate = self.rate.max(before / 2.0);
+        if let Some(rate_before_failures) = self.rate_before_failures.filter(|_| self.is_down()) {
+            self.rate = self.rate.max(rate_before_failures / 2.0);
         }
         self.consecutive_failures = 0;
-        let is_near = self
+        let is_near_failures = self
             .rate_before_failures
             .is_some_and(|before| self.rate > before * SLOW_INCREASE_THRESHOLD);
-        let increase = if is_near {
+        let increase = if is_near_failures {
             SLOW_INCREASE
         } else {
             FAST_INCREASE
--- a/src/policy/counter_calls.rs
+++ b/src/policy/counter_calls.rs
@@ -25,7 +25,7 @@
 
     /// Returns the longest time that a request with this latency objective waits for a reply, in ms.
     pub(super) fn max_wait_ms(&self, objective_ms: Millis) -> Millis {
-        self.wait.max_ms(objective_ms)
+        self.wait.max_wait_ms(objective_ms)
     }
 
     /// Starts a call that the limiter has permitted.
@@ -54,7 +54,7 @@
         let shortest_objective_ms = classes
             .map(|class| class.latency_objective_ms)
             .fold(f64::INFINITY, f64::min);
-        let max_wait_ms = self.wait.max_ms(shortest_objective_ms);
+        let max_wait_ms = self.wait.max_wait_ms(shortest_objective_ms);
         let valid = reply.valid_total().is_some();
         if valid {
             self.wait.record_reply(reply.elapsed_ms);
--- a/src/policy/counter_wait.rs
+++ b/src/policy/counter_wait.rs
@@ -23,7 +23,7 @@
 
 impl CounterWait {
     /// Returns the longest wait of a request with this latency objective, in ms.
-    pub(super) fn max_ms(&self, objective_ms: Millis) -> Millis {
+    pub(super) fn max_wait_ms(&self, objective_ms: Millis) -> Millis {
         let reply_time_ms = self
             .reply_time_ms
             .as_ref()
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -5,19 +5,19 @@
 use crate::primitives::ring::RingArc;
 use crate::state::{ConnectionEstimate, Context, EndpointTable, TrackedEndpoint, WarmUp};
 
-/// Updates the table and the ring by entries of the list.
+/// Updates the table and the ring by these entries of the list.
 pub(super) fn update(
     cx: &mut Context,
     table: &mut EndpointTable,
     ring: &mut RingArc,
-    list: Vec<Endpoint>,
+    entries: Vec<Endpoint>,
 ) {
     let is_first = table.is_empty();
     table.begin_update();
-    for entry in list {
+    for entry in entries {
         if let Some(endpoint) = table.mark_listed(entry.id) {
             let old_node = endpoint.ring_node();
-            replace(cx, endpoint, entry);
+            update_entry(cx, endpoint, entry);
             ring.replace(old_node, endpoint.ring_node());
         } else if entry.state != EndpointState::Removed || !is_first {
             // An unknown endpoint that is listed as removed is recorded as well, so that it warms up if it is
@@ -48,7 +48,7 @@
     TrackedEndpoint::new(entry, connections, warm_up, cx.now)
 }
 
-fn replace(cx: &mut Context, tracked: &mut TrackedEndpoint, entry: Endpoint) {
+fn update_entry(cx: &mut Context, tracked: &mut TrackedEndpoint, entry: Endpoint) {
     let was_removed = tracked.entry.state == EndpointState::Removed;
     let is_relisted = was_removed && entry.state == EndpointState::Ready;
     if is_relisted || entry.started_at > tracked.entry.started_at {
--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -47,17 +47,18 @@
     pub(super) fn record_latency(
         &mut self,
         now: Millis,
-        idle_ms: Millis,
+        idle_latency_ms: Millis,
         baseline: &mut RunningMean,
     ) {
-        let sample = (idle_ms / baseline.value().max(MIN_LATENCY_MS)).min(MAX_RELATIVE_SAMPLE);
+        let sample =
+            (idle_latency_ms / baseline.value().max(MIN_LATENCY_MS)).min(MAX_RELATIVE_SAMPLE);
         let relative = self
             .relative_latency
             .current(now, RELATIVE_LATENCY_DECAY_MS);
         self.relative_latency
             .record(now, relative, sample, RELATIVE_LATENCY_WEIGHT);
         baseline.record(
-            idle_ms / relative.max(MIN_RELATIVE_LATENCY),
+            idle_latency_ms / relative.max(MIN_RELATIVE_LATENCY),
             BASELINE_WEIGHT,
         );
     }
--- a/src/policy/load_balancer.rs
+++ b/src/policy/load_balancer.rs
@@ -35,7 +35,7 @@
     warming_members: WarmingMembers,
     /// Members with a free connection, as of the last tick.
     connected_members: Vec<EndpointId>,
-    outliers: outlier::OutlierDetector,
+    outlier_detector: outlier::OutlierDetector,
     /// Latency at an idle endpoint of average speed, by class, in ms.
     baselines: Vec<RunningMean>,
     /// First attempts of requests, per second.
@@ -51,7 +51,7 @@
             subset_load: SubsetLoad::default(),
             warming_members: WarmingMembers::default(),
             connected_members: Vec::new(),
-            outliers: outlier::OutlierDetector::default(),
+            outlier_detector: outlier::OutlierDetector::default(),
             baselines: settings
                 .classes
                 .iter()
@@ -140,7 +140,7 @@
         if !subset::uses_subsetting(&self.subset) {
             return None;
         }
-        let sample = self.sample(cx, rng);
+        let sample = self.sample_members(cx, rng);
         let best_of_sample = comparison.best(sample.iter().copied(), rng);
         best_of_sample.filter(Candidate::is_preferred).or_else(|| {
             let members = self.endpoints.select(self.subset.members());
@@ -176,7 +176,7 @@
     }
 
     /// Returns the members that are warming up and have a token, and a few random ones that are available.
-    fn sample(&self, cx: &Context, rng: &mut Rng) -> Vec<&TrackedEndpoint> {
+    fn sample_members(&self, cx: &Context, rng: &mut Rng) -> Vec<&TrackedEndpoint> {
         let request_rate = self.request_rate.per_second();
         let mut members = self.subset.members();
         if connections::prefers_connected(
@@ -228,15 +228,15 @@
         let Some(endpoint) = self.endpoints.get_mut(end.endpoint) else {
             return;
         };
-        self.outliers.record(cx, end, endpoint);
+        self.outlier_detector.record(cx, end, endpoint);
         endpoint.attempt_ended(cx.now, end.outcome);
         let plan = open_request.request.plan as usize;
         let baseline = &mut self.baselines[open_request.request.class as usize];
         let request_rate = self.request_rate.per_second();
         if end.outcome == Outcome::Success && end.elapsed_ms.is_finite() {
-            let idle_ms =
+            let idle_latency_ms =
                 latency::idle_endpoint_latency(end.elapsed_ms, attempt.endpoint_in_flight);
-            endpoint.record_latency(cx.now, idle_ms, baseline);
+            endpoint.record_latency(cx.now, idle_latency_ms, baseline);
         }
         if let Some(scope) = AvoidanceScope::new(end.outcome, plan, cx.settings.plans.len()) {
             endpoint.health.avoid(cx.now, &scope, request_rate);
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -57,7 +57,7 @@
     pub(crate) fn observe_request(&mut self, cx: &Context, open_request: &OpenRequest) -> f64 {
         self.mean_units.update(open_request.request.units);
         let gossip_active = self.gossip.is_active(cx);
-        let customer = self.refresh(
+        let customer = self.refill_customer(
             cx,
             open_request.account(),
             open_request.request.gateway_set_size,
@@ -72,7 +72,7 @@
         open_request: &OpenRequest,
     ) -> f64 {
         let gossip_active = self.gossip.is_active(cx);
-        let customer = self.refresh(
+        let customer = self.refill_customer(
             cx,
             open_request.account(),
             open_request.request.gateway_set_size,
@@ -95,7 +95,12 @@
 
     /// Refills the customer's levels and ceiling up to now, and adds the customer if it is unknown. The
     /// customer's requests arrive through `gateway_set_size` gateways.
-    fn refresh(&mut self, cx: &Context, account: Account, gateway_set_size: f64) -> &mut Customer {
+    fn refill_customer(
+        &mut self,
+        cx: &Context,
+        account: Account,
+        gateway_set_size: f64,
+    ) -> &mut Customer {
         let plan = cx.plan(account);
         let ceiling_share = CeilingShare::new(cx.settings, plan, gateway_set_size);
         let uptime_ms = cx.now - self.started_at;
@@ -167,7 +172,7 @@
     }
 
     /// Returns the longest time that the request waits for the counter, in ms.
-    pub(crate) fn max_wait(&self, open_request: &OpenRequest) -> Millis {
+    pub(crate) fn max_wait_ms(&self, open_request: &OpenRequest) -> Millis {
         self.counter.max_wait_ms(open_request.latency_budget_ms)
     }
 
@@ -250,7 +255,7 @@
             // The message doesn't state how many gateways the customer's requests arrive through. The
             // smallest share of the ceiling is safe, as none of these requests arrives through this gateway
             // now.
-            let customer = self.refresh(cx, account, f64::INFINITY);
+            let customer = self.refill_customer(cx, account, f64::INFINITY);
             customer.record_peer_usage(usage.units, plan.burst);
         }
     }
--- a/src/policy/request_handler.rs
+++ b/src/policy/request_handler.rs
@@ -129,7 +129,7 @@
             return self.forward_within_quota(cx, open_request);
         }
         self.quota.customers.reserve_units(open_request);
-        let max_wait_ms = self.quota.max_wait(open_request);
+        let max_wait_ms = self.quota.max_wait_ms(open_request);
         cx.set_timer(Timer::CounterWait(open_request.request.id), max_wait_ms);
     }
 
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -62,8 +62,8 @@
     /// Refills the tokens up to now, at the rate of a warm endpoint times the endpoint's share of capacity.
     fn refill(&mut self, now: Millis, warm_rate: f64) {
         let elapsed_s = (now - self.refilled_at).max(0.0) / 1000.0;
-        let refill = elapsed_s * warm_rate * self.capacity_share(now).unwrap_or(1.0);
-        self.tokens.add_tokens(refill, MAX_TOKENS);
+        let refilled = elapsed_s * warm_rate * self.capacity_share(now).unwrap_or(1.0);
+        self.tokens.add_tokens(refilled, MAX_TOKENS);
         self.refilled_at = now;
     }
 }
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -39,15 +39,22 @@
 
 /// Resizes the arc by the load, the unhealthy members and the connection limit.
 pub(super) fn resize(subset: &mut RingArc, settings: &Settings, load: &SubsetLoad) {
-    let ready = subset.node_count().max(1) as f64;
-    let for_sharing = MIN_GATEWAYS_PER_ENDPOINT * ready / f64::from(settings.gateway_count.max(1));
-    let for_load = load.mean_in_flight * MEMBERS_PER_ATTEMPT;
-    let needed_healthy = for_sharing.max(for_load).max(MIN_MEMBERS as f64);
+    let ready_endpoints = subset.node_count().max(1) as f64;
+    let members_for_sharing =
+        MIN_GATEWAYS_PER_ENDPOINT * ready_endpoints / f64::from(settings.gateway_count.max(1));
+    let members_for_load = load.mean_in_flight * MEMBERS_PER_ATTEMPT;
+    let healthy_members_needed = members_for_sharing
+        .max(members_for_load)
+        .max(MIN_MEMBERS as f64);
     // Unhealthy members are compensated by as many others, up to the number of healthy members needed.
-    let target = needed_healthy + (load.unhealthy_members as f64).min(needed_healthy);
+    let target_members =
+        healthy_members_needed + (load.unhealthy_members as f64).min(healthy_members_needed);
     let max_members = match settings.limits.max_connections {
         0 => f64::INFINITY,
         limit => f64::from(limit) * MAX_MEMBERS_PER_CONNECTION_LIMIT,
     };
-    subset.resize((target.min(max_members) / ready).min(1.0), MIN_RESIZE_SHARE);
+    subset.resize(
+        (target_members.min(max_members) / ready_endpoints).min(1.0),
+        MIN_RESIZE_SHARE,
+    );
 }
