--- a/soak/src/clients/steady.rs
+++ b/soak/src/clients/steady.rs
@@ -178,7 +178,7 @@
     }
 
     fn keep_alive(&mut self, mut open: GatewayConnection, response: &Message) {
-        if !response.closes() && self.rng.random_range(0..10) > 0 {
+        if !response.closes_connection() && self.rng.random_range(0..10) > 0 {
             open.is_reused = true;
             self.idle_connection = Some(open);
         }
@@ -281,7 +281,7 @@
         for request in [first, &second] {
             match receive(&self.context, &mut open.connection, request).await {
                 // No response follows a response that closes the connection.
-                Outcome::Response(response) if response.closes() => return,
+                Outcome::Response(response) if response.closes_connection() => return,
                 Outcome::Response(_) => {}
                 Outcome::TimedOut => return self.check_timed_out(&open, request),
                 Outcome::Closed(close) if self.was_forwarded(request) => {
--- a/stand-ins/src/message/tests.rs
+++ b/stand-ins/src/message/tests.rs
@@ -1,4 +1,4 @@
-//! Messages are found in whatever pieces they arrive.
+//! Tests of decoding messages.
 
 use super::{response, Message};
 
@@ -14,16 +14,16 @@
     assert_eq!(message.header("x-turned-away"), Some("1"));
     assert_eq!(message.body, b"busy");
     assert_eq!(message.wire_bytes(), text.len());
-    assert!(!message.closes());
+    assert!(!message.closes_connection());
 }
 
 #[test]
-fn a_length_that_is_no_number_counts_as_none_and_can_be_seen() {
+fn an_invalid_content_length_is_an_error_and_decodes_as_an_empty_body() {
     let (message, _) =
         Message::decode(b"GET /a?by=1 HTTP/1.1\r\nContent-Length: x\r\nConnection: Close\r\n\r\n")
             .expect("a complete message");
     assert_eq!(message.target(), "/a?by=1");
     assert!(message.content_length().is_err());
     assert!(message.body.is_empty());
-    assert!(message.closes());
+    assert!(message.closes_connection());
 }
