--- a/src/bin/quota-gateway/driver/endpoint_ids.rs
+++ b/src/bin/quota-gateway/driver/endpoint_ids.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time for which the id of a removed endpoint is kept. It exceeds the time for which the library remembers a removed
-/// endpoint, `FORGET_REMOVED_MS` (60 s) of `policy::load_balancer`.
+/// Time for which the id of a removed endpoint is kept. This time exceeds the time for which the library remembers a
+/// removed endpoint: `FORGET_AFTER_LAST_SUCCESS_MS` (60 s) of `policy::load_balancer`, counted from the last success.
 pub const REMOVED_ID_RETENTION: Duration = Duration::from_secs(90);
 
 /// Maps endpoint names to ids. No id is assigned twice. The id of a removed endpoint is kept while the library may
--- a/src/policy/final_response/tests.rs
+++ b/src/policy/final_response/tests.rs
@@ -42,8 +42,8 @@
     }
 }
 
-/// A client sends a rejected request again. If an endpoint has executed the first one, an order would be
-/// placed twice, so the request has to fail instead.
+/// A client sends a rejected request again. If an endpoint has executed the first one, the request could be
+/// executed twice, so it has to fail instead.
 #[test]
 fn a_request_that_may_have_been_executed_is_rejected_only_if_a_retry_is_safe() {
     for (idempotency, expected) in [
--- a/src/state/customer.rs
+++ b/src/state/customer.rs
@@ -7,7 +7,7 @@
 
 /// This gateway's record of one customer. `policy::customer_quota` has the methods that decide on the quota.
 pub(crate) struct Customer {
-    /// Time of the customer's last request.
+    /// Time of the customer's last event: a request's arrival, the end of its wait for the counter, or usage by gossip.
     pub(crate) last_seen_at: Millis,
     /// The quota as known from the counter's totals and this gateway's own usage.
     pub(crate) quota: SharedQuota,
