--- a/src/policy/candidate.rs
+++ b/src/policy/candidate.rs
@@ -40,9 +40,12 @@
 }
 
 impl DeduplicationScope {
-    /// Returns the scope of a request that `first_executor` may have executed.
-    pub(crate) fn new(idempotency: Idempotency, first_executor: Option<&Endpoint>) -> Self {
-        let Some(first) = first_executor else {
+    /// Returns the scope of a request that `first_possible_executor` may have executed.
+    pub(crate) fn new(
+        idempotency: Idempotency,
+        first_possible_executor: Option<&Endpoint>,
+    ) -> Self {
+        let Some(first) = first_possible_executor else {
             return DeduplicationScope::All;
         };
         match idempotency {
--- a/src/policy/candidate/tests.rs
+++ b/src/policy/candidate/tests.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn retries_with_a_key_are_limited_to_the_scope_of_the_first_executor() {
+fn retries_with_a_key_are_limited_to_the_scope_of_the_first_possible_executor() {
     let scope = |scope| {
         let keyed = Idempotency::WithKey {
             scope,
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn any_endpoint_is_in_scope_without_a_first_executor() {
+fn any_endpoint_is_in_scope_without_a_first_possible_executor() {
     let keyed = Idempotency::WithKey {
         scope: KeyScope::Cell,
         window_ms: 1000.0,
--- a/src/policy/endpoint_comparison.rs
+++ b/src/policy/endpoint_comparison.rs
@@ -24,19 +24,19 @@
 }
 
 impl<'a> EndpointComparison<'a> {
-    /// Creates the comparison for a request that `first_executor` may have executed already. `baseline_ms` is
+    /// Creates the comparison for a request that `first_possible_executor` may have executed already. `baseline_ms` is
     /// the latency of the request's class at an idle endpoint.
     pub(super) fn new(
         cx: &Context,
         open_request: &'a OpenRequest,
-        first_executor: Option<&Endpoint>,
+        first_possible_executor: Option<&Endpoint>,
         baseline_ms: Millis,
     ) -> Self {
         let class = cx.class(&open_request.request);
         EndpointComparison {
             now: cx.now,
             open_request,
-            scope: DeduplicationScope::new(class.idempotency, first_executor),
+            scope: DeduplicationScope::new(class.idempotency, first_possible_executor),
             baseline_ms,
             handshake_cost_ms: HANDSHAKE_FACTOR
                 * cx.settings.prices.handshake
--- a/src/policy/forwarding.rs
+++ b/src/policy/forwarding.rs
@@ -156,7 +156,9 @@
         attempts: open_request.attempts.len() as u32,
         max_attempts: cx.settings.limits.max_attempts,
         idempotency: cx.class(&open_request.request).idempotency,
-        first_execution_at: open_request.first_execution.map(|first| first.started_at),
+        first_possible_execution_at: open_request
+            .first_possible_execution
+            .map(|first| first.started_at),
         is_within_ceiling: !has_ceiling || customers.is_within_ceiling(&open_request.request),
     }
 }
--- a/src/policy/load_balancer.rs
+++ b/src/policy/load_balancer.rs
@@ -156,12 +156,12 @@
         cx: &Context,
         open_request: &'a OpenRequest,
     ) -> EndpointComparison<'a> {
-        let first_executor = open_request
-            .first_execution
+        let first_possible_executor = open_request
+            .first_possible_execution
             .and_then(|first| self.endpoints.get(first.endpoint))
             .map(|tracked| &tracked.entry);
         let baseline_ms = self.baseline_latency(open_request.request.class as usize);
-        EndpointComparison::new(cx, open_request, first_executor, baseline_ms)
+        EndpointComparison::new(cx, open_request, first_possible_executor, baseline_ms)
     }
 
     /// Refills, up to now, the tokens of the members that are warming up.
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -146,7 +146,7 @@
     pub(super) idempotency: Idempotency,
     /// Start time of the attempt that was the first to end with an outcome that doesn't exclude execution;
     /// none if no attempt has ended in this way.
-    pub(super) first_execution_at: Option<Millis>,
+    pub(super) first_possible_execution_at: Option<Millis>,
     /// True if the customer has no hard ceiling or the ceiling has the request's units left.
     pub(super) is_within_ceiling: bool,
 }
@@ -197,12 +197,12 @@
 }
 
 /// Returns the time within which the attempt has to be written, in ms. An endpoint recognises a retry only
-/// within the key's window, which begins with the attempt of `first_execution_at`; the time is infinite
+/// within the key's window, which begins with the attempt of `first_possible_execution_at`; the time is infinite
 /// without such an attempt.
 fn start_timeout(inputs: &AttemptInputs) -> Millis {
-    match (inputs.idempotency, inputs.first_execution_at) {
-        (Idempotency::WithKey { window_ms, .. }, Some(first_execution_at)) => {
-            first_execution_at + window_ms - MAX_WRITE_DELAY_MS - inputs.now
+    match (inputs.idempotency, inputs.first_possible_execution_at) {
+        (Idempotency::WithKey { window_ms, .. }, Some(first_possible_execution_at)) => {
+            first_possible_execution_at + window_ms - MAX_WRITE_DELAY_MS - inputs.now
         }
         _ => f64::INFINITY,
     }
--- a/src/policy/retry/tests.rs
+++ b/src/policy/retry/tests.rs
@@ -109,7 +109,7 @@
         attempts: 1,
         max_attempts: 3,
         idempotency: WITH_KEY,
-        first_execution_at: Some(NOW - 300.0),
+        first_possible_execution_at: Some(NOW - 300.0),
         is_within_ceiling: true,
     }
 }
@@ -120,7 +120,7 @@
         (AttemptDenial::DeadlinePassed, |i| i.deadline = NOW),
         (AttemptDenial::AttemptsExhausted, |i| i.attempts = 3),
         (AttemptDenial::KeyWindowExpired, |i| {
-            i.first_execution_at = Some(NOW - WINDOW_MS + MAX_WRITE_DELAY_MS);
+            i.first_possible_execution_at = Some(NOW - WINDOW_MS + MAX_WRITE_DELAY_MS);
         }),
         (AttemptDenial::CeilingReached, |i| {
             i.attempts = 0;
@@ -148,14 +148,14 @@
     let unlimited = AttemptDecision::Allowed {
         start_timeout_ms: f64::INFINITY,
     };
-    for (idempotency, first_execution_at) in [
+    for (idempotency, first_possible_execution_at) in [
         (WITH_KEY, None),
         (Idempotency::Idempotent, Some(NOW - 300.0)),
         (Idempotency::NotIdempotent, None),
     ] {
         let inputs = AttemptInputs {
             idempotency,
-            first_execution_at,
+            first_possible_execution_at,
             ..attempt_inputs()
         };
         assert_eq!(decide_attempt(&inputs), unlimited, "{idempotency:?}");
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -28,7 +28,7 @@
 /// The first attempt of a request to end with an outcome after which it may have been executed. Retries that rely on an
 /// idempotency key must stay in the zone or cell of this attempt's endpoint, and within a window after its start.
 #[derive(Clone, Copy)]
-pub(crate) struct FirstExecution {
+pub(crate) struct PossibleExecution {
     pub(crate) started_at: Millis,
     pub(crate) endpoint: EndpointId,
 }
@@ -54,7 +54,7 @@
     /// Whether part of a response was passed on to the client.
     pub(crate) response_started: bool,
     pub(crate) attempts: Vec<Attempt>,
-    pub(crate) first_execution: Option<FirstExecution>,
+    pub(crate) first_possible_execution: Option<PossibleExecution>,
 }
 
 impl OpenRequest {
@@ -90,7 +90,7 @@
             closed: false,
             response_started: false,
             attempts: Vec::new(),
-            first_execution: None,
+            first_possible_execution: None,
         })
     }
 
@@ -126,7 +126,7 @@
     /// Every attempt in flight counts, as the library doesn't know which attempts have been written to a connection.
     /// The program knows, and counts only those: `RequestRegistry::may_have_executed`.
     pub(crate) fn may_have_executed(&self) -> bool {
-        self.first_execution.is_some() || self.has_attempt_in_flight()
+        self.first_possible_execution.is_some() || self.has_attempt_in_flight()
     }
 
     /// Records the end of an attempt and returns the attempt, or `None` if it is unknown or has ended before.
@@ -135,12 +135,12 @@
         if !std::mem::take(&mut attempt.in_flight) {
             return None;
         }
-        if !end.outcome.never_executed() && self.first_execution.is_none() {
-            let first = FirstExecution {
+        if !end.outcome.never_executed() && self.first_possible_execution.is_none() {
+            let first = PossibleExecution {
                 started_at: attempt.started_at,
                 endpoint: attempt.endpoint,
             };
-            self.first_execution = Some(first);
+            self.first_possible_execution = Some(first);
         }
         if end.outcome != Outcome::NotSent {
             self.has_ended_sent_attempt = true;
--- a/src/state/request/tests.rs
+++ b/src/state/request/tests.rs
@@ -100,7 +100,9 @@
         })
         .is_none());
     assert_eq!(
-        open_request.first_execution.map(|first| first.endpoint),
+        open_request
+            .first_possible_execution
+            .map(|first| first.endpoint),
         Some(7)
     );
 }
@@ -109,7 +111,7 @@
 fn an_attempt_that_was_not_sent_counts_neither_as_sent_nor_as_executed() {
     let mut open_request = open_request_with_attempt();
     open_request.end_attempt(&attempt_end(Outcome::NotSent));
-    assert!(open_request.was_never_sent() && open_request.first_execution.is_none());
+    assert!(open_request.was_never_sent() && open_request.first_possible_execution.is_none());
 }
 
 #[test]
