--- a/src/policy/endpoint_comparison.rs
+++ b/src/policy/endpoint_comparison.rs
@@ -24,8 +24,8 @@
 }
 
 impl<'a> EndpointComparison<'a> {
-    /// Creates the comparison for a request that `first_possible_executor` may have executed already. `baseline_ms` is
-    /// the latency of the request's class at an idle endpoint.
+    /// Creates the comparison for a request that `first_possible_executor` may have executed already.
+    /// `baseline_ms` is the latency of the request's class at an idle endpoint.
     pub(super) fn new(
         cx: &Context,
         open_request: &'a OpenRequest,
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -197,8 +197,8 @@
 }
 
 /// Returns the time within which the attempt has to be written, in ms. An endpoint recognises a retry only
-/// within the key's window, which begins with the attempt of `first_possible_execution_at`; the time is infinite
-/// without such an attempt.
+/// within the key's window, which begins with the attempt of `first_possible_execution_at`; the time is
+/// infinite without such an attempt.
 fn start_timeout(inputs: &AttemptInputs) -> Millis {
     match (inputs.idempotency, inputs.first_possible_execution_at) {
         (Idempotency::WithKey { window_ms, .. }, Some(first_possible_execution_at)) => {
