--- a/src/policy/shared_quota/tests.rs
+++ b/src/policy/shared_quota/tests.rs
@@ -49,7 +49,7 @@
     );
     assert!(
         first.peer_usage_rate > 0.5,
-        "peer rate {}",
+        "usage rate of the peers: {}",
         first.peer_usage_rate
     );
 }
