--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -41,7 +41,7 @@
     /// Total time that a client waits, including its own retries.
     pub deadline_ms: Millis,
     /// Share of its value that a response after the latency objective keeps, from 0 to 1.
-    pub late_weight: f64,
+    pub late_value_share: f64,
     /// Whether a request may be executed more than once.
     pub idempotency: Idempotency,
 }
--- a/src/policy/attempt_timeout.rs
+++ b/src/policy/attempt_timeout.rs
@@ -27,7 +27,7 @@
     /// Time after which a response misses the latency objective.
     pub(super) objective_deadline: Millis,
     /// Share of its value that a response keeps after the latency objective.
-    pub(super) late_weight: f64,
+    pub(super) late_value_share: f64,
     pub(super) prices: &'a Prices,
     /// Shortest time between two calls of the library.
     pub(super) tick_ms: Millis,
@@ -36,7 +36,7 @@
 /// Returns the time that an attempt which starts now may take, in ms.
 pub(super) fn attempt_timeout(inputs: &TimeoutInputs) -> Millis {
     let remaining_ms = inputs.deadline - inputs.now;
-    if inputs.late_weight > 0.0 || inputs.prices.waste >= inputs.prices.late_failure {
+    if inputs.late_value_share > 0.0 || inputs.prices.waste >= inputs.prices.late_failure {
         return remaining_ms;
     }
     let objective_ms = inputs.objective_deadline - inputs.now;
--- a/src/policy/attempt_timeout/tests.rs
+++ b/src/policy/attempt_timeout/tests.rs
@@ -15,7 +15,7 @@
         now: NOW,
         deadline: NOW + REMAINING_MS,
         objective_deadline: NOW + 500.0,
-        late_weight: 0.0,
+        late_value_share: 0.0,
         prices: &EARLY_TIMEOUT_PAYS,
         tick_ms: 3.0,
     }
@@ -29,7 +29,7 @@
 #[test]
 fn an_attempt_may_take_until_the_deadline_if_an_early_timeout_saves_nothing() {
     let late_response_has_value = TimeoutInputs {
-        late_weight: 0.5,
+        late_value_share: 0.5,
         ..inputs()
     };
     let waste_costs_as_much = TimeoutInputs {
--- a/src/policy/forwarding.rs
+++ b/src/policy/forwarding.rs
@@ -137,7 +137,7 @@
             deadline: open_request.deadline,
             objective_deadline: open_request.objective_deadline,
             baseline_latency_ms: self.baseline_latency(&open_request.request),
-            late_weight: class.late_weight,
+            late_value_share: class.late_value_share,
             idempotency: class.idempotency,
             budget_has_retry: self.retry_budget.has_retry(),
         }
@@ -168,7 +168,7 @@
         now: cx.now,
         deadline: open_request.deadline,
         objective_deadline: open_request.objective_deadline,
-        late_weight: cx.class(&open_request.request).late_weight,
+        late_value_share: cx.class(&open_request.request).late_value_share,
         prices: &cx.settings.prices,
         tick_ms: cx.settings.tick_ms,
     }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -67,7 +67,7 @@
     /// Latency of the request's class at an idle endpoint: the shortest expected duration of a retry.
     pub(super) baseline_latency_ms: Millis,
     /// Share of its value that a response keeps after the latency objective.
-    pub(super) late_weight: f64,
+    pub(super) late_value_share: f64,
     pub(super) idempotency: Idempotency,
     /// True if the retry budget has a retry left.
     pub(super) budget_has_retry: bool,
@@ -115,7 +115,7 @@
         return RetryDecision::Denied(RetryDenial::DeadlinePassed);
     }
     let earliest_response = inputs.now + inputs.baseline_latency_ms;
-    if inputs.late_weight <= 0.0 && earliest_response >= inputs.objective_deadline {
+    if inputs.late_value_share <= 0.0 && earliest_response >= inputs.objective_deadline {
         return RetryDecision::Denied(RetryDenial::PastObjective);
     }
     if inputs.outcome.never_executed() {
--- a/src/policy/retry/tests.rs
+++ b/src/policy/retry/tests.rs
@@ -23,7 +23,7 @@
         deadline: NOW + 1500.0,
         objective_deadline: NOW + 400.0,
         baseline_latency_ms: 50.0,
-        late_weight: 0.0,
+        late_value_share: 0.0,
         idempotency: Idempotency::Idempotent,
         budget_has_retry: true,
     }
@@ -93,7 +93,7 @@
 #[test]
 fn a_request_is_retried_past_its_objective_if_a_late_response_has_value() {
     let inputs = RetryInputs {
-        late_weight: 0.5,
+        late_value_share: 0.5,
         objective_deadline: NOW - 100.0,
         ..retry_inputs()
     };
--- a/src/wire_settings/conversion.rs
+++ b/src/wire_settings/conversion.rs
@@ -34,7 +34,7 @@
     Class {
         latency_objective_ms: wire.latency_objective_ms,
         deadline_ms: wire.deadline_ms,
-        late_weight: wire.late_weight,
+        late_value_share: wire.late_value_share,
         idempotency: idempotency(wire),
     }
 }
--- a/src/wire_settings/model.rs
+++ b/src/wire_settings/model.rs
@@ -80,7 +80,7 @@
     _priority_weight: f64,
     /// Share of its weight that a response after the latency objective keeps, from 0 to 1.
     #[serde(rename = "late-worth")]
-    pub(super) late_weight: f64,
+    pub(super) late_value_share: f64,
 }
 
 /// Whether a request may be executed more than once.
--- a/src/wire_settings/tests.rs
+++ b/src/wire_settings/tests.rs
@@ -53,7 +53,7 @@
     let keyed = Class {
         latency_objective_ms: 700.0,
         deadline_ms: 2500.0,
-        late_weight: 0.125,
+        late_value_share: 0.125,
         idempotency: Idempotency::WithKey {
             scope: KeyScope::Zone,
             window_ms: 4500.0,
@@ -62,7 +62,7 @@
     let unsafe_to_retry = Class {
         latency_objective_ms: 800.0,
         deadline_ms: 2600.0,
-        late_weight: 0.25,
+        late_value_share: 0.25,
         idempotency: Idempotency::NotIdempotent,
     };
     let expected = Settings {
