--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -84,7 +84,7 @@
     /// Maximum number of a customer's attempts in flight within the quota; 0 for no limit.
     pub max_concurrency: u32,
     /// Share of its value that a request served beyond the quota keeps, from 0 to 1.
-    pub over_quota_weight: f64,
+    pub over_quota_value_share: f64,
     /// Cost of forwarding a request beyond the quota, as a share of the request's value.
     pub over_quota_cost: f64,
     /// Rate at which the hard ceiling refills, in units per second; 0 if the plan has no hard ceiling.
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -83,7 +83,7 @@
     /// shorter.
     pub(super) latency_budget_ms: Millis,
     /// Share of its value that a request keeps when it is served over a limit.
-    pub(super) over_quota_weight: f64,
+    pub(super) over_quota_value_share: f64,
     /// Cost of forwarding a request over a limit, as a share of the request's value.
     pub(super) over_quota_cost: f64,
 }
@@ -126,7 +126,7 @@
 
 /// Decides on a request over a limit.
 fn decide_over_limit(limit: Limit, load: &LoadInputs) -> Admission {
-    let is_worthwhile = load.over_quota_weight > load.over_quota_cost;
+    let is_worthwhile = load.over_quota_value_share > load.over_quota_cost;
     let max_expected_ms = MAX_EXPECTED_LATENCY_SHARE_OVER_LIMIT * load.latency_objective_ms;
     if is_worthwhile && load.expected_latency_ms < max_expected_ms {
         Admission::ForwardOverLimit(limit)
--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -19,7 +19,7 @@
         expected_latency_ms: 100.0,
         latency_objective_ms: 1000.0,
         latency_budget_ms: 1000.0,
-        over_quota_weight: 0.5,
+        over_quota_value_share: 0.5,
         over_quota_cost: 0.5,
     }
 }
@@ -27,7 +27,7 @@
 fn load_where_over_limit_is_worthwhile(expected_latency_ms: Millis) -> LoadInputs {
     LoadInputs {
         expected_latency_ms,
-        over_quota_weight: 0.6,
+        over_quota_value_share: 0.6,
         ..load()
     }
 }
--- a/src/policy/customer_quota/tests.rs
+++ b/src/policy/customer_quota/tests.rs
@@ -6,7 +6,7 @@
     rate: 2.0,
     burst: 10.0,
     max_concurrency: 0,
-    over_quota_weight: 0.0,
+    over_quota_value_share: 0.0,
     over_quota_cost: 0.0,
     ceiling_rate: 0.0,
     ceiling_burst: 0.0,
--- a/src/policy/request_handler.rs
+++ b/src/policy/request_handler.rs
@@ -258,7 +258,7 @@
         expected_latency_ms,
         latency_objective_ms: cx.class(&open_request.request).latency_objective_ms,
         latency_budget_ms: open_request.latency_budget_ms,
-        over_quota_weight: plan.over_quota_weight,
+        over_quota_value_share: plan.over_quota_value_share,
         over_quota_cost: plan.over_quota_cost,
     }
 }
--- a/src/wire_settings/conversion.rs
+++ b/src/wire_settings/conversion.rs
@@ -64,7 +64,7 @@
         rate: wire.rate,
         burst: wire.burst,
         max_concurrency: wire.max_concurrency,
-        over_quota_weight: wire.over_quota_weight,
+        over_quota_value_share: wire.over_quota_value_share,
         over_quota_cost: wire.over_quota_cost,
         ceiling_rate: wire.ceiling_rate,
         ceiling_burst: wire.ceiling_burst,
--- a/src/wire_settings/model.rs
+++ b/src/wire_settings/model.rs
@@ -119,7 +119,7 @@
     _weight_multiplier: f64,
     /// Share of its value that a request served beyond the quota keeps.
     #[serde(rename = "extra-worth")]
-    pub(super) over_quota_weight: f64,
+    pub(super) over_quota_value_share: f64,
     /// Cost of forwarding a request beyond the quota, as a share of the request's value.
     #[serde(rename = "excess-cost")]
     pub(super) over_quota_cost: f64,
--- a/src/wire_settings/tests.rs
+++ b/src/wire_settings/tests.rs
@@ -75,7 +75,7 @@
             rate: 3.0,
             burst: 12.0,
             max_concurrency: 6,
-            over_quota_weight: 0.375,
+            over_quota_value_share: 0.375,
             over_quota_cost: 0.625,
             ceiling_rate: 7.0,
             ceiling_burst: 21.0,
