--- a/src/policy/call_limiter.rs
+++ b/src/policy/call_limiter.rs
@@ -33,7 +33,7 @@
 /// The priority of a call.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CallPriority {
-    /// A required call may take the last token.
+    /// A required call may consume the last token.
     Required,
     /// An optional call leaves half of the bucket to required calls.
     Optional,
@@ -63,26 +63,26 @@
         }
     }
 
-    /// Takes a token if the bucket has one for a call of this priority. Returns whether it did.
+    /// Consumes a token if the bucket has one for a call of this priority. Returns whether it did.
     pub(crate) fn try_acquire(&mut self, now: Millis, priority: CallPriority) -> bool {
         let capacity = (self.rate * BURST_MS / 1000.0).max(1.0);
-        let refill = (now - self.refilled_at).max(0.0) / 1000.0 * self.rate;
-        self.bucket.refill(refill, capacity);
+        let refilled = (now - self.refilled_at).max(0.0) / 1000.0 * self.rate;
+        self.bucket.add_tokens(refilled, capacity);
         self.refilled_at = now;
         let needed = match priority {
             CallPriority::Required => 1.0,
             CallPriority::Optional => 1.0 + capacity / 2.0,
         };
-        let acquired = self.bucket.has(needed);
+        let acquired = self.bucket.has_tokens(needed);
         if acquired {
-            self.bucket.take(1.0);
+            self.bucket.consume_tokens(1.0);
         }
         acquired
     }
 
     /// Returns whether no token was left after the last call of `try_acquire`.
     pub(crate) fn is_exhausted(&self) -> bool {
-        !self.bucket.has(1.0)
+        !self.bucket.has_tokens(1.0)
     }
 
     /// Returns whether the counter counts as down, so that requests don't wait for it: its last calls were
@@ -95,14 +95,14 @@
     pub(crate) fn on_success(&mut self) {
         // The counter is up again. Starting from the minimum rate, it would take long to reach the former
         // rate.
-        if let Some(before) = self.rate_before_failures.filter(|_| self.is_down()) {
-            self.rate = self.rate.max(before / 2.0);
+        if let Some(rate_before_failures) = self.rate_before_failures.filter(|_| self.is_down()) {
+            self.rate = self.rate.max(rate_before_failures / 2.0);
         }
         self.consecutive_failures = 0;
-        let is_near = self
+        let is_near_failures = self
             .rate_before_failures
             .is_some_and(|before| self.rate > before * SLOW_INCREASE_THRESHOLD);
-        let increase = if is_near {
+        let increase = if is_near_failures {
             SLOW_INCREASE
         } else {
             FAST_INCREASE
--- a/src/policy/endpoint_comparison.rs
+++ b/src/policy/endpoint_comparison.rs
@@ -17,26 +17,26 @@
 /// Compares endpoints for one attempt.
 pub(super) struct EndpointComparison<'a> {
     now: Millis,
-    open: &'a OpenRequest,
+    open_request: &'a OpenRequest,
     scope: DeduplicationScope,
     baseline_ms: Millis,
     handshake_cost_ms: f64,
 }
 
 impl<'a> EndpointComparison<'a> {
-    /// Creates the comparison for a request that `first_executor` may have executed already. `baseline_ms` is
-    /// the latency of the request's class at an idle endpoint.
+    /// Creates the comparison for a request that `first_possible_executor` may have executed already.
+    /// `baseline_ms` is the latency of the request's class at an idle endpoint.
     pub(super) fn new(
         cx: &Context,
-        open: &'a OpenRequest,
-        first_executor: Option<&Endpoint>,
+        open_request: &'a OpenRequest,
+        first_possible_executor: Option<&Endpoint>,
         baseline_ms: Millis,
     ) -> Self {
-        let class = cx.class(&open.request);
+        let class = cx.class(&open_request.request);
         EndpointComparison {
             now: cx.now,
-            open,
-            scope: DeduplicationScope::new(class.idempotency, first_executor),
+            open_request,
+            scope: DeduplicationScope::new(class.idempotency, first_possible_executor),
             baseline_ms,
             handshake_cost_ms: HANDSHAKE_FACTOR
                 * cx.settings.prices.handshake
@@ -54,7 +54,7 @@
         let mut best: Option<Candidate> = None;
         for endpoint in endpoints.filter(|endpoint| endpoint.is_ready()) {
             let is_warming = endpoint.warm_up.capacity_share(self.now).is_some();
-            let is_in_scope = self.scope.contains(&endpoint.endpoint);
+            let is_in_scope = self.scope.contains(&endpoint.entry);
             if !is_in_scope || is_warming && !endpoint.warm_up.has_token() {
                 continue;
             }
@@ -93,15 +93,15 @@
         Candidate {
             preference: self.preference(endpoint, ignore_ejections),
             cost_ms: latency_ms + handshake_ms,
-            endpoint: endpoint.endpoint.id,
+            endpoint: endpoint.entry.id,
         }
     }
 
     fn preference(&self, endpoint: &TrackedEndpoint, ignore_ejections: bool) -> Preference {
-        let id = endpoint.endpoint.id;
-        let plan = self.open.request.plan as usize;
+        let id = endpoint.entry.id;
+        let plan = self.open_request.request.plan as usize;
         let had_attempt = self
-            .open
+            .open_request
             .attempts
             .iter()
             .any(|attempt| attempt.endpoint == id);
--- a/src/policy/load_balancer.rs
+++ b/src/policy/load_balancer.rs
@@ -35,7 +35,7 @@
     warming_members: WarmingMembers,
     /// Members with a free connection, as of the last tick.
     connected_members: Vec<EndpointId>,
-    outliers: outlier::OutlierDetector,
+    outlier_detector: outlier::OutlierDetector,
     /// Latency at an idle endpoint of average speed, by class, in ms.
     baselines: Vec<RunningMean>,
     /// First attempts of requests, per second.
@@ -51,7 +51,7 @@
             subset_load: SubsetLoad::default(),
             warming_members: WarmingMembers::default(),
             connected_members: Vec::new(),
-            outliers: outlier::OutlierDetector::default(),
+            outlier_detector: outlier::OutlierDetector::default(),
             baselines: settings
                 .classes
                 .iter()
@@ -94,7 +94,7 @@
                 .filter(|e| !e.health.is_healthy(cx.now))
                 .count();
             let connected = members.filter(|e| e.has_free_connection(cx.now));
-            self.connected_members = connected.map(|e| e.endpoint.id).collect();
+            self.connected_members = connected.map(|e| e.entry.id).collect();
             subset::resize(&mut self.subset, cx.settings, &self.subset_load);
         }
     }
@@ -116,10 +116,14 @@
 
     /// Returns the best endpoint for the request's next attempt: a preferred member of the subset, if there
     /// are enough endpoints for subsetting and one is preferred, or else the best of all endpoints.
-    pub(crate) fn choose(&mut self, cx: &mut Context, open: &OpenRequest) -> Option<EndpointId> {
+    pub(crate) fn choose(
+        &mut self,
+        cx: &mut Context,
+        open_request: &OpenRequest,
+    ) -> Option<EndpointId> {
         let mut rng = cx.rng.fork();
         self.refill_warming_members(cx);
-        let comparison = self.comparison_for(cx, open);
+        let comparison = self.comparison_for(cx, open_request);
         self.preferred_member(cx, &comparison, &mut rng)
             .or_else(|| comparison.best(self.endpoints.all(), &mut rng))
             .map(|candidate| candidate.endpoint)
@@ -136,7 +140,7 @@
         if !subset::uses_subsetting(&self.subset) {
             return None;
         }
-        let sample = self.sample(cx, rng);
+        let sample = self.sample_members(cx, rng);
         let best_of_sample = comparison.best(sample.iter().copied(), rng);
         best_of_sample.filter(Candidate::is_preferred).or_else(|| {
             let members = self.endpoints.select(self.subset.members());
@@ -147,13 +151,17 @@
     }
 
     /// Returns the comparison of endpoints for the request's next attempt.
-    fn comparison_for<'a>(&self, cx: &Context, open: &'a OpenRequest) -> EndpointComparison<'a> {
-        let first_executor = open
-            .first_execution
+    fn comparison_for<'a>(
+        &self,
+        cx: &Context,
+        open_request: &'a OpenRequest,
+    ) -> EndpointComparison<'a> {
+        let first_possible_executor = open_request
+            .first_possible_execution
             .and_then(|first| self.endpoints.get(first.endpoint))
-            .map(|tracked| &tracked.endpoint);
-        let baseline_ms = self.baseline_latency(open.request.class as usize);
-        EndpointComparison::new(cx, open, first_executor, baseline_ms)
+            .map(|tracked| &tracked.entry);
+        let baseline_ms = self.baseline_latency(open_request.request.class as usize);
+        EndpointComparison::new(cx, open_request, first_possible_executor, baseline_ms)
     }
 
     /// Refills, up to now, the tokens of the members that are warming up.
@@ -168,7 +176,7 @@
     }
 
     /// Returns the members that are warming up and have a token, and a few random ones that are available.
-    fn sample(&self, cx: &Context, rng: &mut Rng) -> Vec<&TrackedEndpoint> {
+    fn sample_members(&self, cx: &Context, rng: &mut Rng) -> Vec<&TrackedEndpoint> {
         let request_rate = self.request_rate.per_second();
         let mut members = self.subset.members();
         if connections::prefers_connected(
@@ -196,8 +204,8 @@
 
     /// Records the start of an attempt. Returns the number of this gateway's attempts now in flight at the
     /// endpoint.
-    pub(crate) fn attempt_started(&mut self, now: Millis, id: EndpointId, first: bool) -> f64 {
-        if first {
+    pub(crate) fn attempt_started(&mut self, now: Millis, id: EndpointId, is_first: bool) -> f64 {
+        if is_first {
             self.request_rate.record(now, 1.0);
         }
         let Some(endpoint) = self.endpoints.get_mut(id) else {
@@ -208,22 +216,27 @@
     }
 
     /// Records the end of an attempt of the request.
-    pub(crate) fn attempt_ended(&mut self, cx: &mut Context, open: &OpenRequest, end: &AttemptEnd) {
-        let Some(attempt) = open.attempts.get(usize::from(end.attempt)) else {
+    pub(crate) fn attempt_ended(
+        &mut self,
+        cx: &mut Context,
+        open_request: &OpenRequest,
+        end: &AttemptEnd,
+    ) {
+        let Some(attempt) = open_request.attempts.get(usize::from(end.attempt)) else {
             return;
         };
         let Some(endpoint) = self.endpoints.get_mut(end.endpoint) else {
             return;
         };
-        self.outliers.record(cx, end, endpoint);
+        self.outlier_detector.record(cx, end, endpoint);
         endpoint.attempt_ended(cx.now, end.outcome);
-        let plan = open.request.plan as usize;
-        let baseline = &mut self.baselines[open.request.class as usize];
+        let plan = open_request.request.plan as usize;
+        let baseline = &mut self.baselines[open_request.request.class as usize];
         let request_rate = self.request_rate.per_second();
         if end.outcome == Outcome::Success && end.elapsed_ms.is_finite() {
-            let idle_ms =
+            let idle_latency_ms =
                 latency::idle_endpoint_latency(end.elapsed_ms, attempt.endpoint_in_flight);
-            endpoint.record_latency(cx.now, idle_ms, baseline);
+            endpoint.record_latency(cx.now, idle_latency_ms, baseline);
         }
         if let Some(scope) = AvoidanceScope::new(end.outcome, plan, cx.settings.plans.len()) {
             endpoint.health.avoid(cx.now, &scope, request_rate);
