--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -83,7 +83,7 @@
     /// shorter.
     pub(super) latency_budget_ms: Millis,
     /// Share of its value that a request keeps when it is served over a limit.
-    pub(super) over_quota_weight: f64,
+    pub(super) over_quota_value_share: f64,
     /// Cost of forwarding a request over a limit, as a share of the request's value.
     pub(super) over_quota_cost: f64,
 }
@@ -103,10 +103,10 @@
 /// called only if the customer is over its quota.
 pub(super) fn decide_after_wait(
     units: f64,
-    counted_units: f64,
+    available_units: f64,
     load: impl FnOnce() -> LoadInputs,
 ) -> Admission {
-    if counted_units >= units {
+    if available_units >= units {
         return Admission::Forward;
     }
     decide_over_limit(Limit::Quota, &load())
@@ -126,7 +126,7 @@
 
 /// Decides on a request over a limit.
 fn decide_over_limit(limit: Limit, load: &LoadInputs) -> Admission {
-    let is_worthwhile = load.over_quota_weight > load.over_quota_cost;
+    let is_worthwhile = load.over_quota_value_share > load.over_quota_cost;
     let max_expected_ms = MAX_EXPECTED_LATENCY_SHARE_OVER_LIMIT * load.latency_objective_ms;
     if is_worthwhile && load.expected_latency_ms < max_expected_ms {
         Admission::ForwardOverLimit(limit)
--- a/src/policy/retry/tests.rs
+++ b/src/policy/retry/tests.rs
@@ -23,7 +23,7 @@
         deadline: NOW + 1500.0,
         objective_deadline: NOW + 400.0,
         baseline_latency_ms: 50.0,
-        late_weight: 0.0,
+        late_value_share: 0.0,
         idempotency: Idempotency::Idempotent,
         budget_has_retry: true,
     }
@@ -93,7 +93,7 @@
 #[test]
 fn a_request_is_retried_past_its_objective_if_a_late_response_has_value() {
     let inputs = RetryInputs {
-        late_weight: 0.5,
+        late_value_share: 0.5,
         objective_deadline: NOW - 100.0,
         ..retry_inputs()
     };
@@ -109,8 +109,8 @@
         attempts: 1,
         max_attempts: 3,
         idempotency: WITH_KEY,
-        first_execution_at: Some(NOW - 300.0),
-        fits_ceiling: true,
+        first_possible_execution_at: Some(NOW - 300.0),
+        is_within_ceiling: true,
     }
 }
 
@@ -120,11 +120,11 @@
         (AttemptDenial::DeadlinePassed, |i| i.deadline = NOW),
         (AttemptDenial::AttemptsExhausted, |i| i.attempts = 3),
         (AttemptDenial::KeyWindowExpired, |i| {
-            i.first_execution_at = Some(NOW - WINDOW_MS + MAX_WRITE_DELAY_MS);
+            i.first_possible_execution_at = Some(NOW - WINDOW_MS + MAX_WRITE_DELAY_MS);
         }),
         (AttemptDenial::CeilingReached, |i| {
             i.attempts = 0;
-            i.fits_ceiling = false;
+            i.is_within_ceiling = false;
         }),
     ];
     for (denial, change) in cases {
@@ -148,14 +148,14 @@
     let unlimited = AttemptDecision::Allowed {
         start_timeout_ms: f64::INFINITY,
     };
-    for (idempotency, first_execution_at) in [
+    for (idempotency, first_possible_execution_at) in [
         (WITH_KEY, None),
         (Idempotency::Idempotent, Some(NOW - 300.0)),
         (Idempotency::NotIdempotent, None),
     ] {
         let inputs = AttemptInputs {
             idempotency,
-            first_execution_at,
+            first_possible_execution_at,
             ..attempt_inputs()
         };
         assert_eq!(decide_attempt(&inputs), unlimited, "{idempotency:?}");
@@ -170,7 +170,7 @@
         ..attempt_inputs()
     };
     let retry = AttemptInputs {
-        fits_ceiling: false,
+        is_within_ceiling: false,
         ..attempt_inputs()
     };
     for inputs in [first, retry] {
--- a/src/policy/shared_quota/tests.rs
+++ b/src/policy/shared_quota/tests.rs
@@ -14,7 +14,7 @@
     let charge = quota.charge(now, units, LIMITS);
     *total += charge.weighted_units;
     assert!(quota.apply_total(now, charge, *total, LIMITS));
-    quota.take(units);
+    quota.record_usage(units);
 }
 
 /// A gateway gets its first request of a customer that uses its quota at other gateways. With a full quota
@@ -47,7 +47,11 @@
         "level {}",
         first.level
     );
-    assert!(first.peer_rate > 0.5, "peer rate {}", first.peer_rate);
+    assert!(
+        first.peer_usage_rate > 0.5,
+        "usage rate of the peers: {}",
+        first.peer_usage_rate
+    );
 }
 
 /// The counter restarts and loses its counts, so its totals are small. Applied as they are, they would grant
@@ -77,7 +81,7 @@
 fn unsettled_units_decay_and_are_charged_once() {
     let mut quota = SharedQuota::new(0, START, LIMITS.burst);
     let single = quota.charge(START, 1.0, LIMITS).weighted_units;
-    quota.settle_later(START, 2.0, LIMITS);
+    quota.add_unsettled_units(START, 2.0, LIMITS);
     assert!((quota.charge(START, 1.0, LIMITS).weighted_units / single - 3.0).abs() < 1e-9);
     assert!((quota.charge(START, 1.0, LIMITS).weighted_units / single - 1.0).abs() < 1e-9);
 }
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -28,7 +28,7 @@
 /// The first attempt of a request to end with an outcome after which it may have been executed. Retries that rely on an
 /// idempotency key must stay in the zone or cell of this attempt's endpoint, and within a window after its start.
 #[derive(Clone, Copy)]
-pub(crate) struct FirstExecution {
+pub(crate) struct PossibleExecution {
     pub(crate) started_at: Millis,
     pub(crate) endpoint: EndpointId,
 }
@@ -54,7 +54,7 @@
     /// Whether part of a response was passed on to the client.
     pub(crate) response_started: bool,
     pub(crate) attempts: Vec<Attempt>,
-    pub(crate) first_execution: Option<FirstExecution>,
+    pub(crate) first_possible_execution: Option<PossibleExecution>,
 }
 
 impl OpenRequest {
@@ -90,7 +90,7 @@
             closed: false,
             response_started: false,
             attempts: Vec::new(),
-            first_execution: None,
+            first_possible_execution: None,
         })
     }
 
@@ -126,23 +126,23 @@
     /// Every attempt in flight counts, as the library doesn't know which attempts have been written to a connection.
     /// The program knows, and counts only those: `RequestRegistry::may_have_executed`.
     pub(crate) fn may_have_executed(&self) -> bool {
-        self.first_execution.is_some() || self.has_attempt_in_flight()
+        self.first_possible_execution.is_some() || self.has_attempt_in_flight()
     }
 
     /// Records the end of an attempt and returns the attempt, or `None` if it is unknown or has ended before.
-    pub(crate) fn end_attempt(&mut self, ended: &AttemptEnd) -> Option<&Attempt> {
-        let attempt = self.attempts.get_mut(usize::from(ended.attempt))?;
+    pub(crate) fn end_attempt(&mut self, end: &AttemptEnd) -> Option<&Attempt> {
+        let attempt = self.attempts.get_mut(usize::from(end.attempt))?;
         if !std::mem::take(&mut attempt.in_flight) {
             return None;
         }
-        if !ended.outcome.never_executed() && self.first_execution.is_none() {
-            let first = FirstExecution {
+        if !end.outcome.never_executed() && self.first_possible_execution.is_none() {
+            let first = PossibleExecution {
                 started_at: attempt.started_at,
                 endpoint: attempt.endpoint,
             };
-            self.first_execution = Some(first);
+            self.first_possible_execution = Some(first);
         }
-        if ended.outcome != Outcome::NotSent {
+        if end.outcome != Outcome::NotSent {
             self.has_ended_sent_attempt = true;
         }
         Some(attempt)
@@ -159,19 +159,19 @@
     }
 
     /// Adds a request, unless it has already ended.
-    pub(crate) fn insert(&mut self, open: OpenRequest) {
-        if !open.has_ended() {
-            self.0.insert(open.request.id, open);
+    pub(crate) fn insert(&mut self, open_request: OpenRequest) {
+        if !open_request.has_ended() {
+            self.0.insert(open_request.request.id, open_request);
         }
     }
 
     /// Applies `change` to a request, if it is open, and removes the request if it has ended after that.
     pub(crate) fn update(&mut self, id: RequestId, change: impl FnOnce(&mut OpenRequest)) {
-        let Some(open) = self.0.get_mut(&id) else {
+        let Some(open_request) = self.0.get_mut(&id) else {
             return;
         };
-        change(open);
-        if open.has_ended() {
+        change(open_request);
+        if open_request.has_ended() {
             self.0.remove(&id);
         }
     }
