--- a/tests/gateway/coinciding_events.rs
+++ b/tests/gateway/coinciding_events.rs
@@ -57,14 +57,18 @@
 /// list must apply at once.
 #[test]
 fn a_complete_list_applies_even_if_its_watch_is_rejected() {
-    let (one, received_by_one) = healthy_endpoint();
-    let (two, _) = healthy_endpoint();
+    let (draining, received_by_draining) = healthy_endpoint();
+    let (ready, _) = healthy_endpoint();
     let first = Discovery::new();
-    let mut config = config(&[one, two], start_counter(Arc::default()), first.addr);
+    let mut config = config(
+        &[draining, ready],
+        start_counter(Arc::default()),
+        first.addr,
+    );
     let gateway = Gateway::new(&config);
     let servers = serde_json::json!([
-        list_entry(0, one, "Terminating"),
-        list_entry(1, two, "Ready")
+        list_entry(0, draining, "Terminating"),
+        list_entry(1, ready, "Ready")
     ]);
     let list = serde_json::json!({"version": 9, "full": true, "servers": servers}).to_string();
     let (list_call_sender, list_calls) = channel();
@@ -84,12 +88,12 @@
             .recv_timeout(TEST_TIMEOUT)
             .expect("the gateway requests the complete list");
     }
-    let before = received_by_one.lock().unwrap().len();
+    let before = received_by_draining.lock().unwrap().len();
     for customer in 0..10 {
         assert_eq!(gateway.get(customer, 1).status(), 200);
     }
     assert_eq!(
-        received_by_one.lock().unwrap().len(),
+        received_by_draining.lock().unwrap().len(),
         before,
         "requests were sent to a draining endpoint"
     );
--- a/tests/gateway/discovery.rs
+++ b/tests/gateway/discovery.rs
@@ -26,13 +26,13 @@
 /// no more requests, and the gateway must fetch the complete list.
 #[test]
 fn a_draining_endpoint_gets_no_requests_and_an_invalid_event_leads_to_the_complete_list() {
-    let (one, received_by_one) = healthy_endpoint();
-    let (two, _) = healthy_endpoint();
+    let (draining, received_by_draining) = healthy_endpoint();
+    let (ready, _) = healthy_endpoint();
     let discovery = Discovery::new();
-    let gateway = gateway_with(&[one, two], &discovery);
+    let gateway = gateway_with(&[draining, ready], &discovery);
     let (line, mut watch) = discovery.next_call();
     assert!(line.contains("index=7"), "expected index=7 in {line}");
-    let servers = serde_json::json!([list_entry(0, one, "Terminating")]);
+    let servers = serde_json::json!([list_entry(0, draining, "Terminating")]);
     let change = update(8, &servers);
     push_update(&mut watch, &change.to_string());
     push_update(&mut watch, "{\"version\": 9, \"full\": tr");
@@ -42,20 +42,20 @@
         !line.contains("stream"),
         "expected a call for the complete list: {line}"
     );
-    let before = received_by_one.lock().unwrap().len();
+    let before = received_by_draining.lock().unwrap().len();
     for customer in 0..10 {
         assert_eq!(gateway.get(customer, 1).status(), 200);
     }
-    assert_eq!(received_by_one.lock().unwrap().len(), before);
+    assert_eq!(received_by_draining.lock().unwrap().len(), before);
 }
 
 /// A watch ends, as when discovery restarts. A watch reopened from an older version would repeat changes, and one from
 /// a later version would miss some. The watch must be reopened from the version of the last event.
 #[test]
 fn a_watch_that_ends_is_reopened_from_the_last_version() {
-    let (one, _) = healthy_endpoint();
+    let (endpoint, _) = healthy_endpoint();
     let discovery = Discovery::new();
-    let _gateway = gateway_with(&[one], &discovery);
+    let _gateway = gateway_with(&[endpoint], &discovery);
     let (_, mut watch) = discovery.next_call();
     push_update(&mut watch, "");
     push_update(&mut watch, &update(12, &serde_json::json!([])).to_string());
@@ -68,24 +68,24 @@
 /// and the other entries must apply.
 #[test]
 fn an_invalid_entry_is_skipped_and_the_others_apply() {
-    let (one, received_by_one) = healthy_endpoint();
-    let (two, _) = healthy_endpoint();
+    let (draining, received_by_draining) = healthy_endpoint();
+    let (ready, _) = healthy_endpoint();
     let discovery = Discovery::new();
-    let gateway = gateway_with(&[one, two], &discovery);
+    let gateway = gateway_with(&[draining, ready], &discovery);
     let (_, mut watch) = discovery.next_call();
     let invalid = serde_json::json!({"id": 7, "addr": "nowhere", "state": "Odd"});
-    let servers = serde_json::json!([invalid, list_entry(0, one, "Terminating")]);
+    let servers = serde_json::json!([invalid, list_entry(0, draining, "Terminating")]);
     let change = update(8, &servers);
     push_update(&mut watch, &change.to_string());
     gateway.wait_for_log("an entry of the list");
     let start = Instant::now();
     let mut before = usize::MAX;
-    while received_by_one.lock().unwrap().len() != before {
+    while received_by_draining.lock().unwrap().len() != before {
         assert!(
             start.elapsed() < TEST_TIMEOUT,
             "the draining endpoint still gets requests"
         );
-        before = received_by_one.lock().unwrap().len();
+        before = received_by_draining.lock().unwrap().len();
         (0..10).for_each(|customer| assert_eq!(gateway.get(customer, 1).status(), 200));
     }
 }
@@ -94,12 +94,12 @@
 /// each line for an event would reject the list and miss the change. The list must apply, without another watch.
 #[test]
 fn a_list_written_on_several_lines_applies() {
-    let (one, received_by_one) = healthy_endpoint();
-    let (two, _) = healthy_endpoint();
+    let (draining, received_by_draining) = healthy_endpoint();
+    let (ready, _) = healthy_endpoint();
     let discovery = Discovery::new();
-    let gateway = gateway_with(&[one, two], &discovery);
+    let gateway = gateway_with(&[draining, ready], &discovery);
     let (_, mut watch) = discovery.next_call();
-    let servers = serde_json::json!([invalid_entry(), list_entry(0, one, "Terminating")]);
+    let servers = serde_json::json!([invalid_entry(), list_entry(0, draining, "Terminating")]);
     let change = update(8, &servers);
     let text = format!("\n{}\n\n", serde_json::to_string_pretty(&change).unwrap());
     for byte in text.bytes() {
@@ -114,7 +114,7 @@
         "discovery was called again, expected the first watch to stay open"
     );
     (0..10).for_each(|customer| assert_eq!(gateway.get(customer, 1).status(), 200));
-    assert_eq!(received_by_one.lock().unwrap().len(), 0);
+    assert_eq!(received_by_draining.lock().unwrap().len(), 0);
 }
 
 /// A watch stays open but stops sending, perhaps in the middle of an object, as after the loss of the remote machine.
@@ -122,10 +122,10 @@
 /// must be reopened within 4 s, from the same version.
 #[test]
 fn a_silent_watch_is_reopened_in_time() {
-    let (one, _) = healthy_endpoint();
+    let (endpoint, _) = healthy_endpoint();
     for last in ["", "{\"version\": 8, \"full\": false, "] {
         let discovery = Discovery::new();
-        let _gateway = gateway_with(&[one], &discovery);
+        let _gateway = gateway_with(&[endpoint], &discovery);
         let (_, mut watch) = discovery.next_call();
         let start = Instant::now();
         push_update(&mut watch, last);
@@ -144,13 +144,13 @@
 /// answer within the drain grace period, which is one second here.
 #[test]
 fn an_unanswered_discovery_call_is_repeated_in_time() {
-    let (one, _) = healthy_endpoint();
+    let (endpoint, _) = healthy_endpoint();
     let (call_sender, calls) = channel();
     let agent = start_server(move |m| {
         let _ = call_sender.send(m.line.clone());
         Reply::StaySilent(channel().0)
     });
-    let _gateway = Gateway::new(&config(&[one], start_counter(Arc::default()), agent));
+    let _gateway = Gateway::new(&config(&[endpoint], start_counter(Arc::default()), agent));
     calls
         .recv_timeout(TEST_TIMEOUT)
         .expect("the gateway calls discovery");
@@ -185,9 +185,9 @@
 /// The list must apply at the first call, both on one line and indented.
 #[test]
 fn a_long_list_applies_at_the_first_call_on_one_line_or_indented() {
-    let (one, _) = healthy_endpoint();
+    let (endpoint, _) = healthy_endpoint();
     // The list is built before the watch opens: a delay later would make the watch look silent.
-    let list = long_list(20_000, one);
+    let list = long_list(20_000, endpoint);
     for pretty in [false, true] {
         let text = if pretty {
             serde_json::to_string_pretty(&list)
@@ -214,12 +214,12 @@
 /// calls and serve requests meanwhile.
 #[test]
 fn a_list_with_too_many_entries_leaves_the_gateway_serving() {
-    let (one, _) = healthy_endpoint();
+    let (endpoint, _) = healthy_endpoint();
     // The list is built before the watch opens: a delay later would make the watch look silent.
-    let text = long_list(20_481, one).to_string();
+    let text = long_list(20_481, endpoint).to_string();
     let answer = response(200, "", &text);
     let discovery = Discovery::new();
-    let gateway = gateway_with(&[one], &discovery);
+    let gateway = gateway_with(&[endpoint], &discovery);
     let (_, mut watch) = discovery.next_call();
     push_update(&mut watch, &text);
     gateway.wait_for_log("over 20480 entries");
@@ -253,10 +253,10 @@
 #[test]
 fn clients_that_use_up_the_descriptors_do_not_prevent_a_watch() {
     for mode in ["push", "ask"] {
-        let (one, received_by_one) = healthy_endpoint();
-        let (two, _) = healthy_endpoint();
+        let (draining, received_by_draining) = healthy_endpoint();
+        let (ready, _) = healthy_endpoint();
         let addr = unused_address();
-        let mut config = config(&[one], start_counter(Arc::default()), addr);
+        let mut config = config(&[draining], start_counter(Arc::default()), addr);
         config["limits"]["sockets"] = 64.into();
         config["settings"]["membership-mode"] = mode.into();
         config["settings"]["tiers-of-service"][0]["store-size"] = 1000.0.into();
@@ -292,15 +292,15 @@
         assert!(line.contains("index=7"), "expected index=7 in {line}");
         let servers = serde_json::json!([
             invalid_entry(),
-            list_entry(0, one, "Terminating"),
-            list_entry(1, two, "Ready")
+            list_entry(0, draining, "Terminating"),
+            list_entry(1, ready, "Ready")
         ]);
         push_update(&mut watch, &update(8, &servers).to_string());
         gateway.wait_until_list_is_applied();
-        let before = received_by_one.lock().unwrap().len();
+        let before = received_by_draining.lock().unwrap().len();
         (50..100).for_each(|customer| request_until_served(&mut idle, customer));
         assert_eq!(
-            received_by_one.lock().unwrap().len(),
+            received_by_draining.lock().unwrap().len(),
             before,
             "requests were sent to a draining endpoint"
         );
@@ -319,13 +319,13 @@
 /// become ready and serve, whether discovery refuses connections or never answers.
 #[test]
 fn a_restart_with_a_known_list_becomes_ready_while_discovery_is_down() {
-    let (one, _) = healthy_endpoint();
+    let (endpoint, _) = healthy_endpoint();
     for discovery in [
         unused_address(),
         start_server(|_| Reply::StaySilent(channel().0)),
     ] {
-        let mut config = config(&[one], start_counter(Arc::default()), discovery);
-        config["known"] = long_list(8_200, one);
+        let mut config = config(&[endpoint], start_counter(Arc::default()), discovery);
+        config["known"] = long_list(8_200, endpoint);
         let gateway = Gateway::spawn(&config);
         let start = Instant::now();
         gateway.wait_until_ready();
--- a/tests/gateway/races.rs
+++ b/tests/gateway/races.rs
@@ -36,7 +36,7 @@
 #[test]
 fn an_endpoint_that_drains_while_connecting_gets_no_request() {
     let stalled = StalledEndpoint::new();
-    let (two, _) = healthy_endpoint();
+    let (ready, _) = healthy_endpoint();
     let discovery = Discovery::new();
     let gateway = Gateway::new(&config_with_long_connect_timeout(
         &[stalled.addr],
@@ -47,7 +47,7 @@
     let servers = serde_json::json!([
         invalid_entry(),
         list_entry(0, stalled.addr, "Terminating"),
-        list_entry(1, two, "Ready")
+        list_entry(1, ready, "Ready")
     ]);
     push_update(
         &mut watch,
