--- a/soak/src/clients/misbehaving.rs
+++ b/soak/src/clients/misbehaving.rs
@@ -59,7 +59,7 @@
         let elapsed = connected_at.elapsed();
         let allowed = RESPONSE_TIMEOUT + context.delay.allowance();
         let was_restarted = context.directory.state(gateway).generation != state.generation;
-        context.observations.count("misbehaving clients");
+        context.observations.increment("misbehaving clients");
         if (!has_ended || elapsed > allowed) && !was_restarted {
             let detail = format!(
                 "gateway {gateway}: no response or close in time for {payload:?}, sent {delay:?} after connecting; \
--- a/soak/src/clients/shutdown.rs
+++ b/soak/src/clients/shutdown.rs
@@ -121,14 +121,14 @@
         }
         if connection.is_closed_by_peer() {
             let observations = &self.context.observations;
-            return observations.count("connections closed before the last request");
+            return observations.increment("connections closed before the last request");
         }
         for request in &requests {
             self.record_sent(request);
         }
         self.context
             .observations
-            .count("requests during a gateway's shutdown");
+            .increment("requests during a gateway's shutdown");
         // A failure is ignored: a response may have arrived before it.
         let _ = connection.send(rest).await;
         for request in &requests {
@@ -178,7 +178,8 @@
             }
             Close::Unread => {
                 let observations = &self.context.observations;
-                observations.count("requests during a gateway's shutdown that were closed unread");
+                observations
+                    .increment("requests during a gateway's shutdown that were closed unread");
             }
         }
     }
--- a/soak/src/clients/steady.rs
+++ b/soak/src/clients/steady.rs
@@ -145,7 +145,7 @@
                     if open.is_reused && !self.was_forwarded(request) =>
                 {
                     let observations = &self.context.observations;
-                    observations.count("requests closed unread on a reused connection");
+                    observations.increment("requests closed unread on a reused connection");
                 }
                 Outcome::Closed(close) => return self.check_closed(&open, request, close),
             }
@@ -201,14 +201,14 @@
     fn check_closed(&self, open: &GatewayConnection, request: &Request, close: Close) {
         let observations = &self.context.observations;
         if self.was_killed(open) {
-            return observations.count("requests to gateways that were killed");
+            return observations.increment("requests to gateways that were killed");
         }
         let has_idle_clients = self.context.settings.scenario.has_idle_clients;
         if has_idle_clients && close.may_be_due_to_idle_clients(self.was_forwarded(request)) {
-            return observations.count("requests closed unread in runs with idle clients");
+            return observations.increment("requests closed unread in runs with idle clients");
         }
         if !open.is_reused && self.was_opened_too_late(open) {
-            return observations.count("requests to gateways that were shutting down");
+            return observations.increment("requests to gateways that were shutting down");
         }
         let kind = if open.is_reused { "reused" } else { "new" };
         let terminated_at = self.context.directory.state(open.gateway).terminated_at;
--- a/soak/src/faults/schedule.rs
+++ b/soak/src/faults/schedule.rs
@@ -54,7 +54,7 @@
         let Some(fault) = FAULTS.choose(&mut rng).copied() else {
             return;
         };
-        context.observations.count(&format!("fault {fault:?}"));
+        context.observations.increment(&format!("fault {fault:?}"));
         let injector = Injector {
             context: context.clone(),
             rng: crate::seeded_rng(rng.random(), "", 0),
--- a/soak/src/gateway/shutdown.rs
+++ b/soak/src/gateway/shutdown.rs
@@ -32,7 +32,7 @@
             Err(_) => self.kill_overdue(plan).await,
         }
         let _ = withdrawal.await;
-        self.launcher.observations.count("planned restarts");
+        self.launcher.observations.increment("planned restarts");
         self.addresses
     }
 
@@ -54,7 +54,7 @@
         self.signal(Signal::SIGKILL);
         let _ = self.child.wait().await;
         withdraw_from_load_balancer(directory, self.index).await;
-        self.launcher.observations.count("kills");
+        self.launcher.observations.increment("kills");
         self.addresses
     }
 }
--- a/soak/src/rules/checker.rs
+++ b/soak/src/rules/checker.rs
@@ -95,7 +95,7 @@
 
     /// Records that the client has closed its connection without waiting for a response.
     pub fn client_disconnected(&mut self, transaction: u64) {
-        self.log.count("clients that disconnected early");
+        self.log.increment("clients that disconnected early");
         if let Some(request) = self.requests.get_mut(&transaction) {
             request.closed_at = Some(Instant::now());
         }
@@ -117,7 +117,7 @@
 
     /// Records and checks a complete attempt at an endpoint.
     pub fn attempt_received(&mut self, attempt: ObservedAttempt) {
-        self.log.count("attempts");
+        self.log.increment("attempts");
         let Some(request) = self.requests.get_mut(&attempt.transaction) else {
             let detail = format!(
                 "txn {:016x}: attempt for an unknown request",
@@ -177,7 +177,8 @@
 
     /// Records and checks the final response to a request.
     pub fn response_received(&mut self, transaction: u64, status: u16, body: &[u8]) {
-        self.log.count(&format!("responses with status {status}"));
+        self.log
+            .increment(&format!("responses with status {status}"));
         let executed = self
             .requests
             .get(&transaction)
--- a/soak/src/rules/observation_log.rs
+++ b/soak/src/rules/observation_log.rs
@@ -73,7 +73,7 @@
     }
 
     /// Increments the counter `name`.
-    pub fn count(&self, name: &str) {
+    pub fn increment(&self, name: &str) {
         *self.counts.borrow_mut().entry(name.to_owned()).or_default() += 1;
     }
 
