--- a/soak/src/clients/misbehaving.rs
+++ b/soak/src/clients/misbehaving.rs
@@ -53,14 +53,14 @@
         let mut connection = Connection::new(stream);
         sleep(delay).await;
         let _ = connection.send(payload.as_bytes()).await;
-        let has_ended = timeout(RESPONSE_TIMEOUT + EXTRA_WAIT, connection.receive())
+        let got_response_or_close = timeout(RESPONSE_TIMEOUT + EXTRA_WAIT, connection.receive())
             .await
             .is_ok();
         let elapsed = connected_at.elapsed();
         let allowed = RESPONSE_TIMEOUT + context.delay.allowance();
         let was_restarted = context.directory.state(gateway).generation != state.generation;
         context.observations.increment("misbehaving clients");
-        if (!has_ended || elapsed > allowed) && !was_restarted {
+        if (!got_response_or_close || elapsed > allowed) && !was_restarted {
             let detail = format!(
                 "gateway {gateway}: no response or close in time for {payload:?}, sent {delay:?} after connecting; \
                  waited {elapsed:?}"
--- a/soak/src/clients/shutdown.rs
+++ b/soak/src/clients/shutdown.rs
@@ -184,8 +184,8 @@
         }
     }
 
-    fn report_lost(&self, request: &Request, how: &str) {
+    fn report_lost(&self, request: &Request, reason: &str) {
         let mut checker = self.context.checker.borrow_mut();
-        checker.request_lost(request.transaction, how);
+        checker.request_lost(request.transaction, reason);
     }
 }
--- a/soak/src/faults/endpoint_faults.rs
+++ b/soak/src/faults/endpoint_faults.rs
@@ -8,7 +8,7 @@
 use tokio::task::JoinSet;
 
 /// Endpoints are replaced only while more than this many are running.
-const MIN_READY: usize = 6;
+const MIN_RUNNING: usize = 6;
 /// The ways in which endpoints misbehave.
 const FAULTY_BEHAVIOURS: [Behaviour; 7] = [
     Behaviour::Hangs,
@@ -40,7 +40,7 @@
         let mut replacements = JoinSet::new();
         for number in self.draw_endpoints() {
             let running = &self.context.processes.endpoints;
-            if running.borrow().len() <= MIN_READY {
+            if running.borrow().len() <= MIN_RUNNING {
                 break;
             }
             let Some(endpoint) = running.borrow_mut().remove(&number) else {
--- a/soak/src/faults/injector.rs
+++ b/soak/src/faults/injector.rs
@@ -57,8 +57,8 @@
     /// Draws a random subset: at least one of the elements, and at most `MAX_AFFECTED_SHARE` of them, rounded up.
     fn draw_subset<T>(&mut self, mut all: Vec<T>) -> Vec<T> {
         all.shuffle(&mut self.rng);
-        let most = (all.len() as f64 * MAX_AFFECTED_SHARE).ceil() as usize;
-        all.truncate(self.rng.random_range(1..=most.max(1)));
+        let max_affected = (all.len() as f64 * MAX_AFFECTED_SHARE).ceil() as usize;
+        all.truncate(self.rng.random_range(1..=max_affected.max(1)));
         all
     }
 
--- a/soak/src/gateway/processor.rs
+++ b/soak/src/gateway/processor.rs
@@ -10,10 +10,10 @@
     let allowed: Vec<_> = (0..CpuSet::count())
         .filter(|cpu| available.is_set(*cpu) == Ok(true))
         .collect();
-    let mut only = CpuSet::new();
+    let mut selected = CpuSet::new();
     if let Some(cpu) = allowed.get(number % allowed.len().max(1)) {
-        only.set(*cpu)?;
-        sched_setaffinity(pid, &only)?;
+        selected.set(*cpu)?;
+        sched_setaffinity(pid, &selected)?;
     }
     Ok(())
 }
--- a/soak/src/gateway/shutdown.rs
+++ b/soak/src/gateway/shutdown.rs
@@ -18,14 +18,14 @@
         let directory = self.launcher.directory.clone();
         directory.record_termination(self.index, terminated_at);
         self.signal(Signal::SIGTERM);
-        let disturbance = self
+        let plan_task = self
             .pid()
             .map(|pid| spawn_local(plan.run(pid, terminated_at)));
         let withdrawal = spawn_local(withdraw_from_load_balancer(directory, self.index));
         let kill_at = terminated_at + self.launcher.settings.scenario.kill_after();
         let ended = timeout_at(kill_at, self.child.wait()).await;
         // No signal may be sent to a process that has ended, as the system may reuse its id.
-        disturbance.iter().for_each(JoinHandle::abort);
+        plan_task.iter().for_each(JoinHandle::abort);
         match ended {
             Ok(Ok(status)) if status.success() => {}
             Ok(status) => self.report_process_fault(&format!("exited with {status:?}")),
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -27,8 +27,8 @@
 fn run_all(arguments: &SoakArguments) -> Result<usize, SoakError> {
     arguments.check()?;
     let mut broken_runs = 0;
-    for run in arguments.each_run() {
-        let report = run.run()?;
+    for run_arguments in arguments.each_run() {
+        let report = run_arguments.run()?;
         print!("{report}");
         broken_runs += usize::from(!report.violations.is_empty());
     }
--- a/soak/src/notices.rs
+++ b/soak/src/notices.rs
@@ -75,8 +75,8 @@
         };
         for outage in self.outages.borrow().iter() {
             if outage.from <= notified_at + TRANSFER_TIME {
-                let notified_again_at = outage.until? + outage.grace;
-                notified_at = notified_at.max(notified_again_at);
+                let after_outage = outage.until? + outage.grace;
+                notified_at = notified_at.max(after_outage);
             }
         }
         for reloaded_at in self.reloads.borrow().get(&gateway).into_iter().flatten() {
--- a/soak/src/rules/checker.rs
+++ b/soak/src/rules/checker.rs
@@ -26,7 +26,7 @@
     gateway: usize,
     sent_at: Instant,
     remaining: Duration,
-    closed_at: Option<Instant>,
+    client_disconnected_at: Option<Instant>,
     attempts: u32,
     executed_at: Vec<Instant>,
 }
@@ -85,7 +85,7 @@
             gateway,
             sent_at,
             remaining,
-            closed_at: None,
+            client_disconnected_at: None,
             attempts: 0,
             executed_at: Vec::new(),
         });
@@ -97,7 +97,7 @@
     pub fn client_disconnected(&mut self, transaction: u64) {
         self.log.increment("clients that disconnected early");
         if let Some(request) = self.requests.get_mut(&transaction) {
-            request.closed_at = Some(Instant::now());
+            request.client_disconnected_at = Some(Instant::now());
         }
     }
 
@@ -190,12 +190,13 @@
         }
     }
 
-    /// Reports a request that got no final response. `how` describes the end of its connection or the timeout.
-    pub fn request_lost(&mut self, transaction: u64, how: &str) {
+    /// Reports a request that got no final response. `reason` describes the end of its connection or the timeout.
+    pub fn request_lost(&mut self, transaction: u64, reason: &str) {
         let gateway = self.gateway_of(transaction);
         let forwarded = self.was_forwarded(transaction);
-        let detail =
-            format!("txn {transaction:016x} of gateway {gateway:?}, forwarded: {forwarded}: {how}");
+        let detail = format!(
+            "txn {transaction:016x} of gateway {gateway:?}, forwarded: {forwarded}: {reason}"
+        );
         self.log.report(Rule::Lost, detail);
     }
 }
@@ -213,9 +214,9 @@
             attempt.began_at.saturating_duration_since(earlier)
         })
     };
-    let after_close = elapsed_since(request.closed_at);
-    if after_close > DISCONNECT_GRACE + attempt.allowance {
-        let detail = format!("{ids}: began {after_close:?} after the client disconnected");
+    let after_disconnect = elapsed_since(request.client_disconnected_at);
+    if after_disconnect > DISCONNECT_GRACE + attempt.allowance {
+        let detail = format!("{ids}: began {after_disconnect:?} after the client disconnected");
         log.report(Rule::ClientDisconnected, detail);
     }
     let after_notice = elapsed_since(attempt.drain_notified_at);
