--- a/soak/src/clients/steady.rs
+++ b/soak/src/clients/steady.rs
@@ -177,6 +177,7 @@
         open.connection.send(rest).await.is_ok()
     }
 
+    /// Keeps the connection for the next request in 9 of 10 cases, unless the response closes the connection.
     fn keep_alive(&mut self, mut open: GatewayConnection, response: &Message) {
         if !response.closes_connection() && self.rng.random_range(0..10) > 0 {
             open.is_reused = true;
@@ -220,6 +221,9 @@
         self.report_lost(request, &detail);
     }
 
+    /// True if the load balancer should no longer have opened the connection: it was opened more than twice
+    /// `LOAD_BALANCER_DELAY` after SIGTERM. Once the next process of the gateway has started, the time of SIGTERM is
+    /// no longer known. Then this returns true if the connection was opened longer ago than the longest deadline.
     fn was_opened_too_late(&self, open: &GatewayConnection) -> bool {
         let state = self.context.directory.state(open.gateway);
         let longest_deadline = self.context.settings.scenario.longest_deadline();
--- a/soak/src/endpoint.rs
+++ b/soak/src/endpoint.rs
@@ -34,7 +34,7 @@
     pub checker: SharedRuleChecker,
     /// All endpoints.
     pub fleet: Fleet,
-    /// The times at which gateways were notified of changes.
+    /// The times at which gateways count as notified of changes.
     pub notices: Rc<NoticeTimes>,
     /// The scheduling delay of this process.
     pub delay: SchedulingDelay,
@@ -176,8 +176,8 @@
     context.fleet.set_behaviour(endpoints, Behaviour::Serves);
 }
 
-/// Replaces an endpoint by a new one. The old endpoint drains first, or ends without notice. Returns the number of the
-/// new endpoint and the endpoint.
+/// Replaces an endpoint by a new one. The old endpoint drains first if `drains` is true, or ends without notice
+/// otherwise. Returns the new endpoint and its number, or `None` if the new endpoint can't be started.
 pub async fn replace(
     context: &Rc<EndpointContext>,
     number: usize,
--- a/soak/src/faults/endpoint_faults.rs
+++ b/soak/src/faults/endpoint_faults.rs
@@ -35,7 +35,8 @@
             .unwrap_or(Behaviour::Hangs)
     }
 
-    /// Replaces some endpoints by new ones. The old endpoints drain first, or end without notice.
+    /// Replaces some endpoints by new ones. The old endpoints drain first if `drains` is true, or end without notice
+    /// otherwise.
     pub async fn replace_endpoints(mut self, drains: bool) {
         let mut replacements = JoinSet::new();
         for number in self.draw_endpoints() {
--- a/soak/src/faults/gateway_faults.rs
+++ b/soak/src/faults/gateway_faults.rs
@@ -20,7 +20,7 @@
 const TRUNCATED_CONFIG: &str = "{\"name\": \"n0\", ";
 
 impl Injector {
-    /// Ends some gateways by SIGTERM or SIGKILL, and starts them again.
+    /// Ends some gateways by SIGKILL if `kills` is true, or by SIGTERM otherwise, and starts them again.
     pub async fn restart(mut self, kills: bool) {
         let mut restarts = JoinSet::new();
         for index in self.draw_gateways() {
@@ -92,7 +92,8 @@
     }
 }
 
-/// Shuts a gateway down by SIGTERM while shutdown clients send requests to it.
+/// Shuts a gateway down by SIGTERM while shutdown clients send requests to it. Returns the addresses for the next
+/// process.
 pub async fn shut_down(
     context: &ClientContext,
     gateway: Gateway,
--- a/soak/src/faults/injector.rs
+++ b/soak/src/faults/injector.rs
@@ -23,7 +23,7 @@
     pub settings: RunSettings,
     /// Collects the counters of faults, and the faults that could not be injected.
     pub observations: Rc<ObservationLog>,
-    /// The state that clients of gateways in shutdown share.
+    /// The state that clients share. Faults start shutdown clients with it.
     pub clients: ClientContext,
     /// The state that endpoints share.
     pub endpoints: Rc<EndpointContext>,
--- a/soak/src/faults/schedule.rs
+++ b/soak/src/faults/schedule.rs
@@ -1,4 +1,4 @@
-//! Schedules faults at random times until the load ends. Two or three faults are active at a time.
+//! Injects faults at random times until the load ends. Usually two or three faults overlap.
 
 use super::injector::{FaultContext, Injector};
 use crate::error::SoakError;
--- a/soak/src/gateway/process.rs
+++ b/soak/src/gateway/process.rs
@@ -63,7 +63,7 @@
         })
     }
 
-    /// The number of the gateway, which its restarts share.
+    /// The number of the gateway, which stays the same when the gateway is restarted.
     pub fn index(&self) -> usize {
         self.index
     }
--- a/soak/src/notices.rs
+++ b/soak/src/notices.rs
@@ -6,12 +6,14 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A gateway counts as notified of changes that are published around a SIGHUP this long after the signal at the latest.
+/// A change that would count as notified within this time after a SIGHUP counts as notified at the end of this time.
+/// Until then the gateway may not have received a list from the new address of discovery.
 const RELOAD_GRACE: Duration = Duration::from_secs(4);
 /// Changes that were missed while the agent was silent count as notified this long after the silence. The agent sends
 /// the missed changes when it is available again, but the gateway may have to wait for the timeout of a call first.
 const SILENCE_GRACE: Duration = Duration::from_secs(1);
-/// Changes count as notified after this time if calls failed or were rejected, or if lists are polled.
+/// Changes that were missed in an outage in which calls failed or were rejected count as notified this long after the
+/// outage. Changes count as notified this long after their publication if lists are polled.
 const FAILURE_GRACE: Duration = Duration::from_secs(6);
 /// A change that was published less than this time before an outage may not have arrived.
 const TRANSFER_TIME: Duration = Duration::from_millis(100);
@@ -22,7 +24,8 @@
     from: Instant,
     /// The end of the outage. `None` while the outage lasts.
     until: Option<Instant>,
-    /// Missed changes count as notified this long after the end of the outage.
+    /// Missed changes count as notified this long after the end of the outage. The mode at the start of the outage
+    /// determines this time.
     grace: Duration,
 }
 
--- a/soak/src/rules/slow_start.rs
+++ b/soak/src/rules/slow_start.rs
@@ -1,8 +1,8 @@
 //! Checks that an endpoint that is warming up doesn't get more attempts than it can serve.
 //!
-//! The gateway has a check of its own (`driver/slow_start_check.rs`), which observes the attempts of one gateway and
-//! estimates the capacity. The check in this module observes the attempts of all gateways and knows the capacity.
-//! The two checks share no code on purpose, so that each can reveal a fault of the other.
+//! The gateway has a check of its own (`src/bin/quota-gateway/driver/slow_start_check.rs`), which observes the attempts
+//! of one gateway and estimates the capacity. The check in this module observes the attempts of all gateways and knows
+//! the capacity. The two checks share no code on purpose, so that each can reveal a fault of the other.
 
 use super::limits::RuleLimits;
 use std::collections::{HashMap, VecDeque};
--- a/soak/src/settings.rs
+++ b/soak/src/settings.rs
@@ -12,7 +12,8 @@
     pub seed: u64,
     /// Gateways poll a shared service for the endpoint list. Otherwise an agent pushes the list.
     pub is_polled: bool,
-    /// The time after which clients start no new requests and no faults are injected. Shutdown clients are exempt.
+    /// The end of the load. Clients and the schedule of faults check this time before each pause, so requests and a
+    /// fault that follow the last pause may begin later. Shutdown clients don't check this time.
     pub load_ends_at: Instant,
 }
 
