--- a/src/policy/customer_quota.rs
+++ b/src/policy/customer_quota.rs
@@ -43,7 +43,7 @@
     }
 
     /// Returns the units left for a request that has waited for the counter.
-    pub(super) fn counted_units(&self, gossip_active: bool) -> f64 {
+    pub(super) fn available_units_after_wait(&self, gossip_active: bool) -> f64 {
         if gossip_active {
             self.quota.level.min(self.gossip_level)
         } else {
@@ -70,7 +70,7 @@
             }
             // Only the units of the request itself are settled with a later charge. Earlier unsettled units
             // that the charge also carried are dropped and never reach the shared count.
-            ChargeResult::NotCounted => self.quota.settle_later(now, charge.units, limits),
+            ChargeResult::NotCounted => self.quota.add_unsettled_units(now, charge.units, limits),
             // If these units were charged again, they could count twice, and the customer would lose quota
             // that it hasn't used. If the counter has not counted them, they are missing from the shared
             // count.
@@ -86,7 +86,7 @@
     /// call has ended counts twice. The attempts of the peers are estimated by Little's law from their rate
     /// of usage, the mean units of a request and the duration of an attempt.
     pub(super) fn concurrent_attempts(&self, mean_units: f64, duration_ms: Millis) -> f64 {
-        let at_peers = self.quota.peer_rate / mean_units * duration_ms / 1000.0;
+        let at_peers = self.quota.peer_usage_rate / mean_units * duration_ms / 1000.0;
         f64::from(self.in_flight + self.pending_calls) + at_peers.round()
     }
 
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -14,7 +14,7 @@
 const RETRIES_PER_REQUEST: f64 = 0.1;
 /// Maximum number of unused retries in the budget.
 const MAX_SAVED_RETRIES: f64 = 10.0;
-/// Tokens that one retry takes from the budget.
+/// Tokens that one retry consumes.
 const RETRY_COST: f64 = 1.0;
 /// Longest assumed stall of the program between its last reading of the clock and the first byte of an
 /// attempt, in ms. A retry that relies on an idempotency key must start this long before the key's window
@@ -38,17 +38,18 @@
     /// Adds the share of one first attempt to the budget. The caller has queued the action that sends the
     /// attempt; the program may still not send it.
     pub(super) fn deposit(&mut self) {
-        self.retries.refill(RETRIES_PER_REQUEST, MAX_SAVED_RETRIES);
+        self.retries
+            .add_tokens(RETRIES_PER_REQUEST, MAX_SAVED_RETRIES);
     }
 
     /// Returns whether a retry is left.
     pub(super) fn has_retry(&self) -> bool {
-        self.retries.has(RETRY_COST)
+        self.retries.has_tokens(RETRY_COST)
     }
 
-    /// Takes one retry from the budget.
+    /// Withdraws one retry from the budget.
     pub(super) fn withdraw(&mut self) {
-        self.retries.take(RETRY_COST);
+        self.retries.consume_tokens(RETRY_COST);
     }
 }
 
@@ -66,7 +67,7 @@
     /// Latency of the request's class at an idle endpoint: the shortest expected duration of a retry.
     pub(super) baseline_latency_ms: Millis,
     /// Share of its value that a response keeps after the latency objective.
-    pub(super) late_weight: f64,
+    pub(super) late_value_share: f64,
     pub(super) idempotency: Idempotency,
     /// True if the retry budget has a retry left.
     pub(super) budget_has_retry: bool,
@@ -114,7 +115,7 @@
         return RetryDecision::Denied(RetryDenial::DeadlinePassed);
     }
     let earliest_response = inputs.now + inputs.baseline_latency_ms;
-    if inputs.late_weight <= 0.0 && earliest_response >= inputs.objective_deadline {
+    if inputs.late_value_share <= 0.0 && earliest_response >= inputs.objective_deadline {
         return RetryDecision::Denied(RetryDenial::PastObjective);
     }
     if inputs.outcome.never_executed() {
@@ -145,9 +146,9 @@
     pub(super) idempotency: Idempotency,
     /// Start time of the attempt that was the first to end with an outcome that doesn't exclude execution;
     /// none if no attempt has ended in this way.
-    pub(super) first_execution_at: Option<Millis>,
+    pub(super) first_possible_execution_at: Option<Millis>,
     /// True if the customer has no hard ceiling or the ceiling has the request's units left.
-    pub(super) fits_ceiling: bool,
+    pub(super) is_within_ceiling: bool,
 }
 
 /// The decision on an attempt, either the first one or a retry.
@@ -189,19 +190,19 @@
         return AttemptDecision::Denied(AttemptDenial::KeyWindowExpired);
     }
     // The first attempt took the units from the ceiling for all attempts of the request.
-    if inputs.attempts == 0 && !inputs.fits_ceiling {
+    if inputs.attempts == 0 && !inputs.is_within_ceiling {
         return AttemptDecision::Denied(AttemptDenial::CeilingReached);
     }
     AttemptDecision::Allowed { start_timeout_ms }
 }
 
 /// Returns the time within which the attempt has to be written, in ms. An endpoint recognises a retry only
-/// within the key's window, which begins with the attempt of `first_execution_at`; the time is infinite
-/// without such an attempt.
+/// within the key's window, which begins with the attempt of `first_possible_execution_at`; the time is
+/// infinite without such an attempt.
 fn start_timeout(inputs: &AttemptInputs) -> Millis {
-    match (inputs.idempotency, inputs.first_execution_at) {
-        (Idempotency::WithKey { window_ms, .. }, Some(first_execution_at)) => {
-            first_execution_at + window_ms - MAX_WRITE_DELAY_MS - inputs.now
+    match (inputs.idempotency, inputs.first_possible_execution_at) {
+        (Idempotency::WithKey { window_ms, .. }, Some(first_possible_execution_at)) => {
+            first_possible_execution_at + window_ms - MAX_WRITE_DELAY_MS - inputs.now
         }
         _ => f64::INFINITY,
     }
--- a/src/primitives/token_bucket.rs
+++ b/src/primitives/token_bucket.rs
@@ -1,4 +1,4 @@
-//! A token bucket: tokens are added up to a capacity, and each permitted action takes some.
+//! A token bucket: tokens are added up to a capacity, and each permitted action consumes some.
 
 /// A token bucket. The caller passes rate and capacity, as these may change from one refill to the next.
 #[derive(Clone, Copy, Debug)]
@@ -13,17 +13,17 @@
     }
 
     /// Adds tokens up to the capacity.
-    pub(crate) fn refill(&mut self, tokens: f64, capacity: f64) {
+    pub(crate) fn add_tokens(&mut self, tokens: f64, capacity: f64) {
         self.tokens = (self.tokens + tokens).min(capacity);
     }
 
     /// Returns whether the bucket holds at least these tokens.
-    pub(crate) fn has(self, tokens: f64) -> bool {
+    pub(crate) fn has_tokens(self, tokens: f64) -> bool {
         self.tokens >= tokens
     }
 
     /// Removes tokens. The number of tokens may become negative.
-    pub(crate) fn take(&mut self, tokens: f64) {
+    pub(crate) fn consume_tokens(&mut self, tokens: f64) {
         self.tokens -= tokens;
     }
 }
--- a/src/state/customer.rs
+++ b/src/state/customer.rs
@@ -7,7 +7,7 @@
 
 /// This gateway's record of one customer. `policy::customer_quota` has the methods that decide on the quota.
 pub(crate) struct Customer {
-    /// Time of the customer's last request.
+    /// Time of the customer's last event: a request's arrival, the end of its wait for the counter, or usage by gossip.
     pub(crate) last_seen_at: Millis,
     /// The quota as known from the counter's totals and this gateway's own usage.
     pub(crate) quota: SharedQuota,
@@ -82,25 +82,25 @@
     /// Records units that the customer used at this gateway. A negative number is a refund.
     pub(crate) fn record_usage(&mut self, id: CustomerId, units: f64) {
         if let Some(customer) = self.get_mut(id) {
-            customer.quota.take(units);
+            customer.quota.record_usage(units);
             customer.gossip_level -= units;
         }
     }
 
     /// Whether this gateway's share of the customer's hard ceiling has enough units left for the request.
-    pub(crate) fn fits_ceiling(&self, request: &Request) -> bool {
+    pub(crate) fn is_within_ceiling(&self, request: &Request) -> bool {
         self.get(request.customer)
-            .is_some_and(|customer| customer.ceiling.has(request.units))
+            .is_some_and(|customer| customer.ceiling.has_tokens(request.units))
     }
 
     /// Records that an attempt was sent. The first attempt of a request takes its units from the hard ceiling.
-    pub(crate) fn attempt_started(&mut self, request: &Request, first: bool) {
+    pub(crate) fn attempt_started(&mut self, request: &Request, is_first: bool) {
         let Some(customer) = self.get_mut(request.customer) else {
             return;
         };
         customer.in_flight += 1;
-        if first {
-            customer.ceiling.take(request.units);
+        if is_first {
+            customer.ceiling.consume_tokens(request.units);
         }
     }
 
@@ -111,18 +111,22 @@
     }
 
     /// Reserves the units of a request that waits for the counter's reply.
-    pub(crate) fn reserve(&mut self, open: &mut OpenRequest) {
-        open.awaiting_counter = true;
-        if let Some(customer) = self.get_mut(open.request.customer) {
-            customer.reserved_units += open.request.units;
+    pub(crate) fn reserve_units(&mut self, open_request: &mut OpenRequest) {
+        open_request.awaiting_counter = true;
+        if let Some(customer) = self.get_mut(open_request.request.customer) {
+            customer.reserved_units += open_request.request.units;
         }
     }
 
     /// Releases the units reserved for a request, if it is waiting for the counter's reply.
-    pub(crate) fn release(&mut self, open: &mut OpenRequest) {
-        let waited = std::mem::take(&mut open.awaiting_counter);
-        if let Some(customer) = self.get_mut(open.request.customer).filter(|_| waited) {
-            customer.reserved_units = (customer.reserved_units - open.request.units).max(0.0);
+    pub(crate) fn release_units(&mut self, open_request: &mut OpenRequest) {
+        let waited = std::mem::take(&mut open_request.awaiting_counter);
+        if let Some(customer) = self
+            .get_mut(open_request.request.customer)
+            .filter(|_| waited)
+        {
+            customer.reserved_units =
+                (customer.reserved_units - open_request.request.units).max(0.0);
         }
     }
 
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -9,7 +9,8 @@
 /// This gateway's record of one endpoint. Further methods are in `policy::latency` (the expected latency) and
 /// `policy::ejection` (whether attempts may be sent to the endpoint).
 pub(crate) struct TrackedEndpoint {
-    pub(crate) endpoint: Endpoint,
+    /// The endpoint's entry in the endpoint list.
+    pub(crate) entry: Endpoint,
     /// Number of the last update of the endpoint list that contained the endpoint.
     pub(crate) last_update: u64,
     /// Number of this gateway's attempts in flight at the endpoint.
@@ -27,13 +28,13 @@
 impl TrackedEndpoint {
     /// A new record of an endpoint, from its entry in the endpoint list.
     pub(crate) fn new(
-        endpoint: Endpoint,
+        entry: Endpoint,
         connections: ConnectionEstimate,
         warm_up: WarmUp,
         now: Millis,
     ) -> Self {
         TrackedEndpoint {
-            endpoint,
+            entry,
             last_update: 0,
             in_flight: 0,
             last_valid_response_at: now,
@@ -45,18 +46,15 @@
     }
 
     pub(crate) fn is_ready(&self) -> bool {
-        self.endpoint.state == EndpointState::Ready
+        self.entry.state == EndpointState::Ready
     }
 
     /// The endpoint's node on the ring of ready endpoints; `None` if the endpoint is not ready.
     pub(crate) fn ring_node(&self) -> Option<Node> {
         let Endpoint {
-            id,
-            zone,
-            hash_key: key,
-            ..
-        } = self.endpoint;
-        self.is_ready().then_some(Node { id, zone, key })
+            id, zone, hash_key, ..
+        } = self.entry;
+        self.is_ready().then_some(Node { id, zone, hash_key })
     }
 
     /// Time of the last successful attempt, or of the endpoint's first appearance in the list if none has succeeded.
@@ -66,7 +64,7 @@
     }
 
     pub(crate) fn has_free_connection(&self, now: Millis) -> bool {
-        self.connections.has_free(now, self.in_flight)
+        self.connections.has_free_connection(now, self.in_flight)
     }
 
     /// Resets health, latency and warm-up after a restart of the endpoint.
@@ -82,7 +80,7 @@
         }
         self.in_flight += 1;
         self.connections.attempt_started(now, self.in_flight);
-        self.warm_up.take_token();
+        self.warm_up.consume_token();
     }
 
     pub(crate) fn attempt_ended(&mut self, now: Millis, outcome: Outcome) {
--- a/src/state/shared_quota.rs
+++ b/src/state/shared_quota.rs
@@ -17,7 +17,7 @@
     /// Number of the window in which usage is currently counted.
     pub(crate) window: u64,
     /// Usage at all gateways according to the last total, decayed to `last_total_at`; `None` before the first total.
-    pub(crate) last_usage: Option<f64>,
+    pub(crate) usage_at_last_total: Option<f64>,
     /// Time of the last total, or the start of the current window if that is later. Before the first total, the time at
     /// which the record was created.
     pub(crate) last_total_at: Millis,
@@ -26,7 +26,7 @@
     /// Usage in earlier windows, decayed to the start of the current window.
     pub(crate) usage_before_window: f64,
     /// Average usage at the other gateways, in units per second.
-    pub(crate) peer_rate: f64,
+    pub(crate) peer_usage_rate: f64,
     /// Extrapolated usage at the other gateways since the last total, in units.
     pub(crate) extrapolated_units: f64,
 }
@@ -41,17 +41,17 @@
             unsettled_units: 0.0,
             unsettled_at: 0.0,
             window: 0,
-            last_usage: None,
+            usage_at_last_total: None,
             last_total_at: now,
             own_count: 0.0,
             usage_before_window: 0.0,
-            peer_rate: 0.0,
+            peer_usage_rate: 0.0,
             extrapolated_units: 0.0,
         }
     }
 
     /// Records units used at this gateway. A negative number is a refund.
-    pub(crate) fn take(&mut self, units: f64) {
+    pub(crate) fn record_usage(&mut self, units: f64) {
         self.level -= units;
     }
 }
--- a/src/wire_settings/conversion.rs
+++ b/src/wire_settings/conversion.rs
@@ -34,7 +34,7 @@
     Class {
         latency_objective_ms: wire.latency_objective_ms,
         deadline_ms: wire.deadline_ms,
-        late_weight: wire.late_weight,
+        late_value_share: wire.late_value_share,
         idempotency: idempotency(wire),
     }
 }
@@ -64,7 +64,7 @@
         rate: wire.rate,
         burst: wire.burst,
         max_concurrency: wire.max_concurrency,
-        over_quota_weight: wire.over_quota_weight,
+        over_quota_value_share: wire.over_quota_value_share,
         over_quota_cost: wire.over_quota_cost,
         ceiling_rate: wire.ceiling_rate,
         ceiling_burst: wire.ceiling_burst,
