--- a/soak/src/clients/steady.rs
+++ b/soak/src/clients/steady.rs
@@ -27,7 +27,7 @@
 
 /// A connection to a gateway.
 struct GatewayConnection {
-    connection: Connection,
+    http: Connection,
     gateway: usize,
     generation: u32,
     opened_at: Instant,
@@ -121,7 +121,7 @@
         let connecting = TcpStream::connect(state.address);
         let stream = timeout(CONNECT_TIMEOUT, connecting).await.ok()?.ok()?;
         Some(GatewayConnection {
-            connection: Connection::new(stream),
+            http: Connection::new(stream),
             gateway,
             generation: state.generation,
             opened_at: Instant::now(),
@@ -133,21 +133,21 @@
     /// once.
     async fn make_request(&mut self, request: &Request, in_two_pieces: bool) {
         for _ in 0..2 {
-            let Some(mut open) = self.connect().await else {
+            let Some(mut connection) = self.connect().await else {
                 return;
             };
             // A failure is ignored: a response may have arrived before it.
-            let _ = self.send(&mut open, request, in_two_pieces).await;
-            match receive(&self.context, &mut open.connection, request).await {
-                Outcome::Response(response) => return self.keep_alive(open, &response),
-                Outcome::TimedOut => return self.check_timed_out(&open, request),
+            let _ = self.send(&mut connection, request, in_two_pieces).await;
+            match receive(&self.context, &mut connection.http, request).await {
+                Outcome::Response(response) => return self.keep_alive(connection, &response),
+                Outcome::TimedOut => return self.check_timed_out(&connection, request),
                 Outcome::Closed(Close::Unread)
-                    if open.is_reused && !self.was_forwarded(request) =>
+                    if connection.is_reused && !self.was_forwarded(request) =>
                 {
                     let observations = &self.context.observations;
                     observations.increment("requests closed unread on a reused connection");
                 }
-                Outcome::Closed(close) => return self.check_closed(&open, request, close),
+                Outcome::Closed(close) => return self.check_closed(&connection, request, close),
             }
         }
     }
@@ -155,14 +155,14 @@
     /// Sends a request. Returns false if the connection broke.
     async fn send(
         &mut self,
-        open: &mut GatewayConnection,
+        connection: &mut GatewayConnection,
         request: &Request,
         in_two_pieces: bool,
     ) -> bool {
         let mut rest = request.text.as_bytes();
         if in_two_pieces {
             let (first, last) = rest.split_at(self.rng.random_range(1..rest.len()));
-            if open.connection.send(first).await.is_err() {
+            if connection.http.send(first).await.is_err() {
                 return false;
             }
             sleep(Duration::from_millis(self.rng.random_range(PIECE_PAUSE_MS))).await;
@@ -171,17 +171,17 @@
         self.context.checker.borrow_mut().request_sent(
             request.transaction,
             request.class,
-            open.gateway,
+            connection.gateway,
             request.remaining,
         );
-        open.connection.send(rest).await.is_ok()
+        connection.http.send(rest).await.is_ok()
     }
 
     /// Keeps the connection for the next request in 9 of 10 cases, unless the response closes the connection.
-    fn keep_alive(&mut self, mut open: GatewayConnection, response: &Message) {
+    fn keep_alive(&mut self, mut connection: GatewayConnection, response: &Message) {
         if !response.closes_connection() && self.rng.random_range(0..10) > 0 {
-            open.is_reused = true;
-            self.idle_connection = Some(open);
+            connection.is_reused = true;
+            self.idle_connection = Some(connection);
         }
     }
 
@@ -190,33 +190,42 @@
         checker.was_forwarded(request.transaction)
     }
 
-    fn was_killed(&self, open: &GatewayConnection) -> bool {
-        let state = self.context.directory.state(open.gateway);
+    fn was_killed(&self, connection: &GatewayConnection) -> bool {
+        let state = self.context.directory.state(connection.gateway);
         state
             .killed_generation
-            .is_some_and(|killed| killed >= open.generation)
+            .is_some_and(|killed| killed >= connection.generation)
     }
 
     /// Checks a request whose connection ended without a response. The request is lost unless its gateway was killed,
     /// idle clients may be the cause, or the load balancer should no longer have opened the connection.
-    fn check_closed(&self, open: &GatewayConnection, request: &Request, close: Close) {
+    fn check_closed(&self, connection: &GatewayConnection, request: &Request, close: Close) {
         let observations = &self.context.observations;
-        if self.was_killed(open) {
+        if self.was_killed(connection) {
             return observations.increment("requests to gateways that were killed");
         }
         let has_idle_clients = self.context.settings.scenario.has_idle_clients;
         if has_idle_clients && close.may_be_due_to_idle_clients(self.was_forwarded(request)) {
             return observations.increment("requests closed unread in runs with idle clients");
         }
-        if !open.is_reused && self.was_opened_too_late(open) {
+        if !connection.is_reused && self.was_opened_too_late(connection) {
             return observations.increment("requests to gateways that were shutting down");
         }
-        let kind = if open.is_reused { "reused" } else { "new" };
-        let terminated_at = self.context.directory.state(open.gateway).terminated_at;
-        let after_sigterm = terminated_at.and_then(|at| open.opened_at.checked_duration_since(at));
+        let kind = if connection.is_reused {
+            "reused"
+        } else {
+            "new"
+        };
+        let terminated_at = self
+            .context
+            .directory
+            .state(connection.gateway)
+            .terminated_at;
+        let after_sigterm =
+            terminated_at.and_then(|at| connection.opened_at.checked_duration_since(at));
         let detail = format!(
             "{close:?} on a {kind} connection, opened {:?} ago and {after_sigterm:?} after SIGTERM",
-            open.opened_at.elapsed()
+            connection.opened_at.elapsed()
         );
         self.report_lost(request, &detail);
     }
@@ -224,20 +233,20 @@
     /// True if the load balancer should no longer have opened the connection: it was opened more than twice
     /// `LOAD_BALANCER_DELAY` after SIGTERM. Once the next process of the gateway has started, the time of SIGTERM is
     /// no longer known. Then this returns true if the connection was opened longer ago than the longest deadline.
-    fn was_opened_too_late(&self, open: &GatewayConnection) -> bool {
-        let state = self.context.directory.state(open.gateway);
+    fn was_opened_too_late(&self, connection: &GatewayConnection) -> bool {
+        let state = self.context.directory.state(connection.gateway);
         let longest_deadline = self.context.settings.scenario.longest_deadline();
-        let was_replaced = state.generation != open.generation
+        let was_replaced = state.generation != connection.generation
             && state.terminated_at.is_none()
-            && open.opened_at.elapsed() > longest_deadline;
+            && connection.opened_at.elapsed() > longest_deadline;
         let was_terminated = state
             .terminated_at
-            .is_some_and(|at| open.opened_at > at + 2 * LOAD_BALANCER_DELAY);
+            .is_some_and(|at| connection.opened_at > at + 2 * LOAD_BALANCER_DELAY);
         was_replaced || was_terminated
     }
 
-    fn check_timed_out(&self, open: &GatewayConnection, request: &Request) {
-        if !self.was_killed(open) {
+    fn check_timed_out(&self, connection: &GatewayConnection, request: &Request) {
+        if !self.was_killed(connection) {
             self.report_lost(request, "no response in time");
         }
     }
@@ -249,24 +258,24 @@
 
     /// Sends a request and disconnects before the response.
     async fn disconnect_early(&mut self, request: &Request, resets: bool, sends_extra_bytes: bool) {
-        let Some(mut open) = self.connect().await else {
+        let Some(mut connection) = self.connect().await else {
             return;
         };
-        if !self.send(&mut open, request, false).await {
+        if !self.send(&mut connection, request, false).await {
             return;
         }
         if sends_extra_bytes {
             let extra_bytes = vec![b'x'; self.rng.random_range(0..MAX_EXTRA_BYTES)];
-            let _ = timeout(request.remaining, open.connection.send(&extra_bytes)).await;
+            let _ = timeout(request.remaining, connection.http.send(&extra_bytes)).await;
         }
         sleep(Duration::from_millis(
             self.rng.random_range(DISCONNECT_DELAY_MS),
         ))
         .await;
         if resets {
-            open.connection.reset_on_drop();
+            connection.http.reset_on_drop();
         }
-        drop(open);
+        drop(connection);
         let mut checker = self.context.checker.borrow_mut();
         checker.client_disconnected(request.transaction);
     }
@@ -274,28 +283,28 @@
     /// Sends two requests without waiting in between, and reads both responses.
     async fn make_pipelined_requests(&mut self, first: &Request) {
         let second = self.requests.next();
-        let Some(mut open) = self.connect().await else {
+        let Some(mut connection) = self.connect().await else {
             return;
         };
         for request in [first, &second] {
-            if !self.send(&mut open, request, false).await {
+            if !self.send(&mut connection, request, false).await {
                 return;
             }
         }
         for request in [first, &second] {
-            match receive(&self.context, &mut open.connection, request).await {
+            match receive(&self.context, &mut connection.http, request).await {
                 // No response follows a response that closes the connection.
                 Outcome::Response(response) if response.closes_connection() => return,
                 Outcome::Response(_) => {}
-                Outcome::TimedOut => return self.check_timed_out(&open, request),
+                Outcome::TimedOut => return self.check_timed_out(&connection, request),
                 Outcome::Closed(close) if self.was_forwarded(request) => {
-                    return self.check_closed(&open, request, close);
+                    return self.check_closed(&connection, request, close);
                 }
                 // A client that pipelines requests has to expect that the connection ends after any response.
                 Outcome::Closed(_) => return,
             }
         }
-        open.is_reused = true;
-        self.idle_connection = Some(open);
+        connection.is_reused = true;
+        self.idle_connection = Some(connection);
     }
 }
