--- a/emulator/src/clients.rs
+++ b/emulator/src/clients.rs
@@ -81,12 +81,12 @@
     }
 
     /// Draws the time until the next client's first request.
-    pub(crate) fn next_arrival_in(&mut self) -> Micros {
+    pub(crate) fn draw_arrival_gap(&mut self) -> Micros {
         ms_to_micros(self.arrival_gap_ms.sample(&mut self.rng))
     }
 
     /// Draws the next client's first request.
-    pub(crate) fn next_request(&mut self) -> ClientRequest {
+    pub(crate) fn draw_request(&mut self) -> ClientRequest {
         let customer = match &self.customer_popularity {
             Some(popularity) => popularity.sample(&mut self.rng) as u64 - 1,
             None => self.rng.random_range(0..self.customers),
@@ -96,7 +96,7 @@
         let cost_ratio = self.rng.random_range(COST_RATIO);
         let plan = index_of(
             &self.cumulative_plans,
-            customer_draw(customer, CustomerProperty::Plan),
+            customer_hash(customer, CustomerProperty::Plan),
         );
         ClientRequest {
             customer,
@@ -119,7 +119,7 @@
         let set_size = self.gateway_set_size as usize;
         let first = index_of(
             &self.cumulative_gateways,
-            customer_draw(customer, CustomerProperty::FirstGateway),
+            customer_hash(customer, CustomerProperty::FirstGateway),
         );
         let start_in_set = self.rng.random_range(0..self.gateway_set_size) as usize;
         let start_outside = self.rng.random_range(0..gateways);
@@ -130,7 +130,7 @@
 
     /// Draws whether the client retries a request that was not served, and the delay until the retry. `retry_after_ms`
     /// is the delay that the gateway advised; 0 if it advised none.
-    pub(crate) fn retry(
+    pub(crate) fn draw_retry(
         &mut self,
         request: &ClientRequest,
         retry_after_ms: f64,
@@ -203,15 +203,15 @@
     sums
 }
 
-/// Index of the entry whose interval of the cumulative shares contains `draw`, a number from 0 to 1.
-fn index_of(cumulative: &[f64], draw: f64) -> usize {
+/// Index of the entry whose interval of the cumulative shares contains `position`, a number from 0 to 1.
+fn index_of(cumulative: &[f64], position: f64) -> usize {
     cumulative
-        .partition_point(|sum| *sum <= draw)
+        .partition_point(|sum| *sum <= position)
         .min(cumulative.len() - 1)
 }
 
-/// A number from 0 to 1 derived from a hash of the customer and the property, the same in every experiment.
-fn customer_draw(customer: u64, property: CustomerProperty) -> f64 {
+/// Hash of the customer and the property as a number from 0 to 1. The hash is the same in every experiment.
+fn customer_hash(customer: u64, property: CustomerProperty) -> f64 {
     // Mixes the bits with the constants of SplitMix64.
     let key = customer ^ (property as u64) << 40;
     let mixed = key
--- a/emulator/src/discovery.rs
+++ b/emulator/src/discovery.rs
@@ -25,8 +25,8 @@
         Discovery {
             endpoints,
             changes: Vec::new(),
-            propagation: range(model.propagation_ms),
-            failure_detection: range(model.failure_detection_ms),
+            propagation: delay_range(model.propagation_ms),
+            failure_detection: delay_range(model.failure_detection_ms),
             rng,
             down: false,
         }
@@ -84,6 +84,6 @@
     }
 }
 
-fn range([shortest_ms, longest_ms]: [f64; 2]) -> RangeInclusive<Micros> {
+fn delay_range([shortest_ms, longest_ms]: [f64; 2]) -> RangeInclusive<Micros> {
     ms_to_micros(shortest_ms)..=ms_to_micros(longest_ms)
 }
--- a/emulator/src/experiment/validation.rs
+++ b/emulator/src/experiment/validation.rs
@@ -10,6 +10,7 @@
 const DAY_MS: f64 = DAY_S * 1000.0;
 const MAX_DELAY_MS: f64 = 10_000.0;
 const MAX_REGIONS: f64 = 64.0;
+const MAX_ZONES_PER_REGION: f64 = 64.0;
 const MAX_GATEWAYS: f64 = 10_000.0;
 const MAX_ENDPOINTS: f64 = 100_000.0;
 const MAX_CONNECTIONS: f64 = 1e6;
@@ -70,7 +71,7 @@
         "topology.zones_per_region",
         topology.zones_per_region.into(),
         1.0,
-        MAX_REGIONS,
+        MAX_ZONES_PER_REGION,
     )?;
     check_range(
         "topology.same_zone_ms",
--- a/emulator/src/real/clients.rs
+++ b/emulator/src/real/clients.rs
@@ -78,11 +78,11 @@
     async fn run(self) -> ResponseStats {
         sleep(self.start_delay).await;
         let count = (self.duration.as_secs_f64() / self.interval.as_secs_f64()).floor() as u64;
-        let mut due = interval(self.interval);
+        let mut ticker = interval(self.interval);
         let mut connection = ClientConnection::new(self.gateway);
         let mut stats = ResponseStats::default();
         for index in 0..count {
-            due.tick().await;
+            ticker.tick().await;
             let started_at = Instant::now();
             match self.request(&mut connection, index).await {
                 Ok(STATUS_OK) => {
--- a/emulator/src/simulation/actions.rs
+++ b/emulator/src/simulation/actions.rs
@@ -45,7 +45,7 @@
                 let process = self.gateways[gateway as usize].process;
                 self.queue.schedule_in(
                     ms_to_micros(after_ms),
-                    Event::GatewayTimer { process, token },
+                    Event::GatewayTimerFires { process, token },
                 );
             }
             Action::AddToCounter {
@@ -76,7 +76,7 @@
     }
 
     /// Notifies the gateway that a timer has fired. Timers of earlier processes are ignored.
-    pub(super) fn gateway_timer(&mut self, process: GatewayProcess, token: u64) {
+    pub(super) fn gateway_timer_fires(&mut self, process: GatewayProcess, token: u64) {
         if self.is_running(process) {
             self.notify_gateway(process.index, GatewayEvent::TimerFired { token });
         }
--- a/emulator/src/simulation/event.rs
+++ b/emulator/src/simulation/event.rs
@@ -20,7 +20,7 @@
     /// The client of a request disconnects, if it still awaits the response.
     ClientDisconnects { request: u64 },
     /// A timer set by a gateway fires.
-    GatewayTimer { process: GatewayProcess, token: u64 },
+    GatewayTimerFires { process: GatewayProcess, token: u64 },
     /// An attempt arrives at its endpoint.
     AttemptArrives { attempt: u64 },
     /// An endpoint completes an attempt, unless the endpoint has lost its requests in the meantime.
--- a/emulator/src/simulation/mod.rs
+++ b/emulator/src/simulation/mod.rs
@@ -168,7 +168,7 @@
                 break;
             }
             self.dispatch(event);
-            progress.event_done(now);
+            progress.record_event(now);
         }
     }
 
@@ -177,7 +177,7 @@
             Event::ClientArrives => self.client_arrives(),
             Event::ClientRetries(request) => self.client_retries(request),
             Event::ClientDisconnects { request } => self.client_disconnects(request),
-            Event::GatewayTimer { process, token } => self.gateway_timer(process, token),
+            Event::GatewayTimerFires { process, token } => self.gateway_timer_fires(process, token),
             Event::AttemptArrives { attempt } => self.attempt_arrives(attempt),
             Event::ServiceCompleted {
                 endpoint,
@@ -246,7 +246,7 @@
         }
     }
 
-    fn event_done(&mut self, now: Micros) {
+    fn record_event(&mut self, now: Micros) {
         self.events += 1;
         if self.events % EVENTS_PER_CLOCK_CHECK != 0
             || self.logged_at.elapsed() <= PROGRESS_INTERVAL
--- a/emulator/src/simulation/requests.rs
+++ b/emulator/src/simulation/requests.rs
@@ -42,9 +42,9 @@
         if self.queue.now() >= self.ends_at {
             return;
         }
-        let next_in = self.clients.next_arrival_in();
-        self.queue.schedule_in(next_in, Event::ClientArrives);
-        let request = self.clients.next_request();
+        let arrival_gap = self.clients.draw_arrival_gap();
+        self.queue.schedule_in(arrival_gap, Event::ClientArrives);
+        let request = self.clients.draw_request();
         self.request_arrives(request);
     }
 
@@ -206,7 +206,7 @@
             UnsuccessfulResponse::Rejected { retry_after_ms } => retry_after_ms,
             UnsuccessfulResponse::Failed => 0.0,
         };
-        if let Some((retry, delay)) = self.clients.retry(&client_request, retry_after_ms) {
+        if let Some((retry, delay)) = self.clients.draw_retry(&client_request, retry_after_ms) {
             self.queue.schedule_in(delay, Event::ClientRetries(retry));
         }
         self.drop_if_ended(id);
