--- a/emulator/tests/command.rs
+++ b/emulator/tests/command.rs
@@ -14,7 +14,7 @@
         .unwrap()
 }
 
-fn file(name: &str, text: &str) -> String {
+fn write_temp_file(name: &str, text: &str) -> String {
     let path =
         std::env::temp_dir().join(format!("fleet-emulator-test-{}-{name}", std::process::id()));
     std::fs::write(&path, text).unwrap();
@@ -77,7 +77,7 @@
     .enumerate()
     {
         assert!(SMALL.contains(old));
-        let path = file(
+        let path = write_temp_file(
             &format!("invalid-{number}.toml"),
             &SMALL.replacen(old, new, 1),
         );
@@ -99,7 +99,10 @@
     let short = SMALL
         .replace("seconds = 20", "seconds = 1")
         .replace("measure_from_s = 5", "measure_from_s = 0");
-    let (path, report) = (file("short.toml", &short), file("report.json", ""));
+    let (path, report) = (
+        write_temp_file("short.toml", &short),
+        write_temp_file("report.json", ""),
+    );
     let output = emulator(&[
         "--log-format",
         "json",
--- a/emulator/tests/experiments.rs
+++ b/emulator/tests/experiments.rs
@@ -15,7 +15,7 @@
     parse(&(text + more)).unwrap()
 }
 
-fn text(report: &Report) -> String {
+fn report_json(report: &Report) -> String {
     serde_json::to_string(report).unwrap()
 }
 
@@ -24,7 +24,7 @@
     let faults =
         "[[faults]]\nwhat = \"endpoint-rollout\"\nstart_s = 1\nduration_s = 2\nshare = 0.3\n";
     let experiment = small(4, faults);
-    let reports = [1, 1, 2].map(|seed| text(&run(&experiment, seed).unwrap()));
+    let reports = [1, 1, 2].map(|seed| report_json(&run(&experiment, seed).unwrap()));
     assert_eq!(reports[0], reports[1]);
     assert_ne!(reports[0], reports[2]);
 }
@@ -148,7 +148,7 @@
             "{fault}: {:?}",
             report.violations
         );
-        assert!(is_in_report(&report), "{fault}: {}", text(&report));
+        assert!(is_in_report(&report), "{fault}: {}", report_json(&report));
     }
 }
 
