--- a/emulator/src/clients.rs
+++ b/emulator/src/clients.rs
@@ -46,7 +46,7 @@
     cumulative_classes: Vec<f64>,
     /// Cumulative shares of the plans; the last is 1.
     cumulative_plans: Vec<f64>,
-    /// Cumulative shares of the requests by gateway; the last is 1.
+    /// Cumulative shares of the customers by the first gateway of their sets; the last is 1.
     cumulative_gateways: Vec<f64>,
     gateway_set_size: u32,
     retry_share: f64,
@@ -148,7 +148,8 @@
         Some((retry, ms_to_micros(retry_after_ms.max(own_delay_ms))))
     }
 
-    /// Draws the delay after which a client disconnects; `None` if it waits for its response until the deadline.
+    /// Draws the delay after which a client disconnects; `None` if the client waits for the response up to the
+    /// deadline.
     pub(crate) fn draw_disconnect_delay(&mut self, deadline: Micros) -> Option<Micros> {
         if self.rng.random::<f64>() >= self.disconnect_share {
             return None;
@@ -171,7 +172,8 @@
         })
 }
 
-/// Relative request rates of the gateways. Hot gateways are spread evenly over the fleet.
+/// Weights of the gateways in the choice of the first gateway of a customer's set. Hot gateways are spread evenly over
+/// the fleet.
 fn gateway_weights(experiment: &Experiment) -> Vec<f64> {
     let gateways = &experiment.gateways;
     let count = u64::from(gateways.count);
--- a/emulator/src/discovery.rs
+++ b/emulator/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Model of discovery: the endpoint list, the sequence of its changes, and the delays until the gateways' agents have
-//! them.
+//! Model of discovery: the endpoint list, the sequence of its changes, and the delays until the gateways' agents
+//! receive them.
 
 use crate::experiment::DiscoveryModel;
 use crate::{ms_to_micros, Micros};
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Draws the time until one agent has a change.
+    /// Draws the time until one agent receives a change.
     pub(crate) fn draw_propagation_delay(&mut self) -> Micros {
         self.rng.random_range(self.propagation.clone())
     }
--- a/emulator/src/experiment/model.rs
+++ b/emulator/src/experiment/model.rs
@@ -72,10 +72,12 @@
 pub struct GatewayModel {
     /// Number of gateways.
     pub count: u32,
-    /// Share of the gateways that get more requests than the others (hot gateways).
+    /// Share of the gateways that are the first of more customers' sets than the others (hot gateways).
     #[serde(default)]
     pub hot_share: f64,
-    /// Requests to a hot gateway, as a multiple of the requests to another gateway.
+    /// Probability that a customer's set begins with a given hot gateway, as a multiple of the probability for another
+    /// gateway. The requests are multiplied by as much only if `load.gateway_set_size` is 1: a larger set spreads them
+    /// over the gateways that follow.
     #[serde(default = "default_hot_multiplier", alias = "hot_times")]
     pub hot_multiplier: f64,
     /// Maximum number of connections from each gateway to endpoints.
@@ -138,7 +140,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DiscoveryModel {
-    /// Minimum and maximum time until an agent has a change.
+    /// Minimum and maximum time until an agent receives a change.
     #[serde(alias = "notice_ms")]
     pub propagation_ms: [f64; 2],
     /// Minimum and maximum time until discovery detects that an endpoint has become unreachable.
@@ -166,8 +168,8 @@
     /// Mean delay before a client's retry. A longer delay advised by the gateway takes precedence.
     #[serde(default = "default_retry_delay_ms", alias = "retry_ms")]
     pub retry_delay_ms: f64,
-    /// Share of the requests whose client disconnects at a random time before the deadline, unless it has been answered
-    /// by then.
+    /// Share of the requests whose client disconnects at a random time before the deadline, unless the request has been
+    /// answered by then.
     #[serde(default, alias = "leave_share")]
     pub disconnect_share: f64,
 }
@@ -297,7 +299,7 @@
         #[serde(alias = "for_s")]
         duration_s: f64,
     },
-    /// The counter answers no call. It returns without its data.
+    /// The counter answers no call. At the end of the fault it has lost its data.
     #[serde(alias = "counter-down")]
     CounterOutage {
         /// Time at which the fault begins.
--- a/emulator/src/experiment/settings.rs
+++ b/emulator/src/experiment/settings.rs
@@ -7,7 +7,7 @@
 
 /// Shortest time between two calls of the library.
 const TICK_MS: f64 = 1.0;
-/// Maximum units of one request. Clients declare 1 or 2, and the actual units are up to a third more.
+/// Maximum units of one request. Clients declare 1 or 2, and the actual units are less than 1.3 times as many.
 const MAX_UNITS: f64 = 4.0;
 const OVER_QUOTA_COST: f64 = 0.5;
 const MAX_RETRY_AFTER_MS: f64 = 2000.0;
--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -4,7 +4,7 @@
 //! - [`run`] runs an [`experiment`]: a discrete-event simulation of many instances of the decision library in one
 //!   process. The same experiment and seed give the same [`report`], byte for byte. Each emulated component draws from
 //!   its own random stream.
-//! - [`scaling`] measures the costs that grow with the size of the fleet.
+//! - [`scaling`] measures the costs that grow with the number of endpoints.
 //! - [`real`] runs the gateway's program against stand-ins on loopback.
 
 mod clients;
@@ -27,12 +27,13 @@
 /// A time on the event clock or a duration, in microseconds.
 pub(crate) type Micros = u64;
 
-/// Upper limit of a time on the event clock, in ms.
+/// Largest time or duration that is converted to the event clock, in ms.
 const MAX_MS: f64 = 1e12;
 /// Bytes reserved for the kind of a random stream in the stream's key.
 const KIND_BYTES: usize = 16;
 
-/// Converts milliseconds to microseconds of the event clock. The value is limited to 0 to `MAX_MS`.
+/// Converts milliseconds to microseconds of the event clock. Values below 0 count as 0, values above `MAX_MS` as
+/// `MAX_MS`.
 pub(crate) fn ms_to_micros(ms: f64) -> Micros {
     (ms.clamp(0.0, MAX_MS) * 1000.0).round() as Micros
 }
--- a/emulator/src/real/mod.rs
+++ b/emulator/src/real/mod.rs
@@ -1,5 +1,5 @@
-//! Runs of the gateway's program on loopback, with stand-ins for the surrounding services and emulated clients. A run
-//! measures the CPU time, memory and traffic of the gateways.
+//! Runs of the gateway's program on loopback, against stand-ins for the surrounding services and under the load of
+//! emulated clients. A run measures the CPU time, memory and traffic of the gateways.
 
 mod arguments;
 mod clients;
--- a/emulator/src/real/run.rs
+++ b/emulator/src/real/run.rs
@@ -11,7 +11,7 @@
 use tokio::task::LocalSet;
 use tokio::time::{sleep, Instant};
 
-/// Time after the gateways are ready in which work of their startup can still use processor time.
+/// Pause before the idle phase: after the gateways are ready, their startup can still use processor time.
 const STARTUP_SETTLE_TIME: Duration = Duration::from_secs(1);
 
 impl RealRun {
--- a/emulator/src/real/stand_ins.rs
+++ b/emulator/src/real/stand_ins.rs
@@ -22,7 +22,7 @@
 /// Odd multiplier that spreads the ids of endpoints over all 32 bits.
 const ID_MULTIPLIER: u32 = 0x9E37_79B9;
 
-/// Traffic of the counter and discovery up to one time.
+/// Total traffic of the counter and discovery from the start of the stand-ins to one time.
 #[derive(Clone, Copy)]
 pub(super) struct TrafficCounts {
     /// Number of calls of the counter, and bytes in both directions.
--- a/emulator/src/report/mod.rs
+++ b/emulator/src/report/mod.rs
@@ -23,13 +23,13 @@
     pub requests: RequestStats,
     /// Attempts by outcome, in the measured part.
     pub attempts: AttemptStats,
-    /// Time from a request's arrival at the gateway to its successful response there, in ms.
+    /// Time from a request's arrival at the gateway to its successful response there, in ms, in the measured part.
     pub latency_ms: Distribution,
-    /// Statistics of the gateways.
+    /// Statistics of the gateways, in the measured part unless the field says otherwise.
     pub gateways: GatewayStats,
-    /// Statistics of the endpoints that were running at the end.
+    /// Statistics of the endpoints that were running at the end, in the measured part unless the field says otherwise.
     pub endpoints: EndpointStats,
-    /// Statistics of the shared counter.
+    /// Statistics of the shared counter, in the measured part unless the field says otherwise.
     pub counter: CounterStats,
     /// Statistics of the distribution of the endpoint list, from the start of the experiment.
     pub discovery: DiscoveryStats,
--- a/emulator/src/scaling/measurements.rs
+++ b/emulator/src/scaling/measurements.rs
@@ -125,7 +125,7 @@
     }
 
     /// Makes a request, and reports the success of the oldest one if more than `IN_FLIGHT` are open. Returns the
-    /// endpoint that the new request is sent to.
+    /// endpoint that the new request is sent to; `None` if the gateway does not forward it.
     fn request(&mut self, id: u64) -> Option<u32> {
         let now = id as f64 * REQUEST_INTERVAL_MS;
         self.actions.clear();
--- a/emulator/src/simulation/attempts.rs
+++ b/emulator/src/simulation/attempts.rs
@@ -196,7 +196,8 @@
         }
     }
 
-    /// Sends a response to the gateway. The response is lost if a partition separates the two.
+    /// Sends an endpoint's response to the gateway. The response is lost if a partition separates the endpoint from the
+    /// gateway.
     fn respond(&mut self, id: u64, outcome: Outcome) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
--- a/emulator/src/simulation/connections.rs
+++ b/emulator/src/simulation/connections.rs
@@ -37,7 +37,7 @@
     }
 
     /// Idle time after which a gateway closes a connection: half of the idle timeout of the rules, as in the gateway's
-    /// program. Later the endpoint may be about to close the connection.
+    /// program. After a longer idle time the endpoint may be about to close the connection.
     fn max_idle_time(&self) -> Micros {
         ms_to_micros(self.experiment.rules.idle_timeout_ms / 2.0)
     }
--- a/emulator/src/simulation/endpoint_list.rs
+++ b/emulator/src/simulation/endpoint_list.rs
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Delivers the changes that a gateway does not have yet, as its agent has received discovery's current list.
+    /// Handles the arrival of discovery's current list at the agent of a gateway: the gateway gets the changes that it
+    /// does not have yet.
     pub(super) fn endpoint_list_arrives(&mut self, process: GatewayProcess) {
         let now = self.queue.now();
         let gateway = &mut self.gateways[process.index as usize];
--- a/emulator/src/simulation/faults.rs
+++ b/emulator/src/simulation/faults.rs
@@ -8,7 +8,8 @@
 
 /// Time that a gateway in shutdown has to complete its requests.
 const GATEWAY_SHUTDOWN: Micros = 3_200_000;
-/// Time from the end of a gateway's process to the start of the gateway's next one.
+/// Time from the end of a gateway's process to the start of the gateway's next one. The simulation does not end the
+/// old process before that start.
 const GATEWAY_START_DELAY: Micros = 300_000;
 /// Number of steps in which a rollout replaces endpoints.
 const ENDPOINT_ROLLOUT_STEPS: u32 = 10;
@@ -91,8 +92,8 @@
         }
     }
 
-    /// Begins the graceful shutdown of a gateway: no new requests are routed to it. The gateway's next process starts
-    /// after the current one has ended.
+    /// Begins the graceful shutdown of a gateway: no new requests are routed to it. The gateway's next process
+    /// replaces the current one after `GATEWAY_SHUTDOWN` and `GATEWAY_START_DELAY`.
     pub(super) fn shut_down_gateway(&mut self, index: u32) {
         self.gateways[index as usize].accepts_requests = false;
         let starts_in = GATEWAY_SHUTDOWN + GATEWAY_START_DELAY;
--- a/emulator/src/simulation/rule_checks.rs
+++ b/emulator/src/simulation/rule_checks.rs
@@ -6,11 +6,11 @@
 use crate::experiment::IdempotencyModel;
 use crate::{ms_to_micros, Micros};
 
-/// Time after a client's disconnect within which attempts may still be sent.
+/// Time after a client's disconnect within which a gateway may still begin an attempt.
 const DISCONNECT_GRACE: Micros = 100_000;
 
 impl Simulation<'_> {
-    /// Rule: no attempt is sent for a client that disconnected more than `DISCONNECT_GRACE` ago.
+    /// Rule: a gateway begins no attempt for a client that disconnected more than `DISCONNECT_GRACE` ago.
     pub(super) fn check_disconnected(&mut self, gateway: u32, request: u64) {
         let now = self.queue.now();
         let Some(disconnected_at) = self.open_requests[&request].disconnected_at else {
--- a/emulator/src/violations.rs
+++ b/emulator/src/violations.rs
@@ -2,8 +2,8 @@
 
 use serde::Serialize;
 
-/// Attempts after a disconnect that do not count as a violation, as the client's close and an attempt can cross on the
-/// network.
+/// Number of attempts after a disconnect up to which the rule counts as kept, as the client's close and an attempt can
+/// cross on the network.
 const TOLERATED_AFTER_DISCONNECT: u64 = 2;
 
 /// Number of violations of each rule.
@@ -17,7 +17,7 @@
     pub sent_after_drain: u64,
     /// Endpoints in slow start that failed under overload.
     pub overloaded_endpoints: u64,
-    /// Attempts sent more than 0.1 s after the client disconnected.
+    /// Attempts that a gateway began more than 0.1 s after the client disconnected.
     pub sent_after_disconnect: u64,
     /// Description of the first violation; `None` if there was none.
     pub first: Option<String>,
