--- a/emulator/src/discovery.rs
+++ b/emulator/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Model of discovery: the endpoint list, the sequence of its changes, and the delays until the gateways' agents have
-//! them.
+//! Model of discovery: the endpoint list, the sequence of its changes, and the delays until the gateways' agents
+//! receive them.
 
 use crate::experiment::DiscoveryModel;
 use crate::{ms_to_micros, Micros};
@@ -25,14 +25,14 @@
         Discovery {
             endpoints,
             changes: Vec::new(),
-            propagation: range(model.propagation_ms),
-            failure_detection: range(model.failure_detection_ms),
+            propagation: delay_range(model.propagation_ms),
+            failure_detection: delay_range(model.failure_detection_ms),
             rng,
             down: false,
         }
     }
 
-    /// Draws the time until one agent has a change.
+    /// Draws the time until one agent receives a change.
     pub(crate) fn draw_propagation_delay(&mut self) -> Micros {
         self.rng.random_range(self.propagation.clone())
     }
@@ -84,6 +84,6 @@
     }
 }
 
-fn range([shortest_ms, longest_ms]: [f64; 2]) -> RangeInclusive<Micros> {
+fn delay_range([shortest_ms, longest_ms]: [f64; 2]) -> RangeInclusive<Micros> {
     ms_to_micros(shortest_ms)..=ms_to_micros(longest_ms)
 }
