--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -40,7 +40,7 @@
     CounterReply {
         /// The key of the call. Replies to calls with the same key must be reported in the order of the calls.
         key: u64,
-        /// How the call ended.
+        /// The outcome of the call.
         outcome: Outcome,
         /// The total after the call; only meaningful with [`Outcome::Success`].
         total: f64,
@@ -87,7 +87,7 @@
     pub attempt: u8,
     /// The endpoint that the attempt was sent to.
     pub endpoint: EndpointId,
-    /// How the attempt ended.
+    /// The outcome of the attempt.
     pub outcome: Outcome,
     /// Whether the client has received the final response, from this attempt or before.
     pub request_answered: bool,
@@ -97,7 +97,7 @@
     pub elapsed_ms: Millis,
 }
 
-/// How an attempt or a call to the counter ended.
+/// The outcome of an attempt or of a call to the counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Answered successfully.
--- a/src/state/charge.rs
+++ b/src/state/charge.rs
@@ -56,7 +56,7 @@
     pub(crate) elapsed_ms: Millis,
 }
 
-/// What a reply shows about the charge.
+/// The effect of a charge on the count, as far as the reply shows it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum ChargeResult {
     /// The charge was added to the count; `total` is the count after that, in weighted units.
--- a/src/state/customer.rs
+++ b/src/state/customer.rs
@@ -7,7 +7,8 @@
 
 /// This gateway's record of one customer. `policy::customer_quota` has the methods that decide on the quota.
 pub(crate) struct Customer {
-    /// Time of the customer's last event: a request's arrival, the end of its wait for the counter, or usage by gossip.
+    /// Time of the customer's last event: a request's arrival, the end of its wait for the counter, or usage reported
+    /// by gossip.
     pub(crate) last_seen_at: Millis,
     /// The quota as known from the counter's totals and this gateway's own usage.
     pub(crate) quota: SharedQuota,
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Reserves the units of a request that waits for the counter's reply.
+    /// Marks the request as waiting for the counter's reply, and reserves its units.
     pub(crate) fn reserve_units(&mut self, open_request: &mut OpenRequest) {
         open_request.awaiting_counter = true;
         if let Some(customer) = self.get_mut(open_request.request.customer) {
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Releases the units reserved for a request, if it is waiting for the counter's reply.
+    /// Ends the request's wait for the counter's reply, if it is waiting, and releases its reserved units.
     pub(crate) fn release_units(&mut self, open_request: &mut OpenRequest) {
         let waited = std::mem::take(&mut open_request.awaiting_counter);
         if let Some(customer) = self
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -67,7 +67,7 @@
         self.connections.has_free_connection(now, self.in_flight)
     }
 
-    /// Resets health, latency and warm-up after a restart of the endpoint.
+    /// Resets health, latency and warm-up after the endpoint has restarted, or was listed again after its removal.
     pub(crate) fn restart(&mut self, warm_up: WarmUp) {
         self.warm_up = warm_up;
         self.health = EndpointHealth::default();
