--- a/src/policy/call_limiter.rs
+++ b/src/policy/call_limiter.rs
@@ -86,8 +86,8 @@
     }
 
     /// Returns whether the counter counts as down, so that requests don't wait for it: its last calls were
-    /// rejected, too slow, timed out or found no connection. Invalid replies and broken connections don't
-    /// count as failures here.
+    /// rejected, too slow, timed out or found no connection. Error responses, which include invalid ones, and
+    /// broken connections don't count as failures here.
     pub(crate) fn is_down(&self) -> bool {
         self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
     }
--- a/src/policy/counter_calls.rs
+++ b/src/policy/counter_calls.rs
@@ -1,5 +1,5 @@
-//! Calls to the shared counter: their rate limit, the wait for their replies, and what a reply shows of the
-//! counter's capacity.
+//! Calls to the shared counter: their rate limit, the wait for their replies, and what a reply shows about
+//! the counter's capacity.
 
 use crate::api::{Action, Millis, Outcome};
 use crate::policy::call_limiter::CallLimiter;
@@ -23,9 +23,9 @@
         }
     }
 
-    /// Returns the longest time that a request with this latency objective waits for a reply, in ms.
-    pub(super) fn max_wait_ms(&self, objective_ms: Millis) -> Millis {
-        self.wait.max_wait_ms(objective_ms)
+    /// Returns the longest time that a request with this latency budget waits for a reply, in ms.
+    pub(super) fn max_wait_ms(&self, latency_budget_ms: Millis) -> Millis {
+        self.wait.max_wait_ms(latency_budget_ms)
     }
 
     /// Starts a call that the limiter has permitted.
@@ -47,9 +47,9 @@
     /// Updates the wait and the rate limit by a reply. Returns whether the reply shows that the counter is
     /// short of capacity.
     pub(super) fn record_reply(&mut self, cx: &Context, reply: &ChargeReply) -> bool {
-        // The wait used here is that of the class with the shortest objective: a reply that is too late for
-        // one class already shows a shortage. The wait is computed before this reply changes it, as requests
-        // have waited by the old value.
+        // The wait used here is that of a request whose latency budget is the shortest objective of all
+        // classes: a reply that is too late for one class already shows a shortage. The wait is computed
+        // before this reply changes it, as requests have waited by the old value.
         let classes = cx.settings.classes.iter();
         let shortest_objective_ms = classes
             .map(|class| class.latency_objective_ms)
@@ -63,8 +63,9 @@
             self.limiter.on_success();
             return false;
         }
-        // An invalid response or a broken connection shows nothing of the counter's capacity. A reply slower
-        // than the wait is a failure, as requests were admitted without it.
+        // An error response, which includes an invalid one, or a broken connection shows nothing about the
+        // counter's capacity. A reply slower than the wait is a failure, as requests were admitted without
+        // it.
         if matches!(
             reply.outcome,
             Outcome::ErrorResponse | Outcome::ConnectionReset
