--- a/src/policy/customer_quota.rs
+++ b/src/policy/customer_quota.rs
@@ -31,8 +31,8 @@
         elapsed_s
     }
 
-    /// Returns the units left for a request that has just arrived. The result can only be too high: it
-    /// doesn't include what was used at other gateways since the last total or gossip message.
+    /// Returns the units left for a request that has just arrived. Both levels can only be too high: they
+    /// don't include what was used at other gateways since the last total or gossip message.
     pub(super) fn available_units(&self, burst: f64, gossip_active: bool) -> f64 {
         let level = if gossip_active {
             self.gossip_level
--- a/src/policy/final_response.rs
+++ b/src/policy/final_response.rs
@@ -24,7 +24,7 @@
     NoEndpoint,
     /// An endpoint was available, but the attempt was denied.
     AttemptDenied(AttemptDenial),
-    /// The request's last attempt had no response, and a retry was denied.
+    /// The request's last attempt ended without a response to the client, and a retry was denied.
     RetryDenied(RetryDenial),
 }
 
--- a/src/policy/final_response/tests.rs
+++ b/src/policy/final_response/tests.rs
@@ -111,14 +111,14 @@
         retry_after: false,
         ..LIMITS
     };
-    let no_longest_advice = Limits {
+    let negative_maximum = Limits {
         max_retry_after_ms: -1.0,
         ..LIMITS
     };
     for (limits, expected_ms) in [
         (&LIMITS, 2000.0),
         (&not_permitted, 0.0),
-        (&no_longest_advice, 0.0),
+        (&negative_maximum, 0.0),
     ] {
         let inputs = ResponseInputs {
             reason: OVER_QUOTA,
--- a/src/policy/forwarding.rs
+++ b/src/policy/forwarding.rs
@@ -1,4 +1,4 @@
-//! Sends the attempts of requests to endpoints, and records what their ends show of the fleet.
+//! Sends the attempts of requests to endpoints, and records what their outcomes show about the fleet.
 
 use crate::api::{Action, AttemptEnd, EndpointId, Millis, Outcome, Request, Settings};
 use crate::policy::attempt_timeout::{attempt_timeout, TimeoutInputs};
@@ -105,7 +105,7 @@
         });
     }
 
-    /// Records what the end of an attempt that took `latency_ms` shows of the fleet.
+    /// Records what the end of an attempt that took `latency_ms` shows about the fleet.
     pub(super) fn attempt_ended(
         &mut self,
         cx: &mut Context,
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -140,7 +140,8 @@
         self.record_usage(cx, account, units);
     }
 
-    /// Returns the time after which the client may retry a request that is over its quota, in ms.
+    /// Returns the time after which the client may retry a request that is over its quota, in ms; the latency
+    /// objective if the plan has no quota.
     pub(crate) fn retry_after(&self, cx: &Context, open_request: &OpenRequest) -> Millis {
         let plan = cx.plan(open_request.account());
         if plan.rate <= 0.0 {
@@ -176,12 +177,12 @@
         self.counter.max_wait_ms(open_request.latency_budget_ms)
     }
 
-    /// Queries the customer's total at the counter at intervals while its requests are rejected without a
-    /// charge: the level would not be corrected otherwise.
+    /// Queries the customer's total at the counter at intervals while its requests are rejected, or forwarded
+    /// over a limit, without a charge: the level would not be corrected otherwise.
     pub(crate) fn query_total(&mut self, cx: &mut Context, open_request: &OpenRequest) {
         let customer = self.customers.get(open_request.request.customer);
-        let due =
-            customer.is_some_and(|known| cx.now - known.last_call_at > MIN_TOTAL_QUERY_INTERVAL_MS);
+        let due = customer
+            .is_some_and(|customer| cx.now - customer.last_call_at > MIN_TOTAL_QUERY_INTERVAL_MS);
         if due && is_counted(cx, open_request) {
             self.charge_unsettled_units(cx, open_request);
         }
--- a/src/policy/request_handler.rs
+++ b/src/policy/request_handler.rs
@@ -263,9 +263,9 @@
     }
 }
 
-/// Settles the request's units after one of its attempts has ended: the difference to the actual units if
-/// they are known, or all units if no attempt was ever sent. Only an attempt that ended with
-/// `Outcome::NotSent` counts as not sent.
+/// Records that one of the customer's attempts is no longer in flight, and settles the request's units: the
+/// difference to the actual units if they are known, or all units if no attempt was ever sent. Only an
+/// attempt that ended with `Outcome::NotSent` counts as not sent.
 fn settle_attempt(
     cx: &mut Context,
     quota: &mut QuotaLedger,
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,8 +1,8 @@
 //! Rules for retries and for the start of each attempt.
 //!
-//! After an attempt without a response, [`decide_retry`] decides whether another attempt is safe and
-//! worthwhile. Before any attempt, the first one included, [`decide_attempt`] decides whether the limits of
-//! the request permit an attempt now, and until when its first byte may be written.
+//! After an attempt that ended without a response to the client, [`decide_retry`] decides whether another
+//! attempt is safe and worthwhile. Before any attempt, the first one included, [`decide_attempt`] decides
+//! whether the limits of the request permit an attempt now, and until when its first byte may be written.
 //!
 //! Time passes and endpoints change between a decision and the attempt. The program's `driver::enforcement`
 //! therefore enforces the same rules again when an attempt starts and right before its first byte.
@@ -103,7 +103,7 @@
     BudgetExhausted,
 }
 
-/// Decides whether a request is retried after an attempt without a response.
+/// Decides whether a request is retried after an attempt that ended without a response to the client.
 pub(super) fn decide_retry(inputs: &RetryInputs) -> RetryDecision {
     if inputs.outcome == Outcome::NotSent {
         return RetryDecision::Denied(RetryDenial::NotSent);
--- a/src/policy/shared_quota.rs
+++ b/src/policy/shared_quota.rs
@@ -196,7 +196,7 @@
     }
 
     /// Corrects the level by the total that the counter returned to a charge. Returns false, without a
-    /// correction, for a total of an earlier window, which shows nothing of the usage in the current one.
+    /// correction, for a total of an earlier window, which shows nothing about usage in the current one.
     pub(crate) fn apply_total(
         &mut self,
         now: Millis,
--- a/src/policy/slow_start/tests.rs
+++ b/src/policy/slow_start/tests.rs
@@ -32,7 +32,8 @@
 #[test]
 fn a_start_in_the_future_counts_as_now() {
     for ahead_ms in [1.0, 5000.0, HOUR_MS] {
-        let ramp = ramp(NOW, &rules(), &entry(NOW + ahead_ms), false).expect("it is cold");
+        let ramp =
+            ramp(NOW, &rules(), &entry(NOW + ahead_ms), false).expect("the endpoint warms up");
         assert_eq!(
             (ramp.start, ramp.duration_ms),
             (NOW, 15_000.0),
@@ -41,7 +42,7 @@
     }
     assert_eq!(
         ramp(NOW, &rules(), &entry(NOW - 1000.0), false)
-            .expect("it is cold")
+            .expect("the endpoint warms up")
             .start,
         NOW - 1000.0
     );
