--- a/src/gossip/exchange.rs
+++ b/src/gossip/exchange.rs
@@ -48,9 +48,9 @@
     pub(crate) fn send(&mut self, cx: &mut Context) {
         self.timer_set = false;
         let usages = self.unsent.take_for_message();
-        let counter_short = is_recent(cx.now, self.local_shortage_at);
+        let has_recent_shortage = is_recent(cx.now, self.local_shortage_at);
         let body = Message {
-            counter_short,
+            has_recent_shortage,
             usages,
         }
         .encode();
@@ -71,7 +71,7 @@
         let Ok(message) = Message::decode(body) else {
             return Vec::new();
         };
-        if message.counter_short {
+        if message.has_recent_shortage {
             self.fleet_shortage_at = Some(cx.now);
         }
         message.usages
--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Message {
     /// Whether the counter recently lacked the capacity for a call of the sender.
-    pub(crate) counter_short: bool,
+    pub(crate) has_recent_shortage: bool,
     pub(crate) usages: Vec<Usage>,
 }
 
@@ -52,7 +52,7 @@
 
 impl Message {
     pub(crate) fn encode(&self) -> Vec<u8> {
-        let mut body = vec![VERSION, u8::from(self.counter_short)];
+        let mut body = vec![VERSION, u8::from(self.has_recent_shortage)];
         for usage in self.usages.iter().take(MAX_USAGES) {
             body.extend(&usage.customer.to_le_bytes()[..CUSTOMER_BYTES]);
             body.push(usage.plan);
@@ -62,13 +62,12 @@
     }
 
     pub(crate) fn decode(body: &[u8]) -> Result<Message, DecodeError> {
-        let (&[version, counter_short], entries) =
-            body.split_first_chunk().ok_or(DecodeError::Truncated)?;
+        let (&[version, flag], entries) = body.split_first_chunk().ok_or(DecodeError::Truncated)?;
         if version != VERSION {
             return Err(DecodeError::UnknownVersion(version));
         }
-        if counter_short > 1 {
-            return Err(DecodeError::InvalidFlag(counter_short));
+        if flag > 1 {
+            return Err(DecodeError::InvalidFlag(flag));
         }
         if entries.len() % USAGE_BYTES != 0 || entries.len() > MAX_USAGES * USAGE_BYTES {
             return Err(DecodeError::InvalidLength(entries.len()));
@@ -78,7 +77,7 @@
             .map(decode_usage)
             .collect::<Result<_, _>>()?;
         Ok(Message {
-            counter_short: counter_short == 1,
+            has_recent_shortage: flag == 1,
             usages,
         })
     }
--- a/src/gossip/message/tests.rs
+++ b/src/gossip/message/tests.rs
@@ -2,7 +2,7 @@
 
 fn message(usages: Vec<Usage>) -> Message {
     Message {
-        counter_short: true,
+        has_recent_shortage: true,
         usages,
     }
 }
