--- a/src/wire_settings/conversion.rs
+++ b/src/wire_settings/conversion.rs
@@ -25,7 +25,7 @@
             limits: limits(&self.limits),
             prices: prices(&self.prices),
             rules: rules(&self.rules),
-            endpoints_polled: self.endpoint_list == WireEndpointListMode::Polled,
+            endpoints_polled: self.endpoint_list_mode == WireEndpointListMode::Polled,
         }
     }
 }
--- a/src/wire_settings/model.rs
+++ b/src/wire_settings/model.rs
@@ -37,10 +37,10 @@
     pub(super) prices: WirePrices,
     pub(super) rules: WireRules,
     #[serde(rename = "membership-mode")]
-    pub(super) endpoint_list: WireEndpointListMode,
+    pub(super) endpoint_list_mode: WireEndpointListMode,
 }
 
-/// How the endpoint list is obtained.
+/// The way in which the gateway obtains the endpoint list.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 pub(super) enum WireEndpointListMode {
     /// Changes are pushed by an agent on the gateway's machine.
@@ -78,7 +78,7 @@
     pub(super) deadline_ms: Millis,
     #[serde(rename = "value")]
     _priority_weight: f64,
-    /// Share of its weight that a response after the latency objective keeps, from 0 to 1.
+    /// Share of its value that a response after the latency objective keeps, from 0 to 1.
     #[serde(rename = "late-worth")]
     pub(super) late_value_share: f64,
 }
--- a/src/wire_settings/validation.rs
+++ b/src/wire_settings/validation.rs
@@ -45,7 +45,7 @@
     /// The first invalid setting.
     pub fn check_values(&self) -> Result<(), InvalidSetting> {
         self.check_durations()?;
-        self.check_position()?;
+        self.check_indexes()?;
         if self.classes.is_empty() {
             return Err(invalid(SettingPath::top(CLASSES), SettingProblem::Empty));
         }
@@ -80,7 +80,7 @@
         )
     }
 
-    fn check_position(&self) -> Result<(), InvalidSetting> {
+    fn check_indexes(&self) -> Result<(), InvalidSetting> {
         if self.gateway_count == 0 || self.gateway_index >= self.gateway_count {
             return Err(invalid(
                 SettingPath::top("position"),
