--- a/emulator/src/clients.rs
+++ b/emulator/src/clients.rs
@@ -46,7 +46,7 @@
     cumulative_classes: Vec<f64>,
     /// Cumulative shares of the plans; the last is 1.
     cumulative_plans: Vec<f64>,
-    /// Cumulative shares of the requests by gateway; the last is 1.
+    /// Cumulative shares of the customers by the first gateway of their sets; the last is 1.
     cumulative_gateways: Vec<f64>,
     gateway_set_size: u32,
     retry_share: f64,
@@ -81,12 +81,12 @@
     }
 
     /// Draws the time until the next client's first request.
-    pub(crate) fn next_arrival_in(&mut self) -> Micros {
+    pub(crate) fn draw_arrival_gap(&mut self) -> Micros {
         ms_to_micros(self.arrival_gap_ms.sample(&mut self.rng))
     }
 
     /// Draws the next client's first request.
-    pub(crate) fn next_request(&mut self) -> ClientRequest {
+    pub(crate) fn draw_request(&mut self) -> ClientRequest {
         let customer = match &self.customer_popularity {
             Some(popularity) => popularity.sample(&mut self.rng) as u64 - 1,
             None => self.rng.random_range(0..self.customers),
@@ -96,7 +96,7 @@
         let cost_ratio = self.rng.random_range(COST_RATIO);
         let plan = index_of(
             &self.cumulative_plans,
-            customer_draw(customer, CustomerProperty::Plan),
+            customer_hash(customer, CustomerProperty::Plan),
         );
         ClientRequest {
             customer,
@@ -119,7 +119,7 @@
         let set_size = self.gateway_set_size as usize;
         let first = index_of(
             &self.cumulative_gateways,
-            customer_draw(customer, CustomerProperty::FirstGateway),
+            customer_hash(customer, CustomerProperty::FirstGateway),
         );
         let start_in_set = self.rng.random_range(0..self.gateway_set_size) as usize;
         let start_outside = self.rng.random_range(0..gateways);
@@ -130,7 +130,7 @@
 
     /// Draws whether the client retries a request that was not served, and the delay until the retry. `retry_after_ms`
     /// is the delay that the gateway advised; 0 if it advised none.
-    pub(crate) fn retry(
+    pub(crate) fn draw_retry(
         &mut self,
         request: &ClientRequest,
         retry_after_ms: f64,
@@ -148,7 +148,8 @@
         Some((retry, ms_to_micros(retry_after_ms.max(own_delay_ms))))
     }
 
-    /// Draws the delay after which a client disconnects; `None` if it waits for its response until the deadline.
+    /// Draws the delay after which a client disconnects; `None` if the client waits for the response up to the
+    /// deadline.
     pub(crate) fn draw_disconnect_delay(&mut self, deadline: Micros) -> Option<Micros> {
         if self.rng.random::<f64>() >= self.disconnect_share {
             return None;
@@ -171,7 +172,8 @@
         })
 }
 
-/// Relative request rates of the gateways. Hot gateways are spread evenly over the fleet.
+/// Weights of the gateways in the choice of the first gateway of a customer's set. Hot gateways are spread evenly over
+/// the fleet.
 fn gateway_weights(experiment: &Experiment) -> Vec<f64> {
     let gateways = &experiment.gateways;
     let count = u64::from(gateways.count);
@@ -203,15 +205,15 @@
     sums
 }
 
-/// Index of the entry whose interval of the cumulative shares contains `draw`, a number from 0 to 1.
-fn index_of(cumulative: &[f64], draw: f64) -> usize {
+/// Index of the entry whose interval of the cumulative shares contains `position`, a number from 0 to 1.
+fn index_of(cumulative: &[f64], position: f64) -> usize {
     cumulative
-        .partition_point(|sum| *sum <= draw)
+        .partition_point(|sum| *sum <= position)
         .min(cumulative.len() - 1)
 }
 
-/// A number from 0 to 1 derived from a hash of the customer and the property, the same in every experiment.
-fn customer_draw(customer: u64, property: CustomerProperty) -> f64 {
+/// Hash of the customer and the property as a number from 0 to 1. The hash is the same in every experiment.
+fn customer_hash(customer: u64, property: CustomerProperty) -> f64 {
     // Mixes the bits with the constants of SplitMix64.
     let key = customer ^ (property as u64) << 40;
     let mixed = key
--- a/soak/src/faults/schedule.rs
+++ b/soak/src/faults/schedule.rs
@@ -1,4 +1,4 @@
-//! Schedules faults at random times until the load ends. Two or three faults are active at a time.
+//! Injects faults at random times until the load ends. Usually two or three faults overlap.
 
 use super::injector::{FaultContext, Injector};
 use crate::error::SoakError;
@@ -54,7 +54,7 @@
         let Some(fault) = FAULTS.choose(&mut rng).copied() else {
             return;
         };
-        context.observations.count(&format!("fault {fault:?}"));
+        context.observations.increment(&format!("fault {fault:?}"));
         let injector = Injector {
             context: context.clone(),
             rng: crate::seeded_rng(rng.random(), "", 0),
