--- a/tests/gateway/discovery.rs
+++ b/tests/gateway/discovery.rs
@@ -26,33 +26,36 @@
 /// no more requests, and the gateway must fetch the complete list.
 #[test]
 fn a_draining_endpoint_gets_no_requests_and_an_invalid_event_leads_to_the_complete_list() {
-    let (one, received_by_one) = healthy_endpoint();
-    let (two, _) = healthy_endpoint();
+    let (draining, received_by_draining) = healthy_endpoint();
+    let (ready, _) = healthy_endpoint();
     let discovery = Discovery::new();
-    let gateway = gateway_with(&[one, two], &discovery);
+    let gateway = gateway_with(&[draining, ready], &discovery);
     let (line, mut watch) = discovery.next_call();
-    assert!(line.contains("index=7"), "{line}");
-    let servers = serde_json::json!([list_entry(0, one, "Terminating")]);
+    assert!(line.contains("index=7"), "expected index=7 in {line}");
+    let servers = serde_json::json!([list_entry(0, draining, "Terminating")]);
     let change = update(8, &servers);
     push_update(&mut watch, &change.to_string());
     push_update(&mut watch, "{\"version\": 9, \"full\": tr");
     // An event that cannot be parsed is a missed change, so the gateway requests the complete list.
     let (line, _) = discovery.next_call();
-    assert!(!line.contains("stream"), "{line}");
-    let before = received_by_one.lock().unwrap().len();
+    assert!(
+        !line.contains("stream"),
+        "expected a call for the complete list: {line}"
+    );
+    let before = received_by_draining.lock().unwrap().len();
     for customer in 0..10 {
         assert_eq!(gateway.get(customer, 1).status(), 200);
     }
-    assert_eq!(received_by_one.lock().unwrap().len(), before);
+    assert_eq!(received_by_draining.lock().unwrap().len(), before);
 }
 
 /// A watch ends, as when discovery restarts. A watch reopened from an older version would repeat changes, and one from
 /// a later version would miss some. The watch must be reopened from the version of the last event.
 #[test]
 fn a_watch_that_ends_is_reopened_from_the_last_version() {
-    let (one, _) = healthy_endpoint();
+    let (endpoint, _) = healthy_endpoint();
     let discovery = Discovery::new();
-    let _gateway = gateway_with(&[one], &discovery);
+    let _gateway = gateway_with(&[endpoint], &discovery);
     let (_, mut watch) = discovery.next_call();
     push_update(&mut watch, "");
     push_update(&mut watch, &update(12, &serde_json::json!([])).to_string());
@@ -65,24 +68,24 @@
 /// and the other entries must apply.
 #[test]
 fn an_invalid_entry_is_skipped_and_the_others_apply() {
-    let (one, received_by_one) = healthy_endpoint();
-    let (two, _) = healthy_endpoint();
+    let (draining, received_by_draining) = healthy_endpoint();
+    let (ready, _) = healthy_endpoint();
     let discovery = Discovery::new();
-    let gateway = gateway_with(&[one, two], &discovery);
+    let gateway = gateway_with(&[draining, ready], &discovery);
     let (_, mut watch) = discovery.next_call();
     let invalid = serde_json::json!({"id": 7, "addr": "nowhere", "state": "Odd"});
-    let servers = serde_json::json!([invalid, list_entry(0, one, "Terminating")]);
+    let servers = serde_json::json!([invalid, list_entry(0, draining, "Terminating")]);
     let change = update(8, &servers);
     push_update(&mut watch, &change.to_string());
     gateway.wait_for_log("an entry of the list");
     let start = Instant::now();
     let mut before = usize::MAX;
-    while received_by_one.lock().unwrap().len() != before {
+    while received_by_draining.lock().unwrap().len() != before {
         assert!(
             start.elapsed() < TEST_TIMEOUT,
             "the draining endpoint still gets requests"
         );
-        before = received_by_one.lock().unwrap().len();
+        before = received_by_draining.lock().unwrap().len();
         (0..10).for_each(|customer| assert_eq!(gateway.get(customer, 1).status(), 200));
     }
 }
@@ -91,12 +94,12 @@
 /// each line for an event would reject the list and miss the change. The list must apply, without another watch.
 #[test]
 fn a_list_written_on_several_lines_applies() {
-    let (one, received_by_one) = healthy_endpoint();
-    let (two, _) = healthy_endpoint();
+    let (draining, received_by_draining) = healthy_endpoint();
+    let (ready, _) = healthy_endpoint();
     let discovery = Discovery::new();
-    let gateway = gateway_with(&[one, two], &discovery);
+    let gateway = gateway_with(&[draining, ready], &discovery);
     let (_, mut watch) = discovery.next_call();
-    let servers = serde_json::json!([invalid_entry(), list_entry(0, one, "Terminating")]);
+    let servers = serde_json::json!([invalid_entry(), list_entry(0, draining, "Terminating")]);
     let change = update(8, &servers);
     let text = format!("\n{}\n\n", serde_json::to_string_pretty(&change).unwrap());
     for byte in text.bytes() {
@@ -108,29 +111,29 @@
     gateway.wait_until_list_is_applied();
     assert!(
         discovery.calls.try_recv().is_err(),
-        "the first watch stays open"
+        "discovery was called again, expected the first watch to stay open"
     );
     (0..10).for_each(|customer| assert_eq!(gateway.get(customer, 1).status(), 200));
-    assert_eq!(received_by_one.lock().unwrap().len(), 0);
+    assert_eq!(received_by_draining.lock().unwrap().len(), 0);
 }
 
 /// A watch stays open but stops sending, perhaps in the middle of an object, as after the loss of the remote machine.
-/// The gateway could wait forever for events, although the protocol counts it as notified after 6 s. The watch must be
-/// reopened within 4 s, from the same version.
+/// The gateway could wait forever for events, although the protocol counts the gateway as notified after 6 s. The watch
+/// must be reopened within 4 s, from the same version.
 #[test]
 fn a_silent_watch_is_reopened_in_time() {
-    let (one, _) = healthy_endpoint();
+    let (endpoint, _) = healthy_endpoint();
     for last in ["", "{\"version\": 8, \"full\": false, "] {
         let discovery = Discovery::new();
-        let _gateway = gateway_with(&[one], &discovery);
+        let _gateway = gateway_with(&[endpoint], &discovery);
         let (_, mut watch) = discovery.next_call();
         let start = Instant::now();
         push_update(&mut watch, last);
         let (line, _) = discovery.next_call();
-        assert!(line.contains("index=7"), "{line}");
+        assert!(line.contains("index=7"), "expected index=7 in {line}");
         assert!(
             start.elapsed() < Duration::from_secs(4),
-            "{:?}",
+            "the watch was reopened after {:?}, expected less than 4 s",
             start.elapsed()
         );
     }
@@ -141,30 +144,34 @@
 /// answer within the drain grace period, which is one second here.
 #[test]
 fn an_unanswered_discovery_call_is_repeated_in_time() {
-    let (one, _) = healthy_endpoint();
+    let (endpoint, _) = healthy_endpoint();
     let (call_sender, calls) = channel();
     let agent = start_server(move |m| {
         let _ = call_sender.send(m.line.clone());
         Reply::StaySilent(channel().0)
     });
-    let _gateway = Gateway::new(&config(&[one], start_counter(Arc::default()), agent));
-    calls.recv_timeout(TEST_TIMEOUT).expect("a call");
+    let _gateway = Gateway::new(&config(&[endpoint], start_counter(Arc::default()), agent));
+    calls
+        .recv_timeout(TEST_TIMEOUT)
+        .expect("the gateway calls discovery");
     let start = Instant::now();
     for _ in 0..3 {
-        calls.recv_timeout(TEST_TIMEOUT).expect("another call");
+        calls
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("the gateway calls discovery again");
     }
     assert!(
         start.elapsed() < Duration::from_secs(3),
-        "{:?}",
+        "three more calls took {:?}, expected less than 3 s",
         start.elapsed()
     );
 }
 
 /// A complete list with `entries` entries, of which only the endpoint at `ready` accepts requests.
 fn long_list(entries: usize, ready: SocketAddr) -> serde_json::Value {
-    let elsewhere = |number| list_entry(number, unserved_address(number), "Terminating");
+    let draining_entry = |number| list_entry(number, unserved_address(number), "Terminating");
     let servers = (1..entries)
-        .map(elsewhere)
+        .map(draining_entry)
         .chain([list_entry(0, ready, "Ready")]);
     serde_json::json!({"version": 9, "full": true, "servers": servers.collect::<Vec<_>>()})
 }
@@ -174,13 +181,13 @@
 }
 
 /// The configuration has no endpoints, and the watch sends a list of 20,000 entries in one chunk. If the list exceeded
-/// a limit or took longer than the time-out for a silent watch, the gateway would call in a loop and never be ready.
+/// a limit or took longer than the timeout for a silent watch, the gateway would call in a loop and never be ready.
 /// The list must apply at the first call, both on one line and indented.
 #[test]
 fn a_long_list_applies_at_the_first_call_on_one_line_or_indented() {
-    let (one, _) = healthy_endpoint();
+    let (endpoint, _) = healthy_endpoint();
     // The list is built before the watch opens: a delay later would make the watch look silent.
-    let list = long_list(20_000, one);
+    let list = long_list(20_000, endpoint);
     for pretty in [false, true] {
         let text = if pretty {
             serde_json::to_string_pretty(&list)
@@ -191,7 +198,7 @@
         let discovery = Discovery::new();
         let gateway = Gateway::spawn(&config(&[], start_counter(Arc::default()), discovery.addr));
         let (line, mut watch) = discovery.next_call();
-        assert!(line.contains("index=7"), "{line}");
+        assert!(line.contains("index=7"), "expected index=7 in {line}");
         push_update(&mut watch, &text);
         gateway.wait_until_ready();
         assert_eq!(gateway.get(1, 1).status(), 200);
@@ -207,12 +214,12 @@
 /// calls and serve requests meanwhile.
 #[test]
 fn a_list_with_too_many_entries_leaves_the_gateway_serving() {
-    let (one, _) = healthy_endpoint();
+    let (endpoint, _) = healthy_endpoint();
     // The list is built before the watch opens: a delay later would make the watch look silent.
-    let text = long_list(20_481, one).to_string();
+    let text = long_list(20_481, endpoint).to_string();
     let answer = response(200, "", &text);
     let discovery = Discovery::new();
-    let gateway = gateway_with(&[one], &discovery);
+    let gateway = gateway_with(&[endpoint], &discovery);
     let (_, mut watch) = discovery.next_call();
     push_update(&mut watch, &text);
     gateway.wait_for_log("over 20480 entries");
@@ -222,7 +229,7 @@
         if let Ok((line, mut list)) = discovery.calls.recv_timeout(Duration::from_millis(100)) {
             assert!(
                 !line.contains("stream"),
-                "the complete list is requested: {line}"
+                "expected a call for the complete list: {line}"
             );
             let _ = list.write_all(answer.as_bytes());
             calls += 1;
@@ -234,7 +241,10 @@
             200
         );
     }
-    assert!((1..=9).contains(&calls), "{calls} calls");
+    assert!(
+        (1..=9).contains(&calls),
+        "{calls} calls in 4 s, expected 1 to 9"
+    );
 }
 
 /// Idle clients use up the descriptors while discovery refuses connections. When discovery is back, there could be no
@@ -243,10 +253,10 @@
 #[test]
 fn clients_that_use_up_the_descriptors_do_not_prevent_a_watch() {
     for mode in ["push", "ask"] {
-        let (one, received_by_one) = healthy_endpoint();
-        let (two, _) = healthy_endpoint();
+        let (draining, received_by_draining) = healthy_endpoint();
+        let (ready, _) = healthy_endpoint();
         let addr = unused_address();
-        let mut config = config(&[one], start_counter(Arc::default()), addr);
+        let mut config = config(&[draining], start_counter(Arc::default()), addr);
         config["limits"]["sockets"] = 64.into();
         config["settings"]["membership-mode"] = mode.into();
         config["settings"]["tiers-of-service"][0]["store-size"] = 1000.0.into();
@@ -260,12 +270,16 @@
                     .get_mut()
                     .write_all(get_request(customer, 1, 3000).as_bytes())
                     .unwrap();
-                let status = read_message(&mut client).expect("a response").status();
+                let answer = read_message(&mut client).expect("the gateway responds");
+                let status = answer.status();
                 idle.push(client);
                 if status == 200 {
                     return;
                 }
-                assert!(status == 503 && start.elapsed() < TEST_TIMEOUT, "{status}");
+                assert!(
+                    status == 503 && start.elapsed() < TEST_TIMEOUT,
+                    "customer {customer} got status {status}, expected 503 or, in time, 200"
+                );
                 std::thread::sleep(Duration::from_millis(5));
             }
         };
@@ -274,26 +288,29 @@
         let (line, mut watch) = discovery
             .calls
             .recv_timeout(Duration::from_secs(6))
-            .expect("a watch in time");
-        assert!(line.contains("index=7"), "{line}");
+            .expect("the gateway reopens the watch within 6 s");
+        assert!(line.contains("index=7"), "expected index=7 in {line}");
         let servers = serde_json::json!([
             invalid_entry(),
-            list_entry(0, one, "Terminating"),
-            list_entry(1, two, "Ready")
+            list_entry(0, draining, "Terminating"),
+            list_entry(1, ready, "Ready")
         ]);
         push_update(&mut watch, &update(8, &servers).to_string());
         gateway.wait_until_list_is_applied();
-        let before = received_by_one.lock().unwrap().len();
+        let before = received_by_draining.lock().unwrap().len();
         (50..100).for_each(|customer| request_until_served(&mut idle, customer));
         assert_eq!(
-            received_by_one.lock().unwrap().len(),
+            received_by_draining.lock().unwrap().len(),
             before,
-            "sent to a draining endpoint"
+            "requests were sent to a draining endpoint"
         );
         let open = std::fs::read_dir(format!("/proc/{}/fd", gateway.child.id()))
             .unwrap()
             .count();
-        assert!((40..=64).contains(&open), "{open} descriptors");
+        assert!(
+            (40..=64).contains(&open),
+            "{open} descriptors are open, expected 40 to 64"
+        );
     }
 }
 
@@ -302,19 +319,19 @@
 /// become ready and serve, whether discovery refuses connections or never answers.
 #[test]
 fn a_restart_with_a_known_list_becomes_ready_while_discovery_is_down() {
-    let (one, _) = healthy_endpoint();
+    let (endpoint, _) = healthy_endpoint();
     for discovery in [
         unused_address(),
         start_server(|_| Reply::StaySilent(channel().0)),
     ] {
-        let mut config = config(&[one], start_counter(Arc::default()), discovery);
-        config["known"] = long_list(8_200, one);
+        let mut config = config(&[endpoint], start_counter(Arc::default()), discovery);
+        config["known"] = long_list(8_200, endpoint);
         let gateway = Gateway::spawn(&config);
         let start = Instant::now();
         gateway.wait_until_ready();
         assert!(
             start.elapsed() < Duration::from_secs(10),
-            "{:?}",
+            "the gateway became ready after {:?}, expected less than 10 s",
             start.elapsed()
         );
         assert_eq!(gateway.get(1, 1).status(), 200);
