--- a/stand-ins/src/blocking/endpoint.rs
+++ b/stand-ins/src/blocking/endpoint.rs
@@ -30,7 +30,7 @@
     (addr, received)
 }
 
-/// An endpoint with a full accept queue: no connection is established until [`accept_next`](Self::accept_next).
+/// An endpoint with a full accept queue: no connection is established until [`accept_first`](Self::accept_first).
 pub struct StalledEndpoint {
     /// Address of the endpoint.
     pub addr: SocketAddr,
@@ -100,7 +100,7 @@
     ///
     /// Panics if no connection arrives within [`TEST_TIMEOUT`].
     #[must_use]
-    pub fn accept_next(&self) -> TcpStream {
+    pub fn accept_first(&self) -> TcpStream {
         drop(
             self.socket
                 .accept()
--- a/tests/gateway/coinciding_events.rs
+++ b/tests/gateway/coinciding_events.rs
@@ -141,7 +141,7 @@
     late_endpoint.wait_for_pending(1);
     sleep(Duration::from_millis(2600).saturating_sub(first_attempt_at.elapsed()));
     let mut received = Vec::new();
-    let mut connection = BufReader::new(late_endpoint.accept_next());
+    let mut connection = BufReader::new(late_endpoint.accept_first());
     assert_eq!(
         read_message(&mut client)
             .expect("the gateway responds")
--- a/tests/gateway/races.rs
+++ b/tests/gateway/races.rs
@@ -54,7 +54,7 @@
         &serde_json::json!({"version": 8, "full": false, "servers": servers}).to_string(),
     );
     gateway.wait_until_list_is_applied();
-    let mut late = stalled.accept_next();
+    let mut late = stalled.accept_first();
     assert_eq!(read_message(&mut client).unwrap().body, b"stock: 12");
     late.set_nonblocking(true).unwrap();
     assert!(
@@ -214,7 +214,7 @@
     ));
     let _client = start_request(&gateway, &stalled);
     std::thread::sleep(Duration::from_millis(800));
-    let late = stalled.accept_next();
+    let late = stalled.accept_first();
     let message = read_message(&mut BufReader::new(late)).expect("the endpoint gets a request");
     let remaining_ms: u64 = message.headers["x-remaining-ms"].parse().unwrap();
     assert!(
