--- a/emulator/src/scaling/line.rs
+++ b/emulator/src/scaling/line.rs
@@ -1,14 +1,14 @@
-//! Linear regression over measured points, by the method of least squares.
+//! Linear regression over measured points, by the method of least squares: shows how a quantity grows with a size.
 
 use serde::Serialize;
 use std::fmt::{Display, Formatter};
 
-/// Value of a quantity measured at one size.
+/// Value of a quantity, measured at one size (such as a number of endpoints).
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Point {
     /// Size at which the quantity was measured.
     pub size: f64,
-    /// Measured value, in the unit of the line.
+    /// Measured value, in [`ScalingLine::unit`].
     pub value: f64,
 }
 
@@ -19,7 +19,7 @@
     pub quantity: &'static str,
     /// Unit of the values.
     pub unit: &'static str,
-    /// Name of the things that the sizes count.
+    /// Name of the things that a size counts, in the plural.
     pub per: &'static str,
     /// Points that the line is fitted to.
     pub points: Vec<Point>,
@@ -27,12 +27,13 @@
     pub slope: f64,
     /// Fitted value at size 0.
     pub intercept: f64,
-    /// Largest distance between the line and a point, as a share of the largest absolute value.
+    /// Largest difference between a measured value and the fitted value at its size, as a share of the largest
+    /// absolute measured value.
     pub max_error: f64,
 }
 
 impl ScalingLine {
-    /// Fits a line to the points by least squares.
+    /// Fits a line to the points, of which there must be at least one. The slope is 0 if all sizes are equal.
     #[must_use]
     pub fn fit(
         quantity: &'static str,
@@ -43,26 +44,27 @@
         let count = points.len() as f64;
         let mean_size = points.iter().map(|point| point.size).sum::<f64>() / count;
         let mean_value = points.iter().map(|point| point.value).sum::<f64>() / count;
-        let variance: f64 = points
+        let sum_of_squares: f64 = points
             .iter()
             .map(|point| (point.size - mean_size).powi(2))
             .sum();
-        let covariance: f64 = points
+        let sum_of_products: f64 = points
             .iter()
             .map(|point| (point.size - mean_size) * (point.value - mean_value))
             .sum();
-        let slope = if variance > 0.0 {
-            covariance / variance
+        let slope = if sum_of_squares > 0.0 {
+            sum_of_products / sum_of_squares
         } else {
             0.0
         };
         let intercept = mean_value - slope * mean_size;
-        let largest = points
+        // At least `MIN_POSITIVE`, so that the error is not divided by 0 if all values are 0.
+        let largest_value = points
             .iter()
             .map(|point| point.value.abs())
             .fold(f64::MIN_POSITIVE, f64::max);
         let error = |point: &Point| (point.value - intercept - slope * point.size).abs();
-        let max_error = points.iter().map(error).fold(0.0, f64::max) / largest;
+        let max_error = points.iter().map(error).fold(0.0, f64::max) / largest_value;
         ScalingLine {
             quantity,
             unit,
