--- a/stand-ins/src/blocking/endpoint.rs
+++ b/stand-ins/src/blocking/endpoint.rs
@@ -1,4 +1,4 @@
-//! Blocking endpoints.
+//! Endpoints on blocking sockets: one that serves all requests, and one that does not accept connections.
 
 use super::server::{start_server, Reply};
 use super::timeout::TEST_TIMEOUT;
@@ -11,7 +11,8 @@
 /// State in `/proc/net/tcp` of a connection whose SYN was sent but not acknowledged.
 const SYN_SENT: &str = "02";
 
-/// Starts an endpoint that serves all requests. Returns its address and the requests received so far.
+/// Starts an endpoint that responds to each request with status 200 at once. Returns its address and the requests
+/// received so far.
 ///
 /// # Panics
 ///
@@ -30,11 +31,13 @@
     (addr, received)
 }
 
-/// An endpoint with a full accept queue: no connection is established until [`accept_first`](Self::accept_first).
+/// An endpoint with a full accept queue: no further connection is established until
+/// [`accept_first`](Self::accept_first) is called.
 pub struct StalledEndpoint {
     /// Address of the endpoint.
     pub addr: SocketAddr,
     socket: Socket,
+    /// The connection that fills the accept queue.
     _queue_filler: TcpStream,
 }
 
@@ -70,31 +73,38 @@
     fn pending_connections(&self) -> usize {
         let port = format!(":{:04X}", self.addr.port());
         let table = std::fs::read_to_string("/proc/net/tcp").expect("/proc/net/tcp is readable");
-        // The table lists all sockets of the system, tens of thousands after a soak test. Only matching rows are split.
+        // The table lists all sockets of the system, tens of thousands after a soak test. Only rows that contain the
+        // port are split into columns.
         let candidates = table.lines().filter(|row| row.contains(&port));
         let rows = candidates.map(|row| row.split_whitespace().collect::<Vec<_>>());
+        // Column 2 is the remote address, column 3 the state.
         rows.filter(|row| row[2].ends_with(&port) && row[3] == SYN_SENT)
             .count()
     }
 
-    /// Waits until exactly `number` connections are pending.
+    /// Waits until exactly `number` connections are pending: their SYN has not been acknowledged.
     ///
     /// # Panics
     ///
     /// Panics if the number is not reached within [`TEST_TIMEOUT`].
     pub fn wait_for_pending(&self, number: usize) {
         let start = Instant::now();
-        while self.pending_connections() != number {
+        loop {
+            let pending = self.pending_connections();
+            if pending == number {
+                return;
+            }
             assert!(
                 start.elapsed() < TEST_TIMEOUT,
-                "{} connections are pending, expected {number}",
-                self.pending_connections()
+                "{pending} connections to {} are pending after {TEST_TIMEOUT:?}, expected {number}",
+                self.addr
             );
             std::thread::yield_now();
         }
     }
 
-    /// Frees the accept queue and accepts the next connection.
+    /// Frees the accept queue and accepts the first connection after the one that fills it. Call this once: a second
+    /// call would close the next connection as if it were the one that fills the queue.
     ///
     /// # Panics
     ///
