--- a/src/bin/quota-gateway/upstream/attempt.rs
+++ b/src/bin/quota-gateway/upstream/attempt.rs
@@ -1,4 +1,5 @@
-//! Runs one attempt: finds a connection, writes the request and reads the response.
+//! Runs one attempt of a request: takes an idle connection or opens a new one, writes the request and reads the
+//! response.
 
 use super::connection::{Connection, WriteResult};
 use super::pool::{ConnectError, ConnectionPool};
@@ -23,7 +24,7 @@
 }
 
 impl AttemptResult {
-    /// Creates the result of an attempt that ended without a response.
+    /// Creates the result of an attempt that ended without a complete response.
     pub fn without_response(outcome: Outcome) -> Self {
         AttemptResult {
             outcome,
@@ -33,9 +34,10 @@
 }
 
 impl ConnectionPool {
-    /// Sends one request and waits for its response. The connection is kept for reuse if the response is complete and
-    /// allows it, or if the request was refused right before its first byte (`OutgoingRequest::check_before_write`).
-    /// Otherwise the connection is closed before this returns. Dropping the future closes the connection as well.
+    /// Sends one request and waits until `deadline` for its response. The connection is kept for reuse if the response
+    /// is complete and allows reuse, or if `OutgoingRequest::check_before_write` refused the request before its first
+    /// byte. Otherwise the connection is closed before this function returns. Dropping the future closes the connection
+    /// as well.
     pub async fn attempt(
         &self,
         target: Target,
@@ -50,10 +52,11 @@
         let (head, body) =
             match timeout_at(deadline, connection.reader.read_response(MAX_BODY_BYTES)).await {
                 Ok(Ok(response)) => response,
+                // The connection broke, or the response is malformed or too long.
                 Ok(Err(_)) => return AttemptResult::without_response(Outcome::ConnectionReset),
                 Err(_) => return AttemptResult::without_response(Outcome::Timeout),
             };
-        // Bytes after the response would be read as the response to the next request.
+        // Unread bytes after the response would be taken for the response to the next request.
         if head.keep_alive && !connection.reader.has_unread_bytes() {
             self.put_back(target, connection);
         }
@@ -63,8 +66,8 @@
         }
     }
 
-    /// Writes the request, on an idle connection if one is usable. The error is the outcome of an attempt whose last
-    /// byte was not written: the endpoint can't have begun to execute the request.
+    /// Writes the request, on an idle connection if one is usable. The error is the outcome of an attempt that ended
+    /// before the last byte of the request was written: the endpoint can't have begun to execute the request.
     async fn send(
         &self,
         target: Target,
@@ -88,8 +91,10 @@
                     self.put_back(target, connection);
                     return Err(outcome);
                 }
-                // A connection that broke while idle says nothing about its endpoint, so another connection is tried.
+                // The reused connection may have broken while idle, which says nothing about its endpoint. Another
+                // connection is tried.
                 Ok(Err(_)) if is_reused => {}
+                // Not `ConnectionReset`, which would mean that the request may have been executed.
                 Ok(Err(_)) => return Err(Outcome::ConnectFailed),
                 Err(_) => return Err(Outcome::NotSent),
             }
@@ -107,7 +112,7 @@
 fn outcome_of(head: &Head) -> Outcome {
     match head.status {
         200 => Outcome::Success,
-        // Only these two statuses with the rejection header prove that the request was never executed.
+        // Only 503 or 504 together with `X-Turned-Away: 1` proves that the request was never executed.
         503 | 504 if head.rejected => Outcome::Rejected,
         _ => Outcome::ErrorResponse,
     }
