--- a/src/bin/quota-gateway/startup.rs
+++ b/src/bin/quota-gateway/startup.rs
@@ -28,18 +28,20 @@
 const RESERVED_DESCRIPTORS: usize = 32;
 /// Maximum number of clients that wait to be accepted.
 const LISTEN_BACKLOG: u32 = 1024;
-/// Time for which binding an address is retried; the process must be ready 30 s after its start.
+/// Time for which binding one address is retried. The process must be ready 30 s after its start.
 const BIND_TIMEOUT: Duration = Duration::from_secs(20);
-/// Interval of the periodic clean-up.
+/// Interval at which the driver closes expired idle connections and forgets endpoints that were removed long ago.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The handles by which the main task controls a running gateway.
 pub struct RunningGateway {
+    /// Addresses that SIGHUP reloads from the configuration.
     pub addresses: ReloadableAddresses,
+    /// Shuts the gateway down gracefully.
     pub shutdown: Shutdown,
 }
 
-/// Starts all tasks of the gateway on the current `LocalSet`.
+/// Opens the sockets of the gateway and starts all its tasks on the current `LocalSet`.
 pub async fn start(config: Config) -> Result<RunningGateway, StartupError> {
     let listener = listen(config.listen).await?;
     let max_gossip_per_second = config.gossip.max_messages_per_second;
@@ -47,6 +49,7 @@
     let budget = DescriptorBudget::new(config.max_sockets);
     let client_slots = ClientSlots::new(budget.clients);
     let mut settings = config.settings;
+    // This limit depends on the machine, so the settings in the configuration leave it unset.
     settings.limits.max_connections = budget.endpoints.try_into().unwrap_or(u32::MAX);
 
     let counter_addr = config.counter.filter(|_| settings.counter.is_some());
@@ -104,7 +107,7 @@
     })
 }
 
-/// Starts the tasks that call the counter, if the settings have a counter.
+/// Starts the tasks that call the counter, if the gateway uses one.
 fn spawn_counter(
     addresses: &ReloadableAddresses,
     settings: &Settings,
@@ -132,14 +135,15 @@
     }
 }
 
-/// Starts to accept clients. The log line states the actual port, as the configuration may leave the choice to the
-/// system.
+/// Starts to accept clients. Logs the address with the actual port, as the system chooses a free port if the
+/// configuration specifies port 0.
 fn accept_clients(listener: TcpListener, server: &Rc<Server>) -> Result<Acceptor, StartupError> {
     let addr = listener.local_addr().map_err(StartupError::LocalAddress)?;
     tracing::info!("listening on {addr}");
     Ok(Acceptor::spawn(server.clone(), listener))
 }
 
+/// Listens for clients on `addr`. Retries transient errors for `BIND_TIMEOUT`.
 async fn listen(addr: SocketAddr) -> Result<TcpListener, StartupError> {
     let listener = retry(BIND_TIMEOUT, is_transient_bind_error, || async {
         open_listener(addr)
@@ -154,13 +158,15 @@
     } else {
         TcpSocket::new_v6()?
     };
-    // After a restart, connections of the previous process are still in TIME_WAIT. Without this option the system would
-    // refuse the address until they have left that state.
+    // After a restart, connections of the previous process may still be in TIME_WAIT. Without this option the system
+    // would refuse the address until they have left that state.
     socket.set_reuseaddr(true)?;
     socket.bind(addr)?;
     socket.listen(LISTEN_BACKLOG)
 }
 
+/// Binds the gossip socket. Returns `None` if the configuration has no gossip address or the settings disable gossip.
+/// Retries transient errors for `BIND_TIMEOUT`.
 async fn bind_gossip(
     config: GossipConfig,
     settings: &Settings,
@@ -182,15 +188,16 @@
 }
 
 impl DescriptorBudget {
-    fn new(max_sockets: usize) -> Self {
-        let available = max_sockets.saturating_sub(RESERVED_DESCRIPTORS);
+    fn new(max_descriptors: usize) -> Self {
+        let available = max_descriptors.saturating_sub(RESERVED_DESCRIPTORS);
         let endpoints = available * 2 / 5;
         let clients = (available - endpoints) as u32;
         DescriptorBudget { clients, endpoints }
     }
 }
 
-/// Starts to watch the endpoint list. Applies the list from the configuration first, if there is one.
+/// Starts to watch the endpoint list in discovery. Applies the last known list from the configuration first, if there
+/// is one.
 fn spawn_discovery(
     addresses: &ReloadableAddresses,
     known_endpoints: Option<EndpointList>,
@@ -205,6 +212,7 @@
     tokio::task::spawn_local(discovery::run(addr, version, policy, driver.clone()));
 }
 
+/// Starts the task that calls `Driver::sweep` at intervals.
 fn spawn_sweeper(driver: Rc<Driver>) {
     tokio::task::spawn_local(async move {
         loop {
