--- a/tests/gateway/system_faults.rs
+++ b/tests/gateway/system_faults.rs
@@ -1,4 +1,7 @@
-//! Temporary failures of system calls, with errors that Linux documents.
+//! Temporary failures of system calls, with errors that Linux documents. A preloaded library injects the faults.
+//!
+//! A text such as `recv_eintr=50,seed=7` selects the faults. Most numbers are rates: how many of a thousand calls are
+//! affected. `tests/shim/syscall_faults.c` describes all names.
 
 use crate::stand_ins::*;
 use std::io::Write;
@@ -8,9 +11,9 @@
 use std::thread::sleep;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Accepting fails shortly before the listener closes: a connection was aborted, or no descriptor is available. If the
-/// listener were closed then, clients in its queue would be reset and lose their requests. The clients must be accepted
-/// and served.
+/// During a shutdown, accepting fails shortly before the listener closes: a connection was aborted, or no descriptor is
+/// available. If the listener closed after such an error, clients in its queue would be reset and lose their requests.
+/// The clients must be accepted and served.
 #[test]
 fn accept_errors_before_the_listener_closes_lose_no_client() {
     for faults in [
@@ -26,7 +29,7 @@
         while unready.status() == 200 {
             unready = gateway.exchange("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
         }
-        // The process stalls beyond the end of the accept period, and finds waiting clients afterwards.
+        // The process stalls until after the time at which the listener is due to close. Meanwhile clients connect.
         gateway.signal("-STOP");
         let mut clients: Vec<_> = (0..40).map(|_| gateway.connect()).collect();
         for (customer, client) in clients.iter_mut().enumerate() {
@@ -41,25 +44,35 @@
             .iter_mut()
             .map(|client| read_message(client).map(|answer| answer.status()))
             .collect();
-        assert_eq!(statuses, [Some(200); 40], "{faults}");
-        assert!(gateway.child.wait().unwrap().success());
+        assert_eq!(
+            statuses,
+            [Some(200); 40],
+            "statuses with the faults {faults}"
+        );
+        let exit = gateway.child.wait().unwrap();
+        assert!(
+            exit.success(),
+            "the gateway ended with {exit} after SIGTERM, with the faults {faults}"
+        );
     }
 }
 
-/// Number of failures after which a test sends no more requests.
+/// Number of unsuccessful requests after which a test sends no more.
 const MAX_FAILURES: usize = 5;
 
-/// The listener cannot accept for a second, and a client's request waits in its queue. If the remaining time counted
-/// from the accept, it would be too long, and the endpoint would work for a client that has given up. The wait must be
-/// subtracted from the propagated remaining time.
+/// The listener cannot accept for a second, and a client with a request waits in the listener's queue. If the client's
+/// remaining time were counted from the accept, the endpoint would get a time that is too long, and would work for a
+/// client that has given up. The wait must be subtracted from the remaining time propagated to the endpoint.
 #[test]
 fn the_wait_for_a_failing_listener_is_subtracted_from_the_propagated_time() {
     let (endpoint, received) = healthy_endpoint();
+    // Accepting fails while this file exists.
     let switch = std::env::temp_dir().join(format!("quota-gateway-{}-accept", std::process::id()));
     let mut environment = fault_environment("accept_switch=1");
     environment.push(("GATEWAY_FAULT_SWITCH", switch.to_str().unwrap().to_owned()));
     let mut config = config_with_silent_discovery(&[endpoint]);
-    // An attempt may take as long as its client waits.
+    // An attempt may time out early, at the latency objective of its class. Here the objective is longer than the
+    // client waits, so that it does not shorten the propagated time.
     config["settings"]["categories"][0]["aim-ms"] = 4000.into();
     let gateway = Gateway::with_environment(&config, &environment);
     std::fs::write(&switch, "").unwrap();
@@ -87,14 +100,15 @@
     );
 }
 
-/// Sends requests of 300 customers on ten connections. Returns the statuses other than 200; `None` for a missing
-/// response. Stops after [`MAX_FAILURES`].
+/// Sends requests of 300 customers on ten connections; every third is a POST with a body of up to 15 kB. Returns the
+/// statuses other than 200; `None` for a missing response. Stops after [`MAX_FAILURES`].
 fn unsuccessful_statuses(gateway: &Gateway) -> Vec<Option<u16>> {
     let mut clients: Vec<_> = (0..10).map(|_| gateway.connect()).collect();
     let mut failures = Vec::new();
     for customer in 0..300 {
         let client = &mut clients[customer % 10];
         let request = if customer % 3 == 0 {
+            // Each request has its own transaction id and customer instead of the fixed ones of `post_request`.
             post_request("once", "", &"x".repeat(customer * 50))
                 .replace("9b1f03aa", &format!("{customer:08x}"))
                 .replace(
@@ -147,21 +161,25 @@
     assert_eq!(unsuccessful_statuses(&gateway), []);
 }
 
-/// Reading the pipe that reports a SIGHUP is interrupted by the next signal. The signal handling of the runtime panics
-/// in this case, which ends the process. Each SIGHUP must reload the configuration.
+/// Reading the pipe that reports a SIGHUP is interrupted by the next signal. The asynchronous runtime's own signal
+/// handling would panic in this case and end the process, so the program does not use it. Each SIGHUP must reload the
+/// configuration.
 #[test]
 fn interrupted_reads_of_signals_do_not_end_the_program() {
     let (endpoint, _) = healthy_endpoint();
     let config = config_with_silent_discovery(&[endpoint]);
     let mut gateway = Gateway::with_faults(&config, "unix_eintr=400");
     for customer in 0..10 {
-        assert!(!gateway
-            .reload(&config.to_string())
-            .contains("reload failed"));
+        let logged = gateway.reload(&config.to_string());
+        assert!(!logged.contains("reload failed"), "{logged}");
         assert_eq!(gateway.get(customer, 1).status(), 200);
     }
     gateway.signal("-TERM");
-    assert!(gateway.child.wait().unwrap().success());
+    let exit = gateway.child.wait().unwrap();
+    assert!(
+        exit.success(),
+        "the gateway ended with {exit} after SIGTERM"
+    );
 }
 
 /// Opening the configuration file fails temporarily at SIGHUP. A process that keeps the old configuration could call
@@ -207,12 +225,12 @@
         let config = config(&[warm], start_counter(Arc::default()), discovery.addr);
         let gateway = Gateway::with_faults(&config, faults);
         let (_, mut watch) = discovery.next_call();
+        // An empty line, as discovery writes at intervals while the list does not change.
         push_update(&mut watch, "");
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
-        let mut started = list_entry(1, cold, "Ready");
-        started["started_ms"] = (now.as_millis() as u64).into();
-        let change =
-            serde_json::json!({"version": 8, "full": false, "servers": [invalid_entry(), started]});
+        let mut started_entry = list_entry(1, cold, "Ready");
+        started_entry["started_ms"] = (now.as_millis() as u64).into();
+        let change = serde_json::json!({"version": 8, "full": false, "servers": [invalid_entry(), started_entry]});
         push_update(&mut watch, &change.to_string());
         gateway.wait_until_list_is_applied();
         let mut clients: Vec<_> = (0..CONCURRENT_REQUESTS)
@@ -230,7 +248,7 @@
         let sent = cold_requests.load(Ordering::SeqCst);
         assert!(
             sent <= 5,
-            "{faults}: {sent} of {CONCURRENT_REQUESTS} requests sent to an endpoint that has just started"
+            "{faults}: a new endpoint got {sent} of {CONCURRENT_REQUESTS} requests, expected at most 5"
         );
     }
 }
