--- a/src/bin/quota-gateway/config/mod.rs
+++ b/src/bin/quota-gateway/config/mod.rs
@@ -36,7 +36,7 @@
     /// Seed of all random choices.
     pub seed: u64,
     /// Number of file descriptors that the process may use.
-    pub max_sockets: usize,
+    pub max_descriptors: usize,
     /// Last known endpoint list, used until discovery responds.
     pub known_endpoints: Option<EndpointList>,
     /// Settings of the decision library; `limits.max_connections` is not set.
@@ -99,7 +99,7 @@
             max_messages_per_second: file.settings.domain.peer_intake,
         },
         seed,
-        max_sockets: file.limits.sockets,
+        max_descriptors: file.limits.sockets,
         known_endpoints: file.known,
         class_names: names(file.settings.categories),
         plan_names: names(file.settings.tiers_of_service),
--- a/src/bin/quota-gateway/startup.rs
+++ b/src/bin/quota-gateway/startup.rs
@@ -46,7 +46,7 @@
     let listener = listen(config.listen).await?;
     let max_gossip_per_second = config.gossip.max_messages_per_second;
     let gossip_socket = bind_gossip(config.gossip, &config.settings).await?;
-    let budget = DescriptorBudget::new(config.max_sockets);
+    let budget = DescriptorBudget::new(config.max_descriptors);
     let client_slots = ClientSlots::new(budget.clients);
     let mut settings = config.settings;
     // This limit depends on the machine, so the settings in the configuration leave it unset.
