--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -102,15 +102,16 @@
 pub enum Outcome {
     /// Answered successfully.
     Success,
-    /// Answered with an error or with an invalid response; may have been executed.
+    /// Answered with an error, or by the counter without a valid total; may have been executed.
     ErrorResponse,
     /// Rejected because of load, before anything was executed.
     Rejected,
     /// Not answered in time; may have been executed.
     Timeout,
-    /// No connection could be opened; never executed.
+    /// No connection could be opened, or the connection was lost before the whole request was written; never executed.
     ConnectFailed,
-    /// The connection broke; may have been executed.
+    /// The connection broke after the request was written, or the response was malformed or too long; may have been
+    /// executed.
     ConnectionReset,
     /// Cancelled by the gateway; may have been executed.
     Cancelled,
--- a/src/bin/quota-gateway/config/mod.rs
+++ b/src/bin/quota-gateway/config/mod.rs
@@ -35,7 +35,7 @@
     pub gossip: GossipConfig,
     /// Seed of all random choices.
     pub seed: u64,
-    /// Number of file descriptors that the process may use.
+    /// Number of file descriptors that the process may use, from `limits.sockets`.
     pub max_descriptors: usize,
     /// Last known endpoint list, used until discovery responds.
     pub known_endpoints: Option<EndpointList>,
