--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -90,13 +90,20 @@
 
 #[test]
 fn an_empty_input_is_a_success() {
-    assert!(run(&[]).status.success());
+    let output = run(&[]);
+    assert!(
+        output.status.success(),
+        "expected success with an empty input: {output:?}"
+    );
 }
 
 #[test]
 fn an_empty_batch_gets_an_empty_reply() {
     let output = run(&batch(&[], &[]));
-    assert!(output.status.success());
+    assert!(
+        output.status.success(),
+        "expected success with an empty batch: {output:?}"
+    );
     assert_eq!(output.stdout, [8u32, 0, 7].map(u32::to_le_bytes).concat());
 }
 
@@ -210,7 +217,11 @@
 #[test]
 fn idempotency_key_settings_are_ignored_for_a_class_without_a_key() {
     let unused = format!("{SETTINGS}categories.0.group=none\ncategories.0.window-ms=-1\n");
-    assert!(run(&provision(&unused)).status.success());
+    let output = run(&provision(&unused));
+    assert!(
+        output.status.success(),
+        "expected success with unused idempotency key settings: {output:?}"
+    );
     let keyed = unused.replace("read_like", "idempotency_key");
     assert_fails_with(
         &provision(&keyed),
--- a/tests/gateway/client_timing.rs
+++ b/tests/gateway/client_timing.rs
@@ -200,5 +200,9 @@
         .map(|c| read_message(c).map(|answer| answer.status()))
         .collect();
     assert_eq!(statuses, [Some(200); 4]);
-    assert!(gateway.child.wait().unwrap().success());
+    let exit = gateway.child.wait().unwrap();
+    assert!(
+        exit.success(),
+        "the gateway ended with {exit} after SIGTERM, expected success"
+    );
 }
--- a/tests/gateway/clients.rs
+++ b/tests/gateway/clients.rs
@@ -361,6 +361,7 @@
         let refused = loop {
             let mut connection = gateway.connect();
             let number = connections.len();
+            // Each open request needs its own transaction id, instead of the fixed one of `post_request`.
             connection
                 .get_mut()
                 .write_all(
--- a/tests/gateway/coinciding_events.rs
+++ b/tests/gateway/coinciding_events.rs
@@ -80,9 +80,11 @@
         Reply::Send(response(200, "", &list))
     });
     config["discovery"] = overloaded.to_string().into();
-    assert!(!gateway
-        .reload(&config.to_string())
-        .contains("reload failed"));
+    let logged = gateway.reload(&config.to_string());
+    assert!(
+        !logged.contains("reload failed"),
+        "expected a successful reload: {logged}"
+    );
     for _ in 0..3 {
         list_calls
             .recv_timeout(TEST_TIMEOUT)
@@ -319,7 +321,11 @@
             .map(|customer| Some(format!("{customer:016x}").into_bytes()))
             .collect();
         assert_eq!(bodies, expected, "in {pieces} pieces");
-        assert!(gateway.child.wait().unwrap().success());
+        let exit = gateway.child.wait().unwrap();
+        assert!(
+            exit.success(),
+            "the gateway ended with {exit} after SIGTERM, expected success (pieces: {pieces})"
+        );
     }
 }
 
@@ -359,7 +365,11 @@
             "size of the body, during a shutdown: {shuts_down}"
         );
         if shuts_down {
-            assert!(gateway.child.wait().unwrap().success());
+            let exit = gateway.child.wait().unwrap();
+            assert!(
+                exit.success(),
+                "the gateway ended with {exit} after SIGTERM, expected success"
+            );
         }
     }
 }
@@ -395,6 +405,7 @@
         post_request("once", "", "x").replace("\r\n\r\nx", "\r\nExpect: 100-continue\r\n\r\n");
     let mut clients: Vec<_> = (0..400).map(|_| gateway.connect()).collect();
     for (number, client) in clients.iter_mut().enumerate() {
+        // Each open request needs its own transaction id, instead of the fixed one of `post_request`.
         let text = head.replace("9b1f03aa", &format!("{number:08x}"));
         client.get_mut().write_all(text.as_bytes()).unwrap();
     }
@@ -410,5 +421,9 @@
         "clients without a response (status 0): {statuses:?}"
     );
     assert!(statuses.contains(&503), "no client was without a slot");
-    assert!(gateway.child.wait().unwrap().success());
+    let exit = gateway.child.wait().unwrap();
+    assert!(
+        exit.success(),
+        "the gateway ended with {exit} after SIGTERM, expected success (faults: {faults:?})"
+    );
 }
--- a/tests/gateway/counter.rs
+++ b/tests/gateway/counter.rs
@@ -24,7 +24,7 @@
         assert_eq!(read_message(&mut client).unwrap().status(), 200);
     }
     let amounts = amounts.lock().unwrap();
-    assert!(!amounts.is_empty());
+    assert!(!amounts.is_empty(), "the counter has received no calls");
     assert!(
         amounts
             .iter()
--- a/tests/gateway/discovery.rs
+++ b/tests/gateway/discovery.rs
@@ -57,6 +57,7 @@
     let discovery = Discovery::new();
     let _gateway = gateway_with(&[endpoint], &discovery);
     let (_, mut watch) = discovery.next_call();
+    // An empty line, as discovery writes at intervals while the list does not change.
     push_update(&mut watch, "");
     push_update(&mut watch, &update(12, &serde_json::json!([])).to_string());
     drop(watch);
--- a/tests/gateway/log_output.rs
+++ b/tests/gateway/log_output.rs
@@ -17,7 +17,11 @@
     gateway.signal("-HUP");
     assert_eq!(gateway.get(2, 1).status(), 200);
     gateway.signal("-TERM");
-    assert!(gateway.child.wait().unwrap().success());
+    let exit = gateway.child.wait().unwrap();
+    assert!(
+        exit.success(),
+        "the gateway ended with {exit} after SIGTERM with its log on a full disk, expected success"
+    );
 }
 
 /// The reader of the log stops reading, so that writes block. Blocking writes on the gateway's only thread would stall
@@ -38,5 +42,9 @@
         assert_eq!(gateway.get(customer, 1).status(), 200);
     }
     gateway.signal("-TERM");
-    assert!(gateway.child.wait().unwrap().success());
+    let exit = gateway.child.wait().unwrap();
+    assert!(
+        exit.success(),
+        "the gateway ended with {exit} after SIGTERM with a blocked log, expected success"
+    );
 }
--- a/tests/gateway/service.rs
+++ b/tests/gateway/service.rs
@@ -34,7 +34,11 @@
 fn assert_startup_error_names(config: &serde_json::Value, field: &str) {
     let output = spawn_program(config).0.wait_with_output().unwrap();
     let report = String::from_utf8(output.stderr).unwrap();
-    assert!(!output.status.success());
+    assert!(
+        !output.status.success(),
+        "the program ended with {}, expected an error about {field}: {report}",
+        output.status
+    );
     assert!(
         report.contains(field) && report.trim_end().lines().count() == 1,
         "expected one line that names {field}: {report}"
@@ -93,7 +97,11 @@
         (503, "close")
     );
     assert_eq!(read_message(&mut client).unwrap().body, b"done");
-    assert!(gateway.child.wait().unwrap().success());
+    let exit = gateway.child.wait().unwrap();
+    assert!(
+        exit.success(),
+        "the gateway ended with {exit} after SIGTERM, expected success"
+    );
     assert!(start.elapsed() < Duration::from_secs(3));
     assert!(gateway.log.iter().all(|line| !line.contains("panic")));
 }
@@ -117,9 +125,11 @@
     config["counter"] = start_counter(amounts.clone()).to_string().into();
     for (round, discovery) in [&second, &first, &second].into_iter().enumerate() {
         config["discovery"] = discovery.addr.to_string().into();
-        assert!(!gateway
-            .reload(&config.to_string())
-            .contains("reload failed"));
+        let logged = gateway.reload(&config.to_string());
+        assert!(
+            !logged.contains("reload failed"),
+            "expected a successful reload: {logged}"
+        );
         let (line, mut list) = discovery.next_call();
         assert!(
             !line.contains("stream"),
@@ -204,7 +214,11 @@
                 .status(),
             if hangs { 502 } else { 200 }
         );
-        assert!(gateway.child.wait().unwrap().success());
+        let exit = gateway.child.wait().unwrap();
+        assert!(
+            exit.success(),
+            "the gateway ended with {exit} after SIGTERM, expected success (hangs: {hangs})"
+        );
         // SIGKILL would follow 3.7 s after SIGTERM.
         assert!(
             start.elapsed() < Duration::from_millis(3650),
@@ -245,7 +259,11 @@
         .collect();
     assert_eq!(statuses, [Some(200); 20]);
     drop(busy);
-    assert!(gateway.child.wait().unwrap().success());
+    let exit = gateway.child.wait().unwrap();
+    assert!(
+        exit.success(),
+        "the gateway ended with {exit} after SIGTERM, expected success"
+    );
 }
 
 /// SIGTERM and SIGHUP arrive at the same time. One could hide the other, or the reload could delay the shutdown until
@@ -259,7 +277,11 @@
         for name in ["-STOP", order[0], order[1], "-CONT"] {
             gateway.signal(name);
         }
-        assert!(gateway.child.wait().unwrap().success());
+        let exit = gateway.child.wait().unwrap();
+        assert!(
+            exit.success(),
+            "the gateway ended with {exit} after the signals {order:?}, expected success"
+        );
     }
 }
 
@@ -333,9 +355,15 @@
     started.recv_timeout(TEST_TIMEOUT).unwrap();
     gateway.signal("-TERM");
     std::thread::sleep(Duration::from_millis(100));
-    assert!(gateway
-        .reload(&config.to_string())
-        .contains("configuration reloaded"));
+    let logged = gateway.reload(&config.to_string());
+    assert!(
+        logged.contains("configuration reloaded"),
+        "expected a successful reload: {logged}"
+    );
     assert_eq!(read_message(&mut client).unwrap().body, b"done");
-    assert!(gateway.child.wait().unwrap().success());
+    let exit = gateway.child.wait().unwrap();
+    assert!(
+        exit.success(),
+        "the gateway ended with {exit} after SIGTERM and SIGHUP, expected success"
+    );
 }
--- a/tests/gateway/shutdown.rs
+++ b/tests/gateway/shutdown.rs
@@ -296,7 +296,15 @@
             .iter_mut()
             .map(|client| read_message(client).map(|answer| answer.status()))
             .collect();
-        assert_eq!(statuses, [Some(503); 20], "{faults}");
-        assert!(gateway.child.wait().unwrap().success());
+        assert_eq!(
+            statuses,
+            [Some(503); 20],
+            "statuses of partial requests, with the faults {faults}"
+        );
+        let exit = gateway.child.wait().unwrap();
+        assert!(
+            exit.success(),
+            "the gateway ended with {exit} after SIGTERM, expected success (faults: {faults})"
+        );
     }
 }
--- a/tests/gateway/startup.rs
+++ b/tests/gateway/startup.rs
@@ -40,7 +40,11 @@
         pipe.write_all(config.to_string().as_bytes()).unwrap();
         drop(pipe);
         if signal == "-TERM" {
-            assert!(child.wait().unwrap().success());
+            let exit = child.wait().unwrap();
+            assert!(
+                exit.success(),
+                "the program ended with {exit} after SIGTERM during its start, expected success"
+            );
             std::fs::remove_file(&path).unwrap();
         } else {
             let gateway = Gateway::from_process((child, path));
@@ -85,7 +89,11 @@
         .status()
         .unwrap()
         .success());
-    assert!(child.wait().unwrap().success());
+    let exit = child.wait().unwrap();
+    assert!(
+        exit.success(),
+        "the program ended with {exit} after SIGTERM in its wait for the address, expected success"
+    );
     assert!(
         start.elapsed() < Duration::from_secs(3),
         "the program exits {:?} after SIGTERM, expected less than 3 s",
