--- a/soak/src/arguments.rs
+++ b/soak/src/arguments.rs
@@ -33,7 +33,7 @@
     #[arg(long)]
     pub(crate) polled: bool,
     /// Injects no faults.
-    #[arg(long = "calm")]
+    #[arg(id = "calm", long = "calm")]
     pub(crate) without_faults: bool,
     /// Folder for the gateways' logs, which are then written at the level debug.
     #[arg(long)]
@@ -54,7 +54,12 @@
     pub(crate) clients: usize,
     /// Percentage of requests whose clients disconnect before the response. Half of these clients send up
     /// to 4 MiB of further bytes first.
-    #[arg(long = "leaving-percent", default_value_t = 8)]
+    #[arg(
+        id = "leaving_percent",
+        long = "leaving-percent",
+        value_name = "LEAVING_PERCENT",
+        default_value_t = 8
+    )]
     pub(crate) early_disconnect_percent: u32,
     /// Duration of the load, in seconds.
     #[arg(long, default_value_t = 30)]
