--- a/src/bin/quota-gateway/counter/connection.rs
+++ b/src/bin/quota-gateway/counter/connection.rs
@@ -168,9 +168,10 @@
         let response = codec::decode(head.status, &body);
         let is_invalid = response.outcome == Outcome::ErrorResponse;
         if is_invalid {
-            self.context
-                .invalid_response_warning
-                .warn("invalid response from the counter with status", head.status);
+            self.context.invalid_response_warning.warn(
+                "invalid response from the counter, HTTP status",
+                head.status,
+            );
         }
         self.pending
             .report_response(&self.context.reporter, response.outcome, response.total);
