--- a/src/policy/ceiling/tests.rs
+++ b/src/policy/ceiling/tests.rs
@@ -14,7 +14,8 @@
 }
 
 /// A restarted gateway doesn't know what it forwarded before the restart. With a full bucket it would forward
-/// the same units again and exceed the ceiling. It may only forward what was refilled since its start.
+/// the same units again and exceed the ceiling. The gateway may only forward what was refilled since its
+/// start.
 #[test]
 fn the_bucket_of_a_restarted_gateway_holds_what_was_refilled_since_its_start() {
     let share = share(3, 3.0);
--- a/src/policy/overload/tests.rs
+++ b/src/policy/overload/tests.rs
@@ -26,7 +26,7 @@
 }
 
 /// A few attempts hang, and the gateway gets no responses from which it could learn that other requests are
-/// served. It has to keep admitting requests, up to its share of a few attempts on each endpoint.
+/// served. The gateway has to keep admitting requests, up to its share of a few attempts on each endpoint.
 #[test]
 fn few_attempts_in_flight_are_no_overload_at_any_latency() {
     for (in_flight, ready_endpoints, gateway_count, admitted) in [
--- a/src/policy/retry/tests.rs
+++ b/src/policy/retry/tests.rs
@@ -134,8 +134,8 @@
     }
 }
 
-/// A program may stall between its decision and the first byte. It must not send a retry after the key's
-/// window even then.
+/// A program may stall between its decision and the first byte. Even then, the program must not send a retry
+/// after the key's window.
 #[test]
 fn a_retry_with_a_key_has_to_start_within_the_window_less_the_longest_stall() {
     let start_timeout_ms = WINDOW_MS - 300.0 - MAX_WRITE_DELAY_MS;
--- a/src/policy/slow_start/tests.rs
+++ b/src/policy/slow_start/tests.rs
@@ -26,9 +26,9 @@
     }
 }
 
-/// The clock of an endpoint's machine is ahead, so the endpoint seems to start in the future. It would stay
-/// in slow start for as long as the clocks differ, and get hardly any requests. It has to warm up from now
-/// on, for no longer than any other endpoint.
+/// The clock of an endpoint's machine is ahead, so the endpoint seems to start in the future. The endpoint
+/// would stay in slow start for as long as the clocks differ, and get hardly any requests. The endpoint has
+/// to warm up from now on, for no longer than any other endpoint.
 #[test]
 fn a_start_in_the_future_counts_as_now() {
     for ahead_ms in [1.0, 5000.0, HOUR_MS] {
--- a/tests/gateway/clients.rs
+++ b/tests/gateway/clients.rs
@@ -103,9 +103,9 @@
     ("account=0000", "account=", 400),
 ];
 
-/// A client sends a request that violates the protocol. If it were forwarded, it would cost an endpoint work; if it
-/// were answered with 429 or 503, it would be retried endlessly. It must get the 4xx status that fits the error and
-/// reach no endpoint, and the next valid request must be served.
+/// A client sends a request that violates the protocol. If the request were forwarded, it would cost an endpoint work;
+/// if it were answered with 429 or 503, it would be retried endlessly. The request must get the 4xx status that fits
+/// the error and reach no endpoint, and the next valid request must be served.
 #[test]
 fn malformed_requests_get_client_error_statuses() {
     let (endpoint, received) = healthy_endpoint();
@@ -231,7 +231,7 @@
 }
 
 /// A client that opens hundreds of connections without sending requests takes all slots, and other clients would be
-/// rejected meanwhile. Silent connections must be evicted first: each other client must be served within a few retries,
+/// rejected. Silent connections must be evicted first: each other client must be served within a few retries,
 /// and the process must stay within its descriptor limit.
 #[test]
 fn hundreds_of_silent_connections_do_not_lock_out_clients() {
--- a/tests/gateway/discovery.rs
+++ b/tests/gateway/discovery.rs
@@ -211,7 +211,7 @@
 
 /// Discovery sends a list with more entries than the limit at each call. The gateway could run out of memory, or parse
 /// long lists in a loop without serving requests. The gateway must log the error, keep the old list, back off between
-/// calls and serve requests meanwhile.
+/// calls, and continue to serve requests.
 #[test]
 fn a_list_with_too_many_entries_leaves_the_gateway_serving() {
     let (endpoint, _) = healthy_endpoint();
--- a/tests/gateway/shutdown.rs
+++ b/tests/gateway/shutdown.rs
@@ -153,7 +153,7 @@
     let mut gateway = Gateway::new(&config);
     let termination_grace =
         Duration::from_millis(deadline_ms.into()).min(GRACE_DEADLINE_CAP) + GRACE_MARGIN;
-    // All connections are established before SIGTERM, and accepted by then or shortly after.
+    // All connections are established before SIGTERM, and accepted before SIGTERM or shortly after it.
     let first_pieces_from = Instant::now();
     let sigterm_at = first_pieces_from + PIECE_INTERVAL;
     let client = |number: u32| {
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -315,7 +315,7 @@
 }
 
 /// A gossip message is truncated, too long or damaged, or states an impossible sender. Counted as usage, such a message
-/// would lead to rejections within the quota, or a panic. It must be ignored.
+/// would lead to rejections within the quota, or a panic. The message must be ignored.
 #[test]
 fn invalid_gossip_messages_are_ignored() {
     let mut one = gateway_with_overloaded_counter(0);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -283,7 +283,7 @@
 
 /// An endpoint rejects requests of one plan and serves those of other plans. Such an endpoint was avoided for all
 /// plans, which wasted its capacity, and for 200 ms only, so that a gateway with few requests tried it again with each
-/// request. It must be avoided for the rejected plan only, and until the gateway has had several requests.
+/// request. The endpoint must be avoided for the rejected plan only, and until the gateway has had several requests.
 #[test]
 fn an_endpoint_that_rejects_one_plan_still_serves_the_others() {
     let mut settings = settings_without_quota();
