--- a/emulator/src/experiment/model.rs
+++ b/emulator/src/experiment/model.rs
@@ -169,7 +169,7 @@
     #[serde(default = "default_retry_delay_ms", alias = "retry_ms")]
     pub retry_delay_ms: f64,
     /// Share of the requests whose client disconnects at a random time before the deadline, unless the request has been
-    /// answered by then.
+    /// answered before that time.
     #[serde(default, alias = "leave_share")]
     pub disconnect_share: f64,
 }
--- a/soak/src/clients/outcome.rs
+++ b/soak/src/clients/outcome.rs
@@ -12,13 +12,13 @@
 #[cfg(test)]
 mod tests;
 
-/// A response may arrive this long after the client's deadline. A request without a response by then counts as lost.
+/// A request counts as lost if no response arrives within this time after the client's deadline.
 const RESPONSE_SLACK: Duration = Duration::from_millis(500);
 /// A close that the client observes within this time after it sent a request may have been sent before the request
 /// arrived.
 const CROSSING_TIME: Duration = Duration::from_millis(10);
 
-/// How a connection ended without a response.
+/// The end of a connection without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Close {
     /// The connection was reset, or its close crossed the request on the way. The gateway has not read the request, so
--- a/soak/src/clients/shutdown.rs
+++ b/soak/src/clients/shutdown.rs
@@ -25,7 +25,7 @@
 /// The first number of a shutdown client, above the numbers of the steady load.
 const FIRST_CLIENT_NUMBER: u64 = 1 << 20;
 
-/// How a client sends its last requests.
+/// The way in which a client sends its last requests.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum SendPattern {
     /// One request without a pause.
--- a/soak/src/clients/steady.rs
+++ b/soak/src/clients/steady.rs
@@ -34,7 +34,7 @@
     is_reused: bool,
 }
 
-/// How a request is sent.
+/// The way in which a request is sent.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum SendPattern {
     /// The complete request without a pause.
--- a/soak/src/scheduling_delay.rs
+++ b/soak/src/scheduling_delay.rs
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The delay that the rules have to allow for at present.
+    /// The delay that the rules currently have to allow for.
     pub fn allowance(&self) -> Duration {
         self.worst_recent.get().delay + BASELINE_DELAY
     }
--- a/src/bin/quota-gateway/gossip.rs
+++ b/src/bin/quota-gateway/gossip.rs
@@ -11,7 +11,7 @@
 
 /// Maximum length of a message.
 const MAX_MESSAGE_BYTES: usize = 256;
-/// The recipient index that stands for all other gateways.
+/// The recipient index that means all other gateways.
 const ALL_GATEWAYS: u32 = u32::MAX;
 
 /// Receives messages from other gateways.
--- a/src/bin/quota-gateway/server/accept.rs
+++ b/src/bin/quota-gateway/server/accept.rs
@@ -107,7 +107,7 @@
 
 impl Server {
     /// Accepts clients until the shutdown reaches `NoNewConnections`, and rejects those without a slot. Clients that
-    /// have connected by then are still accepted, even if errors occur in between.
+    /// connect before that phase are still accepted, even if accepting fails in between.
     async fn accept(self: Rc<Self>, listener: TcpListener) {
         let warning = RateLimitedWarning::default();
         let mut phase = self.lifecycle.subscribe();
--- a/src/bin/quota-gateway/upstream/connection.rs
+++ b/src/bin/quota-gateway/upstream/connection.rs
@@ -82,8 +82,8 @@
     /// Writes a complete request, unless it is refused.
     ///
     /// Guards against a write that begins long after its check: if the socket accepts no bytes, the write has to wait,
-    /// and meanwhile the client may disconnect or the endpoint drain. A check precedes each try to write the first
-    /// byte, and nothing else runs between the two. After the first byte the request is written to its end.
+    /// and the client may disconnect or the endpoint drain during the wait. A check precedes each try to write the
+    /// first byte, and nothing else runs between the two. After the first byte the request is written to its end.
     pub async fn write(&self, request: &dyn OutgoingRequest) -> io::Result<WriteResult> {
         let socket = &self.reader.io;
         let mut message = Vec::new();
--- a/src/policy/customer_quota.rs
+++ b/src/policy/customer_quota.rs
@@ -10,7 +10,7 @@
 use crate::state::{Charge, ChargeResult, Customer};
 
 /// Idle time after which a customer is forgotten, in time constants of the decay of its usage: its quota must
-/// be full again by then.
+/// be full again after that time.
 const IDLE_TIME_CONSTANTS: f64 = 3.0;
 /// Retry-After of a request over its quota, in ms per second that the refill of the missing units takes: half
 /// of that time.
--- a/src/policy/request_handler.rs
+++ b/src/policy/request_handler.rs
@@ -64,8 +64,9 @@
 
     /// Handles the end of the call to the counter that was made for the request.
     pub(crate) fn counter_replied(&mut self, cx: &mut Context, open_request: &mut OpenRequest) {
-        // The charge of an over-quota request would keep available quota from the other gateways. It is
-        // refunded now if the limiter permits the call, and with the customer's next charge otherwise.
+        // The charge of an over-quota request would keep available quota from the other gateways. The
+        // charge is refunded now if the limiter permits the call, and with the customer's next charge
+        // otherwise.
         if open_request.awaiting_counter
             && self.decide_after_wait(cx, open_request) != Admission::Forward
         {
--- a/src/state/warming_members.rs
+++ b/src/state/warming_members.rs
@@ -3,7 +3,7 @@
 use crate::api::{EndpointId, Millis};
 use crate::state::EndpointTable;
 
-/// The ids of the warming members. They are only collected anew when the members have changed.
+/// The ids of the warming members. They are collected again only after the members have changed.
 #[derive(Default)]
 pub(crate) struct WarmingMembers {
     /// Sorted by id.
--- a/stand-ins/src/endpoint.rs
+++ b/stand-ins/src/endpoint.rs
@@ -10,7 +10,7 @@
 const HANG_TIME: Duration = Duration::from_secs(20);
 const INVALID_HTTP: &[u8] = b"\x01\x02 this is no HTTP\r\n\r\n";
 
-/// How an endpoint handles a request.
+/// The way in which an endpoint handles a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
     /// Executes the request and responds with 200.
--- a/stand-ins/src/list_publisher.rs
+++ b/stand-ins/src/list_publisher.rs
@@ -53,7 +53,7 @@
         self.last_published.borrow().clone()
     }
 
-    /// How discovery currently handles calls.
+    /// The mode in which discovery currently handles calls.
     #[must_use]
     pub fn mode(&self) -> ServiceMode {
         self.mode.get()
