--- a/emulator/src/scaling/mod.rs
+++ b/emulator/src/scaling/mod.rs
@@ -38,13 +38,13 @@
             at_each_size(|endpoints| request_us(endpoints, rounds)),
         ),
         ScalingLine::fit(
-            "a complete list applied by the library",
+            "a complete list taken anew by the library",
             "us",
             "endpoints",
             at_each_size(|endpoints| complete_list_us(endpoints, rounds / ROUNDS_PER_LIST)),
         ),
         ScalingLine::fit(
-            "a change of one entry applied by the library",
+            "a change of one entry taken by the library",
             "us",
             "endpoints",
             at_each_size(|endpoints| change_us(endpoints, rounds)),
