--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -104,7 +104,9 @@
     Success,
     /// Answered with an error, or by the counter without a valid total; may have been executed.
     ErrorResponse,
-    /// Rejected because of load, before anything was executed.
+    /// Rejected before the attempt or call was executed. The cause is load at the endpoint or the counter, a counter
+    /// that answers with status 400 or 404, a full queue of counter calls, or an endpoint that is not ready or has
+    /// moved.
     Rejected,
     /// Not answered in time; may have been executed.
     Timeout,
@@ -115,12 +117,12 @@
     ConnectionReset,
     /// Cancelled by the gateway; may have been executed.
     Cancelled,
-    /// Never sent; never executed.
+    /// Not sent, or sent only in part when the deadline passed or the gateway cancelled the attempt; never executed.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether the response is one of a working endpoint: the request was served, or rejected because of load.
+    /// Whether the outcome counts as a response of a working endpoint: the request was served or rejected.
     pub(crate) fn is_valid_response(self) -> bool {
         matches!(self, Outcome::Success | Outcome::Rejected)
     }
