--- a/tests/gateway/races.rs
+++ b/tests/gateway/races.rs
@@ -190,6 +190,8 @@
         .recv_timeout(TEST_TIMEOUT)
         .expect("the gateway calls the counter");
     drop(client);
+    // The first request may still be open. Each open request needs its own transaction id, instead of the fixed one of
+    // `post_request`.
     let next_request =
         post_request("once", "", "stays").replace("9b1f03aa5c7e2d41", "9b1f03aa5c7e2d42");
     assert_eq!(gateway.exchange(&next_request).status(), 200);
